--- a/src/coordination/serving/caller_authorization.cpp
+++ b/src/coordination/serving/caller_authorization.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Whether a key that the view names may be used, though it may have been taken away since.
+/// Whether the proof is recent enough to rule out that a key of the view was revoked longer ago than the
+/// bound.
 bool mayUseKnownKey(const ServingView& view, const ConfigurationProof& proof,
                     const AuthorizationSettings& settings, Moment now) {
   return !settings.proofBound || proof.covers(view.configuration->version, now, *settings.proofBound);
--- a/src/coordination/serving/caller_authorization.h
+++ b/src/coordination/serving/caller_authorization.h
@@ -1,10 +1,11 @@
 #pragma once
 
-/// Decides whether a caller may use a route, and as which tenant. Nothing of a request goes out before.
+/// Decides whether a caller may use a route, and as which tenant. Runs before any part of the request is
+/// forwarded.
 ///
-/// Invariants: without tenants in the configuration every caller may use every route; a key that no tenant
-/// holds is never served on a route that is not public; a key is only accepted, and only finally refused,
-/// while this daemon's configuration is proved fresh enough.
+/// Invariants: without tenants in the configuration every caller may use every route; a non-public route
+/// never accepts a key that no tenant holds; a key is accepted, or refused for good, only while this daemon's
+/// configuration is proven recent enough.
 
 #include <optional>
 #include <string_view>
@@ -17,33 +18,33 @@
 namespace oakpier::serving {
 
 struct AuthorizationSettings {
-  /// A key may be used for this long after the configuration was proved the newest; none: without bound.
+  /// Greatest age of the proof at which a known key is accepted; empty: no proof is needed.
   std::optional<Duration> proofBound;
-  /// An unknown key is finally refused only if the configuration was proved the newest this lately: within
-  /// the time in which operators expect a new key to be known everywhere.
+  /// Greatest age of the proof at which an unknown key is refused for good: the time in which operators
+  /// expect a new key to reach every daemon.
   Duration finalRefusalBound = std::chrono::milliseconds(2500);
 };
 
-/// Why a caller is not served now.
+/// Why a caller is refused.
 enum class AuthorizationProblem {
-  /// The route needs a key, and the request bears none that can be read.
+  /// The route needs a key, and the request has none that can be parsed.
   kKeyMissing,
-  /// No tenant holds the key.
+  /// No tenant holds the key; permanent.
   kKeyUnknown,
-  /// No tenant is known to hold the key, but it may be newer than this daemon's configuration.
+  /// The key is unknown, but may have been added since this daemon's configuration; retryable.
   kKeyMaybeNew,
-  /// A tenant holds the key, but it may have been taken away since.
+  /// A tenant holds the key, but it may have been revoked since this daemon's configuration; retryable.
   kProofTooOld,
 };
 
-/// The caller is served as this tenant; null: as none. Points into the view.
 struct AuthorizedCaller {
+  /// Null: the caller is anonymous. Points into the view.
   const Tenant* tenant = nullptr;
 };
 
 using Authorization = std::variant<AuthorizedCaller, AuthorizationProblem>;
 
-/// `key`: none when the request bears no key, or one that cannot be read.
+/// `key`: empty if the request has no key, or one that cannot be parsed.
 Authorization authorize(const Route& route, std::optional<std::string_view> key, const ServingView& view,
                         const ConfigurationProof& proof, const AuthorizationSettings& settings, Moment now);
 
--- a/src/coordination/serving/configuration_proof.h
+++ b/src/coordination/serving/configuration_proof.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What a daemon can prove of the age of its configuration. A request that bears a key begins only under a
-/// proof that is younger than the operator's bound on the use of keys that were taken away.
+/// Proof that a daemon's configuration was current at some moment. A request with a key is admitted only
+/// under a proof younger than the operator's bound on the use of revoked keys.
 
 #include <cstdint>
 
@@ -9,14 +9,14 @@
 
 namespace oakpier::serving {
 
-/// At `provenAt`, on the daemon's own steady clock (which counts suspensions of the machine), no
-/// configuration newer than `version` was acknowledged by the source.
+/// At `provenAt` the source had acknowledged no configuration newer than `version`. The time is on the
+/// daemon's own steady clock, which also advances while the machine is suspended.
 struct ConfigurationProof {
   std::uint64_t version = 0;
-  /// `Moment{}` while nothing is proved.
+  /// `Moment{}`, with version 0, if there is no proof.
   Moment provenAt{};
 
-  /// The proof holds for a daemon that uses version `used`, as of `now`, with an age of at most `bound`.
+  /// Whether it is at most `bound` old and `used`, the version in use, is not older than the proven one.
   bool covers(std::uint64_t used, Moment now, Duration bound) const {
     return version != 0 && used >= version && now - provenAt <= bound;
   }
--- a/src/coordination/serving/configuration_prover.cpp
+++ b/src/coordination/serving/configuration_prover.cpp
@@ -6,37 +6,37 @@
 
 namespace {
 
-/// A proof younger than this share of the bound is not renewed at each news: changes come up to four times
-/// a second, and several readers may read side by side; one renewal in 1.25 s is enough.
+/// All shares are fractions of the bound. Below this age a proof is not renewed at each source update:
+/// updates may come four times a second, and from several readers, while one renewal in 1.25 s is enough.
 constexpr double kFreshShare = 0.3;
-/// From this share of the bound on others are asked. The reader's own age reaches 2.25 s just before the
-/// answer to its next call, that of a daemon five levels below it some 0.5 s more (a period of a processor's
-/// quota a level), so that with a bound of 5 s nobody is asked in vain at every round.
+/// From this age on peers are asked. The reader's own proof gets 2.25 s old before the reply to its next
+/// call, and that of a daemon five levels down the forwarding tree some 0.5 s older (one CPU quota period per
+/// level). With a bound of 5 s this stays below the threshold, so normal rounds cause no such requests.
 constexpr double kAskShare = 0.6;
-/// Then the source is read, if others were asked in vain. Drawn between the two, so that daemons which lost
-/// the same reader do not call the source together: the first to read answers the others.
+/// Range of the age at which the source is read, if peers could not renew the proof. Randomized so that
+/// daemons that lost the same reader don't all call the source: the first to read renews the others' proofs.
 constexpr double kLeastReadShare = 0.7;
 constexpr double kMostReadShare = 0.8;
-/// Rounds of asking in vain before that; a daemon that has just started is not to call the source while its
-/// first questions are on the way.
+/// Rounds of requests without a renewal before that, so that a started daemon does not call the source while
+/// its first requests are in flight.
 constexpr unsigned kRoundsBeforeRead = 3;
 constexpr std::size_t kAskedAtOnce = 2;
 constexpr Duration kAskPeriod = std::chrono::milliseconds(300);
-/// While nobody has an answer, as the source is down, all daemons ask; they ask less often after these
-/// rounds.
+/// While the source is down no peer can renew a proof and all daemons send requests. After this many rounds
+/// they use the slow period.
 constexpr unsigned kQuickRounds = 8;
 constexpr Duration kSlowAskPeriod = std::chrono::milliseconds(1200);
-/// News of one round of reading may come from the trees of several readers.
+/// Shortest time between requests to senders of updates, as one update may arrive from several readers.
 constexpr Duration kNewsAskPeriod = std::chrono::milliseconds(150);
-/// Frames live for a second.
+/// The time to live of frames.
 constexpr Duration kQuestionTimeout = std::chrono::milliseconds(1000);
-/// An answer waits this long for the answer to this daemon's own question: the wait of each level runs
-/// beside that of the level above, so ages do not add up along the tree.
+/// Limit of the time that a reply waits for this daemon's own request to be replied to. The levels of the
+/// forwarding tree wait concurrently, so the ages of proofs do not add up along it.
 constexpr Duration kLongestHold = std::chrono::milliseconds(150);
 constexpr std::size_t kMostQuestions = 16;
 constexpr std::size_t kMostHeld = 64;
 constexpr Duration kReadPeriod = std::chrono::milliseconds(1000);
-/// No proof is of use that is older; also keeps sums of times within their type.
+/// Limit of the age in a reply. Longer ones would be useless, and might overflow a `Moment`.
 constexpr std::uint64_t kOldestAgeMicroseconds = 3'600'000'000;
 constexpr double kReadShareSteps = 1000;
 
@@ -176,7 +176,7 @@
   ++counters_.answered;
   const Moment before = proof_.provenAt;
   if (reply.age_us() <= kOldestAgeMicroseconds) {
-    // The other computed the age after the question came, so after `sentAt`.
+    // The peer computed the age after it received the request, hence after `sentAt`.
     claim(ConfigurationProof{reply.version(), sentAt - Duration(static_cast<std::int64_t>(reply.age_us()))});
   }
   answerHeld(now, proof_.provenAt > before || questions_.empty(), actions);
@@ -232,7 +232,7 @@
                : std::min(next, std::max({proof_.provenAt + share(readShare_), readAfter_, claimsFrom_}));
   }
   if (holds_) {
-    // A microsecond on it does not hold any more.
+    // `covers` includes the bound itself.
     next = std::min(next, proof_.provenAt + settings_.bound + Duration(1));
   }
   return next;
--- a/src/coordination/serving/configuration_prover.h
+++ b/src/coordination/serving/configuration_prover.h
@@ -1,12 +1,11 @@
 #pragma once
 
-/// Proves how lately a daemon's configuration was the newest, from its own reads of the source and from
-/// answers of other daemons to its own questions; and answers theirs.
+/// Keeps a daemon's proof that its configuration is current: renews it by reads of the source and by the
+/// replies of peers to its requests, and replies to theirs.
 ///
-/// Invariants: a proof never names a later moment than one at which its version was the newest that the
-/// source had acknowledged, whatever frames are lost, late or replayed, whoever stands still and whatever the
-/// source loses by coming back from a copy; without
-/// tenants in the configuration nobody is asked; questions, held answers and tries are bounded.
+/// Invariants: at the time of a proof, the source had acknowledged no newer version, even if frames are lost,
+/// delayed or replayed, processes are suspended, or the source is restored from a backup; no requests are
+/// sent unless the configuration has tenants; outstanding requests, deferred replies and retries are bounded.
 
 #include <cstdint>
 #include <map>
@@ -22,14 +21,14 @@
 
 namespace oakpier::serving {
 
-/// Kept free below the operator's bound. Two clocks that are slewed by 500 parts in a million each part by
-/// 5 ms in 5 s; from the decision to the leaf a request may wait for the next period of its processor's
-/// quota (100 ms) and then crosses a zone or two.
+/// Subtracted from the operator's bound. Covers the drift between two clocks (500 ppm each: 5 ms in 5 s) and
+/// the time from the decision until the leaf receives the request: up to one CPU quota period (100 ms) and
+/// the network delay between zones.
 inline constexpr Duration kProofMargin = std::chrono::milliseconds(200);
 
 struct ProverSettings {
-  /// Proofs are kept younger than this. Also where the operator sets no bound, as unknown keys are only
-  /// refused for good under a fresh proof.
+  /// The greatest age of a proof. Also applies if the operator sets no bound, since unknown keys are refused
+  /// for good only under a recent proof.
   Duration bound = std::chrono::milliseconds(5000) - kProofMargin;
 };
 
@@ -49,11 +48,12 @@
 };
 
 struct ProofCounters {
+  /// Requests sent to peers.
   std::uint64_t asked = 0;
-  /// Of these, with an answer in time.
+  /// Subset of `asked`: replied to in time.
   std::uint64_t answered = 0;
   std::uint64_t timedOut = 0;
-  /// Times that the source was to be read for this daemon's own sake.
+  /// Times that a read of the source was called for.
   std::uint64_t readWishes = 0;
 };
 
@@ -62,36 +62,35 @@
   ConfigurationProver(const Endpoint& self, const ProverSettings& settings, RandomEngine random);
 
   void setSettings(const ProverSettings& settings) { settings_ = settings; }
-  /// Serving daemons, this one among them.
+  /// All serving daemons, this one included.
   void setMembers(const std::vector<Endpoint>& members);
 
-  /// The configuration in force here. `hasTenants`: requests may need a proof.
+  /// The configuration that this daemon uses now.
   void onVersion(std::uint64_t version, bool hasTenants);
-  /// A record of the configuration as of a position of the source. While the newest is not usable, this
-  /// daemon cannot say that it uses the newest.
+  /// A configuration record was read or relayed. While the newest one is unusable the daemon runs on an older
+  /// version, so its reads prove nothing.
   void onConfigurationRecord(const SourcePosition& position, bool usable);
-  /// The source's state of an epoch became known that may have begun just now. Until `until`, or until the
-  /// operator has written the configuration again, a read proves nothing: the source may have lost a newer
-  /// one that it had acknowledged.
+  /// The source may just have been restored from a backup, and so have lost a newer configuration that it had
+  /// acknowledged. Reads sent before `until` prove nothing, unless `onConfigurationWritten` is called first.
   void holdClaims(Moment until) { claimsFrom_ = until; }
-  /// The operator has written the configuration since the source came back: whatever was lost is older.
+  /// The operator has written the configuration since the restore, so any lost version is older.
   void onConfigurationWritten() { claimsFrom_ = Moment{}; }
-  /// A linearizable answer of the source was taken over whole; its (first) call was sent at `sentAt`.
+  /// A linearizable read of the source was applied completely; its first call was sent at `sentAt`.
   void onRead(Moment sentAt, Moment now, ProofActions& actions);
-  /// News of the source was accepted: its sender has heard of a round of reading.
+  /// A source update relayed by `sender` was accepted, so `sender` may have a recent proof.
   void onNews(const Endpoint& sender, Moment now, ProofActions& actions);
   void onRequest(const Endpoint& sender, const ConfigurationProofRequest& request, Moment now,
                  ProofActions& actions);
   void onReply(const Endpoint& sender, const ConfigurationProofReply& reply, Moment now,
                ProofActions& actions);
   void onTime(Moment now, ProofActions& actions);
-  /// When `onTime` or `takeReadWish` has something to do.
+  /// When `onTime` or `takeReadWish` is due.
   Moment nextDueAt() const;
-  /// Other daemons did not help: the source is to be read now for this daemon's own sake. True once a while.
+  /// True if peers did not renew the proof and the source is to be read now. At most once a second.
   bool takeReadWish(Moment now);
 
   const ConfigurationProof& proof() const { return proof_; }
-  /// As of the last call with a time, the proof is within the bound.
+  /// Whether the proof was within the bound at the last call with a time.
   bool holds() const { return holds_; }
   const ProofCounters& counters() const { return counters_; }
 
@@ -106,17 +105,19 @@
     Moment until{};
   };
 
-  /// Whether anything is asked at all.
+  /// Whether proofs are needed and can be renewed.
   bool active() const { return hasTenants_ && version_ > 0 && newestUsable_; }
-  /// Of the proof; without one, longer than any bound.
+  /// `Duration::max()` without a proof.
   Duration ageAt(Moment now) const;
   void refreshHolds(Moment now) { holds_ = proof_.covers(version_, now, settings_.bound); }
+  /// That part of the bound.
   Duration share(double part) const;
   void ask(const Endpoint& to, Moment now, ProofActions& actions);
   void askSome(Moment now, ProofActions& actions);
+  /// Replaces the proof if the new one is younger.
   void claim(const ConfigurationProof& claimed);
   void answer(const Endpoint& to, std::uint64_t number, Moment now, ProofActions& actions) const;
-  /// Until when an answer waits for the answer to a question of this daemon; `now` at most if it does not.
+  /// Until when a reply to a peer waits for the replies that this daemon expects; `now` if it need not.
   Moment holdUntil(Moment now) const;
   void answerHeld(Moment now, bool all, ProofActions& actions);
   void drawReadShare();
@@ -129,20 +130,21 @@
   bool hasTenants_ = false;
   SourcePosition newestRecord_;
   bool newestUsable_ = true;
-  /// Reads that were sent earlier prove nothing.
+  /// Reads sent earlier prove nothing.
   Moment claimsFrom_{};
   ConfigurationProof proof_;
-  /// Proved of a version that is not known here yet.
+  /// A proof of a newer version, kept until this daemon uses that version.
   ConfigurationProof ahead_;
   bool holds_ = false;
+  /// Outstanding requests by number.
   std::map<std::uint64_t, Question> questions_;
   std::vector<Held> held_;
   Moment askNewsSenderAfter_{};
   Moment askAfter_{};
   Moment readAfter_{};
-  /// At which share of the bound the source is read for this daemon's own sake.
+  /// Age of the proof, as a fraction of the bound, at which the source is read.
   double readShare_ = 1;
-  /// Rounds of asking since the proof last grew younger.
+  /// Rounds of requests since the proof was last renewed.
   unsigned vainRounds_ = 0;
   ProofCounters counters_;
 };
--- a/src/coordination/serving/fleet_share.h
+++ b/src/coordination/serving/fleet_share.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// Which share of the fleet a daemon sees: how many daemons answer now of the most that did lately. In a cut
-/// each piece sees its own share, and after a loss of machines the rest takes the loss for a cut until the
-/// peak is forgotten.
+/// Estimates which fraction of the fleet a daemon can see: the daemons that are alive to it now, divided by
+/// the recent maximum. During a network partition each side sees its own fraction. A loss of machines looks
+/// the same until the maximum leaves the retention period.
 ///
-/// Invariants: at most 1; a daemon that has just started sees a share of the usual number until its table of
-/// members may be relied on.
+/// Invariants: at most 1; until the membership is stable after a start, the divisor is at least the
+/// expected size of the fleet.
 
 #include <cstddef>
 #include <deque>
@@ -14,25 +14,26 @@
 
 namespace oakpier::serving {
 
-/// So long a lower number of daemons is taken for a cut. Longer than the membership takes to declare daemons
-/// dead (7 s at 75 daemons, 13 s at 7,100), since before that their return is as likely.
+/// How long the maximum is kept. Longer than the membership takes to declare a daemon dead (7 s with 75
+/// daemons, 13 s with 7,100), since until then it is as likely to return.
 inline constexpr Duration kPeakRemembered = std::chrono::seconds(30);
 
 class FleetShare {
  public:
-  /// `answering`: daemons that are not suspected to be dead, this one included. `planned`: how many to
-  /// reckon with while the member table is not settled.
+  /// `answering`: daemons that are not suspected, this one included. `planned`: expected size of the fleet,
+  /// used until the membership is stable.
   void onDaemons(std::size_t answering, std::size_t planned, bool settled, Moment now);
-  /// More than 0.
+  /// In (0, 1].
   double seen(Moment now);
 
  private:
   struct Count {
+    /// When the number of daemons changed from this one.
     Moment endedAt{};
     std::size_t daemons = 0;
   };
 
-  /// Earlier counts, falling, with the moment at which each ended.
+  /// Maxima of the retention period: earlier counts in descending order, oldest first.
   std::deque<Count> earlier_;
   std::size_t answering_ = 1;
   std::size_t planned_ = 1;
--- a/src/coordination/serving/quota_plan.cpp
+++ b/src/coordination/serving/quota_plan.cpp
@@ -6,24 +6,25 @@
 
 namespace {
 
-/// The home's bucket holds the burst and what comes in so long, so that tokens that lapse at daemons do not
-/// make a tenant within its limit wait.
+/// The capacity covers the burst plus the refill of this many seconds, so that prefetched tokens that expire
+/// unused don't delay a tenant within its limit.
 constexpr double kCapacitySeconds = 0.5;
-/// Of what the window leaves beyond the refill: the home's bucket at the least and at the most.
+/// Bounds of the capacity, as fractions of what the allowance leaves beyond the refill.
 constexpr double kCapacityShare = 0.4;
 constexpr double kMostCapacityShare = 0.6;
-/// Homes that may follow one another within one window: the stand-in for one that has ended, and the one that
-/// has started again.
+/// Quota servers that may take over within one window: the first successor, and the primary after its
+/// restart.
 constexpr double kSuccessors = 2.0;
-/// Of what they may begin with, kept free: frames on the way, tables of members that are not whole yet.
+/// Fraction of their initial levels held in reserve for frames in flight and incomplete member tables.
 constexpr double kReserveShare = 0.2;
-/// Pieces of a cut whose home is the second stand-in or a later one.
+/// Sides of a network partition that are served by the second or a later successor.
 constexpr double kLaterPieces = 2.0;
 
 double secondsOf(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-/// So that the pieces of a lasting cut stay within the allowance, and so does the window in which the cut
-/// comes: the home and the stand-ins count out what they do until it is seen, and then each its part.
+/// The smaller of two bounds: one for windows within a lasting network partition, one for the window in which
+/// it begins. In the latter the primary grants its full rate and the successors their fractions of it until
+/// the membership notices, and then each side its part.
 double headroomOf(const QuotaPlan& plan, double allowed, Duration window) {
   if (plan.refill <= 0) {
     return 1;
--- a/src/coordination/serving/quota_plan.h
+++ b/src/coordination/serving/quota_plan.h
@@ -1,63 +1,69 @@
 #pragma once
 
-/// How a tenant's allowance over all daemons is divided into what one daemon may count out as the tenant's
-/// home, and what a successor of it may that remembers nothing.
+/// Sizes a tenant's token bucket so that the limit holds over the whole fleet although the bucket's state is
+/// lost when the daemon that holds it terminates, and each side of a network partition has a bucket of its
+/// own.
+///
+/// Each tenant has a ranking of daemons. The first, its primary quota server, holds the bucket; the others
+/// are successors: they take over, in this order, when those before them don't respond, and begin with a
+/// bucket of their own.
 ///
 /// Invariant: `refill` x (window + `kTokenLife`) + `capacity` + 2 x `start` + 2 x `laterStart` is at most
-/// `allowedInWindow`: two changes of the home, and two further pieces of a cut, fit into one window.
+/// `allowedInWindow`: one window has room for two changes of the server and for two further sides of a
+/// network partition.
 
 #include "state/serving/tenant.h"
 #include "state/time.h"
 
 namespace oakpier::serving {
 
-/// From the moment at which a token was asked for until nobody uses it or gives it back any more. A token
-/// may be used this much later than it was counted, so that a window holds what was counted in a longer one.
-/// Bounds what lies unused at daemons without anybody having to count it: at 8 requests a second 4 tokens.
+/// From the request for a token until it can no longer be used or returned. A token may be used this much
+/// later than it was granted, so a window may see the grants of a span longer by this.
 inline constexpr Duration kTokenLife = std::chrono::milliseconds(500);
 
-/// A stand-in cannot tell a home that has ended from one beyond a cut until the membership suspects the
-/// daemons that no longer answer: each is probed about once a second, so that 7 in 8 of them are suspected by
-/// then.
+/// How long a successor allows for the membership to notice a network partition; until then it cannot tell a
+/// primary that has terminated from one that is unreachable. Daemons are probed about once a second, so that
+/// 7 in 8 of the unreachable ones are suspected by then.
 inline constexpr Duration kCutUnseen = std::chrono::seconds(2);
-/// The membership suspects no daemon sooner after a cut: it waits as long for the answer to a probe.
+/// The membership waits this long for the answer to a probe, so it suspects no daemon sooner than this after
+/// a network partition.
 inline constexpr Duration kEarliestSuspicion = std::chrono::milliseconds(300);
-/// Of the rate, what the first stand-in counts out until then, and what those after it do: that several
-/// daemons are silent is more likely a cut.
+/// Fractions of the refill rate that the first successor, and those after it, grant until then. The later
+/// ones grant less, as several predecessors that don't respond are more likely to be unreachable than
+/// terminated.
 inline constexpr double kFirstStandInShare = 0.75;
 inline constexpr double kLaterStandInShare = 0.0625;
 
-/// What all daemons together may let through beyond a tenant's limit. In any sliding window:
+/// How far all daemons together may exceed a tenant's limit. In any sliding window they admit at most
 /// (rate x window + burst) x (1 + tolerance) + slack requests.
 struct QuotaTolerance {
   Duration window = std::chrono::seconds(5);
-  /// A share of the limit.
+  /// Fraction of the limit.
   double tolerance = 0;
-  /// Requests a window.
+  /// Requests per window.
   double slack = 0;
 };
 
-/// Requests that may be let through in any sliding window.
+/// The most requests that may be admitted in any sliding window.
 double allowedInWindow(const TenantLimit& limit, const QuotaTolerance& tolerance);
 
-/// Figures in requests.
+/// Bucket parameters, in tokens. One token admits one request.
 struct QuotaPlan {
-  /// A second.
+  /// Per second.
   double refill = 0;
-  /// The most that the home of the tenant lets through at once.
   double capacity = 0;
-  /// What a home begins with that knows nothing of the time before.
+  /// Initial level on the primary and on the first successor when they have no state for the tenant.
   double start = 0;
-  /// The same, for the second daemon that steps in and those after it.
+  /// Initial level on every later successor.
   double laterStart = 0;
-  /// A piece of the fleet may let through this many times its share of the daemons.
+  /// One side of a network partition may use its fraction of the daemons times this.
   double headroom = 1;
 };
 
 QuotaPlan planFor(const TenantLimit& limit, const QuotaTolerance& tolerance);
 
-/// What a piece of the fleet that sees the share `seen` (0 to 1) of the daemons may let through, as a share
-/// of all: at most 1. Those of all pieces, each of which has a home of its own, sum to at most
+/// Factor (at most 1) for the refill and capacity of a server that sees the fraction `seen` (0 to 1) of the
+/// fleet. The factors of all sides of a network partition, each with a server of its own, sum to at most
 /// `plan.headroom`.
 double pieceFactor(const QuotaPlan& plan, double seen);
 
--- a/src/coordination/serving/token_holder.cpp
+++ b/src/coordination/serving/token_holder.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-/// A tenant without tokens is not asked for again before: 20 asks a second at most.
+/// Bounds of the time for which a refusal is cached. The lower one limits a tenant to 20 requests for tokens
+/// per second.
 constexpr Duration kShortestExhausted = std::chrono::milliseconds(50);
-/// Nor later: others give tokens back.
+/// The upper one exists because other daemons may return tokens earlier.
 constexpr Duration kLongestExhausted = std::chrono::milliseconds(250);
-/// Callers whose request no daemon decided on come back after this: those that are silent are passed over by
-/// then. Letting some through all the same does not pay: what a window leaves for it (some 2 requests of a
-/// tenant) is less than one for each daemon that a cut may leave alone.
+/// Retry time if no server answered; by then unresponsive ones are tried last. Such requests are refused,
+/// since the allowance has no room for one request per daemon that a network partition may isolate.
 constexpr Duration kUnansweredRetryAfter = std::chrono::milliseconds(300);
-/// Callers that are told to come back are spread over this share of the time beyond it.
+/// Jitter of retry times: up to this fraction is added.
 constexpr double kSpread = 0.25;
-/// Rates below this, in requests a second, would make waiting times that do not end.
+/// Lower bound of the rate, in requests per second, that retry times are computed with.
 constexpr double kLeastRate = 0.01;
-/// Tokens that are given back on the way, at the latest; see `kTokenLife`.
+/// Greatest age of a token that is returned. Leaves the frame 100 ms to arrive before the token expires.
 constexpr Duration kLastGiveBack = kTokenLife - std::chrono::milliseconds(100);
-/// A reply that comes later is of no use: its tokens have lapsed.
+/// Later replies are ignored, as their tokens have expired.
 constexpr Duration kReplyUseful = kTokenLife;
 constexpr Duration kIdle = std::chrono::seconds(30);
 
@@ -122,7 +122,7 @@
     }
     auto home = nextHome(tenant, pocket, now);
     if (!home) {
-      // The members have changed since.
+      // All candidates were tried, as the members have changed since the last attempt: start over.
       pocket.tried.clear();
       home = nextHome(tenant, pocket, now);
     }
@@ -177,7 +177,7 @@
   }
   dropLapsed(pocket, now);
   serveWaiting(grant.tenant, pocket, now, decisions);
-  // From a daemon that was given up before: requests have their tokens from another one by now.
+  // A late reply of a server that was abandoned: the requests have got their tokens elsewhere.
   while (pocket.tokens.size() > advance_) {
     giveBack(grant.tenant, pocket.tokens.back(), now);
     pocket.tokens.pop_back();
--- a/src/coordination/serving/token_holder.h
+++ b/src/coordination/serving/token_holder.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// Takes tokens of tenants for the requests that arrive at this daemon: asks the tenant's home, moves on to
-/// the next daemon where it is silent, and remembers for how long a tenant has none.
+/// Obtains tokens for the requests that arrive at this daemon: asks the tenant's quota server, tries the next
+/// one if it doesn't respond, and caches refusals so that a tenant beyond its limit causes little traffic.
 ///
-/// Invariants: a request is let through on one token, which is used at most `kTokenLife` after it was asked
-/// for; each request gets one decision, at most `kMostTries` x `kTryTime` after it came, give or take the
-/// caller's timer; one ask a tenant is out at a time, and a tenant beyond its limit costs at most one ask
-/// every `kShortestExhausted`.
+/// Invariants: each admitted request uses one token, at most `kTokenLife` after it was asked for; each
+/// request gets one decision within `kMostTries` x `kTryTime`, plus the delay of the caller's timer; at most
+/// one request for tokens per tenant is outstanding, and after a refusal there is none for
+/// `kShortestExhausted`.
 
 #include <cstdint>
 #include <deque>
@@ -25,27 +25,26 @@
 
 namespace oakpier::serving {
 
-/// Far more than the way to another zone and back (3 ms) and than what a busy daemon's frames wait; a home
-/// that has ended costs its tenants this much once until it counts as silent. `kMostTries` of it are what a
-/// request waits at most.
+/// How long one server may take to answer. Well above the round trip to another zone (3 ms) plus the queueing
+/// delay on a busy daemon.
 inline constexpr Duration kTryTime = std::chrono::milliseconds(25);
-/// Daemons that are asked, one after the other, for one request.
+/// Servers tried in turn for one request.
 inline constexpr unsigned kMostTries = 6;
-/// Tokens held ahead of requests for each tenant that comes again within `kTokenLife`; 0: each request asks.
+/// Tokens prefetched for each tenant whose requests are less than `kTokenLife` apart. 0 disables prefetching.
 inline constexpr std::size_t kAdvance = 1;
 
-/// Lets one request through.
+/// Admits one request.
 struct Token {
-  /// The daemon that counted it.
+  /// The quota server that granted it.
   Endpoint home;
   Moment askedAt{};
 };
 
-/// Why a request is not let through.
+/// Why a request is refused.
 enum class RefusalCause {
-  /// The daemon that counts for the tenant had none left.
+  /// The tenant's quota server had none left.
   kNoTokens,
-  /// No daemon that could count for the tenant answered.
+  /// None of the servers that were tried answered.
   kUnanswered,
 };
 
@@ -56,7 +55,7 @@
 
 using TokenTicket = std::uint64_t;
 
-/// The decision comes with this ticket, later.
+/// The decision follows as a `TokenDecision` with this ticket.
 struct TokenPending {
   TokenTicket ticket = 0;
 };
@@ -67,11 +66,11 @@
   TokenTicket ticket = 0;
   std::string tenant;
   std::variant<Token, TokenRefusal> decision;
-  /// From the request's coming.
+  /// Since the request arrived.
   Duration waited{};
 };
 
-/// A frame to a daemon, perhaps this one.
+/// A frame to a quota server, which may be this daemon.
 struct TokenAsk {
   Endpoint home;
   std::uint64_t number = 0;
@@ -79,20 +78,20 @@
 };
 
 struct TokenHolderCounters {
-  /// Frames that ask.
+  /// Frames that request tokens.
   std::uint64_t asks = 0;
-  /// Requests let through.
+  /// Requests admitted.
   std::uint64_t granted = 0;
-  /// Of these, without waiting.
+  /// Subset of `granted`: on a prefetched token, without waiting.
   std::uint64_t grantedAtOnce = 0;
   std::uint64_t refused = 0;
-  /// Of these, without an ask.
+  /// Subset of `refused`: on a cached refusal, without asking a server.
   std::uint64_t refusedAtOnce = 0;
-  /// Of these, as no daemon that could count for the tenant answered.
+  /// Subset of `refused`: none of the servers that were tried answered.
   std::uint64_t refusedUnanswered = 0;
-  /// Asks that were left unanswered.
+  /// Token requests that timed out or could not be delivered.
   std::uint64_t unanswered = 0;
-  /// Tokens that nobody used in time.
+  /// Tokens that expired unused.
   std::uint64_t lapsed = 0;
   std::uint64_t givenBack = 0;
 };
@@ -106,26 +105,26 @@
 
   void setTolerance(const QuotaTolerance& tolerance) { tolerance_ = tolerance; }
 
-  /// `limit` is limited.
+  /// Precondition: `limit.limited()`.
   TokenOutcome take(const std::string& tenant, const TenantLimit& limit, Moment now);
-  /// The request for which the token was taken surely ran nowhere.
+  /// Only for a token whose request certainly ran on no leaf.
   void giveBack(const std::string& tenant, const Token& token, Moment now);
 
-  /// What is to be sent now.
+  /// Frames that are due to be sent.
   std::vector<TokenAsk> takeAsks(Moment now);
   std::vector<TokenDecision> onGrants(const Endpoint& home, std::uint64_t number,
                                       const std::vector<TokenGrantDecision>& grants, Moment now);
-  /// The frame never reached the daemon.
+  /// The frame could not be delivered.
   std::vector<TokenDecision> onUndelivered(std::uint64_t number, Moment now);
   std::vector<TokenDecision> onTime(Moment now);
-  /// When `onTime` is due; `kNever` while nothing is out.
+  /// When `onTime` is due; `kNever` while no request is outstanding.
   Moment nextTimeAt() const;
-  /// Forgets tenants that nobody asked for in a long time.
+  /// Removes the state of tenants without requests in the last 30 seconds.
   void dropIdle(Moment now);
 
-  /// Tenants that asked lately.
+  /// Tenants with recent requests.
   std::size_t tenants() const { return pockets_.size(); }
-  /// Tokens that lie here unused.
+  /// Prefetched tokens.
   std::size_t held() const;
   const TokenHolderCounters& counters() const { return counters_; }
 
@@ -138,37 +137,38 @@
     Endpoint home;
     std::uint64_t number = 0;
     Moment askedAt{};
-    /// Requests that it is for; 0: for a token ahead.
+    /// Requests that it is for; 0: it prefetches.
     std::size_t wanted = 0;
   };
   struct Pocket {
     TenantLimit limit;
     std::deque<Token> tokens;
     std::deque<Waiter> waiting;
-    /// The one that is out.
+    /// The outstanding one.
     std::optional<Ask> ask;
-    /// Daemons that did not answer for the requests that wait.
+    /// Servers that did not answer for the waiting requests.
     std::vector<Endpoint> tried;
     bool aheadWanted = false;
+    /// Requests are refused without asking until then.
     Moment exhaustedUntil{};
-    /// What the home told at the last refusal.
+    /// From the retry time in the last refusal.
     Moment nextTokenAt{};
-    /// Requests refused here since.
+    /// Requests refused since that refusal.
     double refusedSince = 0;
     Moment usedAt{};
   };
 
   void dropLapsed(Pocket& pocket, Moment now);
   TokenRefusal refuse(Pocket& pocket, RefusalCause cause, Moment now);
-  /// Takes tokens ahead for tenants that come often.
+  /// Schedules a prefetch if the tenant's requests are frequent.
   void noteUse(const std::string& tenant, Pocket& pocket, Moment now);
   std::optional<Endpoint> nextHome(const std::string& tenant, const Pocket& pocket, Moment now);
-  /// Lets those through that tokens are there for.
+  /// Admits waiting requests, oldest first, while there are tokens.
   void serveWaiting(const std::string& tenant, Pocket& pocket, Moment now,
                     std::vector<TokenDecision>& decisions);
   void refuseWaiting(const std::string& tenant, Pocket& pocket, RefusalCause cause, Moment now,
                      std::vector<TokenDecision>& decisions);
-  /// The daemon that was asked will not answer: the next one, or a refusal.
+  /// Drops the outstanding request, then tries the next server or refuses the waiting requests.
   void moveOn(const std::string& tenant, Pocket& pocket, Moment now, std::vector<TokenDecision>& decisions);
   void onGrant(const Endpoint& home, std::uint64_t number, Moment askedAt, const TokenGrantDecision& grant,
                Moment now, std::vector<TokenDecision>& decisions);
@@ -178,12 +178,13 @@
   std::size_t advance_;
   QuotaTolerance tolerance_;
   std::unordered_map<std::string, Pocket> pockets_;
-  /// Tenants for which an ask is to be sent.
+  /// Tenants for which tokens are to be requested.
   std::unordered_set<std::string> due_;
-  /// Tenants for which one is out.
+  /// Tenants with an outstanding request for tokens.
   std::unordered_set<std::string> asking_;
+  /// Tokens to return, by the server that granted them and by tenant.
   std::map<Endpoint, std::map<std::string, std::uint32_t>> returns_;
-  /// When frames were sent to which a reply may still come.
+  /// When each frame was sent, by frame number, while its reply is of use.
   std::map<std::uint64_t, Moment> sent_;
   std::uint64_t lastNumber_ = 0;
   TokenTicket lastTicket_ = 0;
--- a/src/coordination/serving/token_home.cpp
+++ b/src/coordination/serving/token_home.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-/// A daemon that was heard from in this time counts as alive. Four signs of life fit in, so that some of them
-/// may come late.
+/// A daemon counts as alive for this long after a frame of it. Four probe periods, so that single probes may
+/// be lost or late.
 constexpr Duration kHeardLately = std::chrono::milliseconds(200);
-/// A bucket that nobody asked for in this time is forgotten.
+/// Unused buckets and senders are removed after this time.
 constexpr Duration kIdle = std::chrono::seconds(60);
-/// Nobody is told to stay away for longer than this many windows.
+/// Limit of the retry time, in windows.
 constexpr double kLongestBacklogWindows = 1.0;
-/// The home and the first that steps in for it.
+/// The primary and its first successor.
 constexpr std::size_t kEarlyPlaces = 2;
-/// A later stand-in in a piece that sees more than this share of the daemons begins with its whole start, as
-/// a share of the one token that this mostly is lets nothing through. There are four such pieces at most: the
-/// home's, the first stand-in's, and the two later ones that the plan reckons with.
+/// A later successor that sees more than this fraction of the fleet begins with its full initial level. This
+/// is one token at most, and a fraction of a token admits nothing. At most four sides are this large: those
+/// of the primary, of the first successor, and of the two later ones that the plan provides for.
 constexpr double kLeastWholePiece = 0.2;
-/// What a bucket begins with at most until the members are settled: after a start of all daemons several take
-/// themselves for the home of a tenant.
+/// Limit of the initial level until the membership is stable: after a start of the whole fleet, several
+/// daemons rank themselves first for a tenant.
 constexpr double kUnsettledStart = 2.0;
-/// Rates below this, in requests a second, would make waiting times that do not end.
+/// Lower bound of the rate, in requests per second, that retry times are computed with.
 constexpr double kLeastRefill = 0.01;
 
 double secondsBetween(Moment earlier, Moment later) {
@@ -53,8 +53,8 @@
 }
 
 bool TokenHome::cutMayBeUnseen(const Bucket& bucket, Moment now) {
-  // Those before this one were suspected no sooner than `kEarliestSuspicion` after a cut. A bucket that is
-  // first asked of when the cut is known to all does not wait once more.
+  // The predecessors were suspected no sooner than `kEarliestSuspicion` after a partition of the network. So
+  // a bucket created after its detection does not wait again.
   const Moment suspectedBefore = now - (kCutUnseen - kEarliestSuspicion);
   const bool aloneForShort = now - bucket.aloneSince < kCutUnseen;
   return bucket.rank > 0 && aloneForShort && bucket.aheadSuspectedAt > suspectedBefore;
@@ -80,7 +80,7 @@
 }
 
 double TokenHome::startOf(const QuotaPlan& plan, const HomePlace& place) const {
-  // The second stand-in and those after it may be in as many pieces of a cut.
+  // The second and later successors may each be on a side of their own.
   const double whole = place.rank < kEarlyPlaces ? plan.start : plan.laterStart;
   if (!settled_) {
     return std::min(whole, kUnsettledStart) * seen_;
@@ -126,7 +126,7 @@
   TokenGrantDecision decision;
   decision.tenant = wish.tenant;
   if (wish.wanted == 0) {
-    // Ahead of requests only from what a burst leaves.
+    // Prefetching may not use the lower half of the bucket, which is kept for bursts.
     decision.granted = bucket.level >= 1 + capacity / 2 ? 1 : 0;
     counters_.advanced += decision.granted;
   } else {
--- a/src/coordination/serving/token_home.h
+++ b/src/coordination/serving/token_home.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// Counts the requests of tenants for the whole fleet: a bucket for each tenant whose home this daemon is, or
-/// whose home another daemon takes it for. Each token lets one request through.
+/// Grants tokens to the daemons of the fleet from one token bucket per tenant. A daemon serves a tenant as
+/// its primary, or as a successor while other daemons cannot reach its predecessors in the tenant's ranking.
 ///
-/// Invariants: tokens counted out less those given back are at most the bucket's capacity plus its refill, in
-/// any span; a frame counts once; what is given back never raises a bucket beyond its capacity; a daemon that
-/// steps in for one that it still hears lets through what it began with and no more.
+/// Invariants: in any span, tokens granted less those returned are at most the bucket's capacity plus its
+/// refill; each frame is processed at most once; returned tokens never raise a bucket beyond its capacity; a
+/// successor that still receives from a predecessor grants no more than its initial level.
 
 #include <cstdint>
 #include <optional>
@@ -20,10 +20,10 @@
 
 namespace oakpier::serving {
 
-/// What a daemon asks or gives back for one tenant.
+/// Requests or returns tokens of one tenant.
 struct TokenWish {
   std::string tenant;
-  /// Requests that wait. 0 with nothing returned: a token ahead of the next request.
+  /// Tokens for requests that are waiting. 0 with nothing returned: prefetches one token.
   std::uint32_t wanted = 0;
   std::uint32_t returned = 0;
 
@@ -33,17 +33,18 @@
 struct TokenGrantDecision {
   std::string tenant;
   std::uint32_t granted = 0;
-  /// When fewer were granted than wanted: until the next may be. 0: this daemon cannot count for the tenant.
+  /// Until a token may be available, if fewer were granted than requested. 0: this daemon does not know the
+  /// tenant's limit.
   Duration retryAfter{};
 };
 
 struct TokenHomeCounters {
   std::uint64_t granted = 0;
-  /// Of these, ahead of a request.
+  /// Subset of `granted`: prefetched tokens.
   std::uint64_t advanced = 0;
   std::uint64_t refused = 0;
   std::uint64_t returned = 0;
-  /// Frames that came again or out of order.
+  /// Duplicate or reordered frames.
   std::uint64_t framesIgnored = 0;
 };
 
@@ -51,23 +52,24 @@
 class TokenHome {
  public:
   void setTolerance(const QuotaTolerance& tolerance);
-  /// `seen`: the share of the fleet that this daemon sees; see `FleetShare`. `settled`: it has known its
-  /// members for a while. Until then buckets begin with no more than that share: after a start of all daemons
-  /// at once several take themselves for the home of a tenant. Beginning empty would refuse tenants below
-  /// their limit after such a start, and in a cut those whose first homes lie beyond it.
+  /// `seen`: the fraction of the fleet that this daemon sees; see `FleetShare`. `settled`: its member table
+  /// is stable. Until then new buckets start with that fraction of their initial level, since after a start
+  /// of the whole fleet several daemons rank themselves first for a tenant. They don't start empty, as that
+  /// would refuse tenants below their limit.
   void setSeen(double seen, bool settled) {
     seen_ = seen;
     settled_ = settled;
   }
 
-  /// False when the frame must be ignored. `run`: tells the sender's processes apart.
+  /// False for a duplicate or reordered frame, which must be ignored. `run` identifies the sender's process:
+  /// a restarted one numbers its frames from 1 again.
   bool takeFrame(const Endpoint& sender, std::uint64_t run, std::uint64_t number, Moment now);
-  /// Empty when nothing was asked.
+  /// Empty if the request only returns tokens.
   std::optional<TokenGrantDecision> onWish(const TokenWish& wish, const TenantLimit& limit,
                                            const HomePlace& place, Moment now);
-  /// What is left at the moment; empty when this daemon does not count for the tenant.
+  /// Tokens left at the last refill; empty if there is no bucket for the tenant.
   std::optional<double> levelOf(const std::string& tenant) const;
-  /// Forgets buckets and senders that were not in use for a long time.
+  /// Removes buckets and senders without activity in the last minute.
   void dropIdle(Moment now);
   std::size_t buckets() const { return buckets_.size(); }
   const TokenHomeCounters& counters() const { return counters_; }
@@ -77,15 +79,16 @@
     TenantLimit limit;
     QuotaPlan plan;
     double level = 0;
-    /// Requests refused lately, less what came in for them since.
+    /// Tokens refused and not refilled since. Spreads the retry times of refused callers.
     double backlog = 0;
     std::size_t rank = 0;
-    /// One of those before this one has answered since the bucket was last asked of, or just now.
+    /// A predecessor has responded lately, or since the last refill.
     bool aheadHeard = false;
-    /// Since when all of those before this one are suspected to have ended.
+    /// Since when all predecessors are suspected; `kNever` while one is not.
     Moment aheadSuspectedAt = kNever;
-    /// Since when no daemon before this one was heard.
+    /// Since when no predecessor responds.
     Moment aloneSince{};
+    /// Time of the last refill.
     Moment countedAt{};
   };
   struct Sender {
@@ -94,10 +97,10 @@
     Moment heardAt{};
   };
 
-  /// This daemon steps in, and what it sees of the fleet may be from before a cut.
+  /// This daemon is a successor, and its member table may not reflect a recent network partition yet.
   static bool cutMayBeUnseen(const Bucket& bucket, Moment now);
   Bucket& bucketFor(const std::string& tenant, const TenantLimit& limit, const HomePlace& place, Moment now);
-  /// What a bucket begins with.
+  /// Initial level of a bucket.
   double startOf(const QuotaPlan& plan, const HomePlace& place) const;
   double refillOf(const Bucket& bucket, Moment now) const;
   void refill(Bucket& bucket, Moment now) const;
--- a/src/coordination/serving/token_homes.cpp
+++ b/src/coordination/serving/token_homes.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// Signs of life are asked of the daemons before this one at most so often. Four fit into the time in which a
-/// daemon that was heard from counts as alive (`kHeardLately`).
+/// Shortest time between two probes of a predecessor. Four fit into `kHeardLately`, the time for which a
+/// daemon counts as alive after a frame of it.
 constexpr Duration kProbePeriod = std::chrono::milliseconds(50);
 
-/// A ranking of fewer is made anew: one request may ask nearly as many.
+/// Cached rankings of fewer daemons are dropped: one request may try `kMostTries` of them.
 constexpr std::size_t kFewestCarried = 8;
 
 bool before(const ServingDaemon& left, const ServingDaemon& right) {
   return left.address != right.address ? left.address < right.address : left.capacity < right.capacity;
 }
 
-/// The daemons at these addresses, which are all among them, in their order.
+/// The daemons with these addresses, in this order. Precondition: each address is one of a daemon.
 std::vector<ServingDaemon> inOrder(const std::vector<Endpoint>& addresses,
                                    const std::vector<ServingDaemon>& daemons) {
   std::vector<ServingDaemon> ordered;
@@ -77,7 +77,7 @@
       const Endpoint last = ranking.back().address;
       ranking.insert(ranking.end(), added.begin(), added.end());
       ranking = inOrder(rankHomes(entry->first, ranking), ranking);
-      // Of those behind the last one that was known it is not known whom they come before.
+      // The cached prefix doesn't tell which daemons rank after its last one, so nothing may follow that one.
       const auto end = std::find_if(ranking.begin(), ranking.end(),
                                     [&](const ServingDaemon& daemon) { return daemon.address == last; });
       if (!whole && end != ranking.end()) {
@@ -117,8 +117,8 @@
   if (silence_.silent(home, now)) {
     return false;
   }
-  // A request has few tries. By own silences alone each daemon of a small piece of a cut would spend them on
-  // daemons beyond it, tenant by tenant, long after the membership has come to suspect these.
+  // A request has few attempts. Without the suspicions of the membership, each daemon on the small side of a
+  // network partition would find out for itself, tenant by tenant, which daemons are unreachable.
   const auto suspected = suspectedAt_.find(home);
   if (suspected == suspectedAt_.end()) {
     return true;
--- a/src/coordination/serving/token_homes.h
+++ b/src/coordination/serving/token_homes.h
@@ -1,10 +1,11 @@
 #pragma once
 
-/// Decides which daemon counts a tenant's requests for the whole fleet, and which step in for it.
+/// Ranks the daemons that may serve a tenant's token bucket, by weighted rendezvous hashing. The first is the
+/// tenant's primary, the others are its successors in this order.
 ///
-/// Invariants: equal member tables give equal homes; a change of one daemon moves only the tenants that it
-/// gains or loses; a daemon that leaves frames unanswered, or is suspected to have ended, is asked after the
-/// others.
+/// Invariants: equal member tables give equal rankings; a daemon that joins or leaves moves only the tenants
+/// that it gains or loses; a daemon that doesn't respond, or is suspected by the membership, is tried after
+/// the others.
 
 #include <cstddef>
 #include <string>
@@ -18,20 +19,20 @@
 
 namespace oakpier::serving {
 
-/// Daemons that may step in for one another. In a cut that leaves a piece of one quarter of the daemons, all
-/// of these lie beyond the cut for one tenant in a hundred.
+/// Length of a ranking. On a side of a network partition with a quarter of the daemons, one tenant in a
+/// hundred has none of its candidates in reach.
 inline constexpr std::size_t kHomeCandidates = 16;
 
-/// The first is the home, the others step in for it in this order. At most `kHomeCandidates`.
+/// The primary, then the successors; at most `kHomeCandidates` daemons.
 std::vector<Endpoint> rankHomes(const std::string& tenant, const std::vector<ServingDaemon>& daemons);
 
-/// Where a daemon stands among those that may count for a tenant.
+/// A daemon's place in the ranking of a tenant.
 struct HomePlace {
-  /// 0: it is the home; 1: the first to step in, and so on.
+  /// 0: the primary; 1: the first successor, and so on.
   std::size_t rank = 0;
-  /// When one of those before it was last heard from.
+  /// When a frame of any daemon that ranks before it, a predecessor, was last received.
   Moment aheadHeardAt = Moment::min();
-  /// Since when all of those before it are suspected to have ended; `kNever` while one is not.
+  /// Since when all predecessors are suspected; `kNever` while one is not.
   Moment aheadSuspectedAt = kNever;
 };
 
@@ -40,35 +41,35 @@
  public:
   explicit TokenHomes(const Endpoint& self) : self_(self), daemons_{ServingDaemon(self)} {}
 
-  /// All serving daemons, this one included, in rising order of their addresses. Rankings in use are carried
-  /// over, since making one anew costs 0.5 ms at 7,100 daemons.
+  /// All serving daemons, this one included, in ascending order of address. Updates the cached rankings
+  /// incrementally, since computing one takes 0.5 ms with 7,100 daemons.
   void setDaemons(std::vector<ServingDaemon> daemons);
   std::size_t count() const { return daemons_.size(); }
-  /// All daemons that the membership suspects to have ended.
+  /// All daemons that the membership suspects to have failed.
   void setSuspected(const std::vector<Endpoint>& suspected, Moment now);
-  /// In the order in which they are to be asked.
+  /// The tenant's ranking, with daemons that are not expected to respond moved to the end.
   std::vector<Endpoint> candidates(const std::string& tenant, Moment now);
   HomePlace placeOfSelf(const std::string& tenant);
-  /// The daemons before this one for the tenant that should be asked for a sign of life now, as this one is
-  /// asked in their place.
+  /// Predecessors of this daemon that are due for a probe. To be called when a client asks this daemon in
+  /// their place.
   std::vector<Endpoint> takeProbesAhead(const std::string& tenant, Moment now);
 
   void onSent(const Endpoint& home, Moment now);
   void onHeard(const Endpoint& home, Moment now);
   void onUnreachable(const Endpoint& home, Moment now);
-  /// Silent daemons that should be asked for a sign of life now.
+  /// Unresponsive daemons that are due for a probe.
   std::vector<Endpoint> takeProbes(Moment now) { return silence_.takeTries(now); }
 
  private:
   const std::vector<ServingDaemon>& ranked(const std::string& tenant);
-  /// Not silent here, nor suspected elsewhere since it was last heard from here.
+  /// It responds to this daemon, and the membership has not suspected it since its last frame was received.
   bool expectedToAnswer(const Endpoint& home, Moment now) const;
-  /// Forgets the rankings that cannot be carried over.
+  /// Updates the cached rankings; drops those that become too short.
   void carryOver(const std::vector<ServingDaemon>& gone, const std::vector<ServingDaemon>& added);
 
   Endpoint self_;
   std::vector<ServingDaemon> daemons_;
-  /// The first of each ranking: all of it, or some.
+  /// Cached rankings, each complete or a prefix.
   std::unordered_map<std::string, std::vector<ServingDaemon>> ranked_;
   PeerSilence silence_;
   std::unordered_map<Endpoint, Moment> heardAt_;
--- a/src/state/serving/key_digest.cpp
+++ b/src/state/serving/key_digest.cpp
@@ -12,7 +12,8 @@
 using Secret = std::array<unsigned char, crypto_generichash_KEYBYTES>;
 
 Secret drawSecret() {
-  // Fails only where the system has no source of randomness; digests anyone can compute protect nothing.
+  // Fails only if the system has no source of randomness. There is no fallback: under a known secret the
+  // digests would protect nothing.
   if (sodium_init() < 0) {
     std::terminate();
   }
--- a/src/state/serving/key_digest.h
+++ b/src/state/serving/key_digest.h
@@ -1,10 +1,9 @@
 #pragma once
 
-/// Keyed hashes of callers' keys, by BLAKE2b of libsodium under a secret that each process draws anew.
+/// Keyed hashes of API keys: BLAKE2b (libsodium) under a random secret per process.
 ///
-/// What they guard against: a table of them in a core dump or crash report tells no key, and a caller who
-/// measures how long look-ups take learns nothing of a key, as without the secret nobody can choose a digest
-/// that shares a beginning with another one.
+/// A table of digests does not disclose the keys in a core dump. Look-ups are safe against timing attacks:
+/// without the secret a caller cannot construct a key whose digest shares a prefix with a stored one.
 
 #include <array>
 #include <cstddef>
@@ -13,7 +12,7 @@
 
 namespace oakpier::serving {
 
-/// 128 bits: among a million keys, two share a digest with a chance of about 10^-27.
+/// 128 bits: the probability of any collision among a million keys is about 10^-27.
 struct KeyDigest {
   std::array<std::uint8_t, 16> bytes{};
 
@@ -24,7 +23,7 @@
   std::size_t operator()(const KeyDigest& digest) const;
 };
 
-/// The same for equal keys within one process, and different in each process.
+/// Equal keys have equal digests within one process only.
 KeyDigest digestOf(std::string_view key);
 
 }  // namespace oakpier::serving
--- a/src/state/serving/tenant.h
+++ b/src/state/serving/tenant.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A tenant: a customer of the operator whose callers prove who they are by a key.
+/// A tenant: a customer of the operator whose callers authenticate with a key.
 
 #include <optional>
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace oakpier::serving {
 
-/// What a tenant may ask of all daemons together.
+/// Rate limit of a tenant over all daemons together.
 struct TenantLimit {
-  /// Requests a second; 0: no limit.
+  /// Requests per second; 0: no limit.
   double perSecond = 0;
-  /// Requests beyond the rate that may come at once.
+  /// Requests that may exceed the rate at once.
   double burst = 0;
 
   bool limited() const { return perSecond > 0; }
@@ -20,9 +20,9 @@
 
 struct Tenant {
   std::string name;
-  /// In clear, from the source's record until the configuration is taken over; empty in tables and views.
+  /// Plain-text keys. Set only while a configuration is read from the source; empty in tables and views.
   std::vector<std::string> keys;
-  /// Goes before the rank of the route; none: the route's holds. 0 is the most urgent.
+  /// Priority that overrides the route's; empty: the route's applies. 0 is the most urgent.
   std::optional<unsigned> rank;
   TenantLimit limit;
 };
--- a/src/state/serving/tenant_table.h
+++ b/src/state/serving/tenant_table.h
@@ -1,12 +1,11 @@
 #pragma once
 
-/// Finds the tenant that holds a key. The table keeps keys as digests only (`key_digest.h`); in clear they
-/// stand in the source's record that it is made from, nowhere else.
+/// Looks up tenants by key or by name. Keys are stored as digests only (`key_digest.h`).
 ///
-/// Invariant: a key is found exactly if the configuration names it.
+/// Invariant: a key is found if and only if the configuration contains it.
 ///
-/// Cost: 250 to 284 bytes a tenant with two keys (heap in use after less before, for 79, 10,000 and 50,000
-/// tenants); built in 0.1, 11 and 96 ms; a look-up, mostly its digest, takes 0.4 to 0.7 us.
+/// Cost: 250 to 284 bytes per tenant with two keys; building takes 0.1 ms for 79 tenants, 11 ms for 10,000
+/// and 96 ms for 50,000; a look-up takes 0.4 to 0.7 us, most of it for the digest.
 
 #include <cstdint>
 #include <string_view>
@@ -21,17 +20,17 @@
 /// Immutable once built.
 class TenantTable {
  public:
-  /// `tenants` has no problem: names and keys are unique.
+  /// Precondition: names and keys are unique; see `problemsOf`.
   explicit TenantTable(const std::vector<Tenant>& tenants);
-  /// Its maps point into its tenants.
+  /// Not copyable: `names_` refers to strings in `tenants_`.
   TenantTable(const TenantTable&) = delete;
   TenantTable& operator=(const TenantTable&) = delete;
 
-  /// The configuration names no tenants: no request needs a key.
+  /// Without tenants no request needs a key.
   bool empty() const { return tenants_.empty(); }
-  /// Null when no tenant holds the key.
+  /// Null if no tenant holds the key.
   const Tenant* holderOf(std::string_view key) const;
-  /// Null when there is no such tenant.
+  /// Null if there is no such tenant.
   const Tenant* named(std::string_view name) const;
   /// Without their keys.
   const std::vector<Tenant>& tenants() const { return tenants_; }
@@ -39,7 +38,7 @@
 
  private:
   std::vector<Tenant> tenants_;
-  /// Places in `tenants_`.
+  /// Indexes into `tenants_`.
   std::unordered_map<KeyDigest, std::uint32_t, KeyDigestHash> holders_;
   std::unordered_map<std::string_view, std::uint32_t> names_;
 };
--- a/tests/serving/coordination/caller_authorization_test.cpp
+++ b/tests/serving/coordination/caller_authorization_test.cpp
@@ -1,4 +1,4 @@
-/// Who may use a route, by single cases and by generated histories of a configuration.
+/// Authorization of callers: single cases, and invariants over generated configuration histories.
 
 #include "coordination/serving/caller_authorization.h"
 
@@ -33,7 +33,7 @@
   return route;
 }
 
-/// One question to `authorize`; changed field by field.
+/// Arguments of one call of `authorize`.
 struct Question {
   std::shared_ptr<const ServingView> view = viewWith({{"amber", {"key-1", "key-2"}, {}, {}}});
   bool isPublic = false;
@@ -43,7 +43,7 @@
   Moment now = at(10000);
 
   Authorization answer() const { return authorize(routeThatIs(isPublic), key, *view, proof, settings, now); }
-  /// The tenant's name, empty for none, or the problem's number.
+  /// The tenant's name, "nobody" for an anonymous caller, or the number of the error.
   std::string text() const {
     const Authorization answered = answer();
     if (const auto* problem = std::get_if<Problem>(&answered)) {
@@ -59,14 +59,14 @@
 
 }  // namespace
 
-TEST_CASE("without tenants everyone may use every route", "[serving]") {
+TEST_CASE("without tenants every caller may use every route", "[serving]") {
   Question question;
   question.view = GENERATE(true, false) ? viewWith({}) : std::make_shared<const ServingView>();
   question.key = GENERATE(std::optional<std::string_view>(), std::optional<std::string_view>("key-1"));
   REQUIRE(question.text() == "nobody");
 }
 
-TEST_CASE("a view knows tenants by name and digest, and holds no key in clear", "[serving]") {
+TEST_CASE("a view looks up tenants by key and holds no plain-text keys", "[serving]") {
   const auto view = viewWith({{"amber", {"key-1", "key-2"}, {}, {}}});
   REQUIRE(view->tenants->holderOf("key-2")->name == "amber");
   REQUIRE(view->configuration->tenants.size() == 1);
@@ -74,7 +74,7 @@
   REQUIRE(view->configuration->tenants.front().keys.empty());
 }
 
-TEST_CASE("a known key is used while the configuration is proved fresh", "[serving]") {
+TEST_CASE("a known key is accepted only under a recent proof", "[serving]") {
   Question question;
   question.key = GENERATE("key-1", "key-2");
   REQUIRE(question.text() == Question::textOf(Problem::kProofTooOld));
@@ -90,7 +90,7 @@
   REQUIRE(question.text() == "amber");
 }
 
-TEST_CASE("an unknown key is finally refused only under a fresh proof", "[serving]") {
+TEST_CASE("an unknown key is refused for good only under a recent proof", "[serving]") {
   Question question;
   question.key = "key-3";
   REQUIRE(question.text() == Question::textOf(Problem::kKeyMaybeNew));
@@ -104,14 +104,14 @@
   REQUIRE(question.text() == Question::textOf(Problem::kKeyMaybeNew));
 }
 
-TEST_CASE("a caller without a key is refused at once, with or without a proof", "[serving]") {
+TEST_CASE("a caller without a key is refused, with or without a proof", "[serving]") {
   Question question;
   REQUIRE(question.text() == Question::textOf(Problem::kKeyMissing));
   question.proof = {kVersion, at(10000)};
   REQUIRE(question.text() == Question::textOf(Problem::kKeyMissing));
 }
 
-TEST_CASE("a public route serves everyone, and tenants as themselves where that is proved", "[serving]") {
+TEST_CASE("a public route serves every caller, and tenants as such only under a recent proof", "[serving]") {
   Question question;
   question.isPublic = true;
   REQUIRE(question.text() == "nobody");
@@ -128,10 +128,10 @@
 constexpr int kHistories = 100'000;
 constexpr std::array<const char*, 5> kKeys{"key-1", "key-2", "key-3", "key-4", "key-5"};
 constexpr std::array<const char*, 3> kTenants{"amber", "birch", "cedar"};
-/// Histories lie within this many milliseconds.
+/// Length of a history in milliseconds.
 constexpr int kHistoryEnd = 10'000;
 
-/// A version as its source acknowledged it.
+/// A version of the configuration that the source acknowledged.
 struct AcknowledgedVersion {
   std::uint64_t number = 0;
   int acknowledgedAt = 0;
@@ -140,7 +140,7 @@
   std::shared_ptr<const ServingConfiguration> configuration;
 };
 
-/// A source's versions, and what one daemon has heard of them in an order of its own.
+/// The versions of a source, and those that one daemon received, in any order.
 class GeneratedHistory {
  public:
   explicit GeneratedHistory(std::uint32_t seed) : random_(seed) {
@@ -162,7 +162,7 @@
 
   int drawn(int least, int most) { return std::uniform_int_distribution<int>(least, most)(random_); }
 
-  /// The version that was the newest at a moment; null before the first.
+  /// The newest version at that moment; null before the first.
   const AcknowledgedVersion* newestAt(int moment) const {
     const AcknowledgedVersion* newest = nullptr;
     for (const AcknowledgedVersion& version : versions) {
@@ -171,8 +171,7 @@
     return newest;
   }
 
-  /// Whether any version that was the newest at some moment of the last `window` milliseconds has the
-  /// property.
+  /// Whether any version that was the newest at some time in the last `window` milliseconds has the property.
   template <typename Property>
   bool anyInForce(int window, Property property) const {
     for (std::size_t index = 0; index < versions.size(); ++index) {
@@ -188,7 +187,7 @@
   std::vector<AcknowledgedVersion> versions;
   int now = 0;
   ConfigurationProof proof;
-  /// The newest version that the daemon was told; 0: none.
+  /// The newest version that the daemon received; 0: none.
   std::uint64_t told = 0;
   ServingKnowledge knowledge{KnowledgeSettings{}};
 
@@ -215,7 +214,7 @@
     return version;
   }
 
-  /// With a key at two tenants: no source acknowledges it, and no daemon may take it over.
+  /// Invalid, as two tenants hold the same key: no source acknowledges it, and no daemon may apply it.
   std::shared_ptr<const ServingConfiguration> unusable() {
     auto configuration = std::make_shared<ServingConfiguration>();
     configuration->version = static_cast<std::uint64_t>(drawn(1, 30));
@@ -247,7 +246,7 @@
   std::mt19937 random_;
 };
 
-/// What one caller asks of the daemon of a history.
+/// One request to the daemon of a history.
 struct GeneratedCaller {
   explicit GeneratedCaller(GeneratedHistory& history) {
     const int place = history.drawn(0, static_cast<int>(kKeys.size()) + 1);
@@ -320,7 +319,7 @@
 
 }  // namespace
 
-TEST_CASE("in no history is a caller served whom no version in force allows", "[serving]") {
+TEST_CASE("authorization is sound over generated configuration histories", "[serving]") {
   int served = 0;
   int refused = 0;
   for (int seed = 0; seed < kHistories; ++seed) {
@@ -347,7 +346,7 @@
       checkRefused(history, caller, *used, std::get<Problem>(answer));
     }
   }
-  // Both sides of the decision were reached often, so that the loop shows something.
+  // Both outcomes must be frequent for the loop to be meaningful.
   REQUIRE(served > kHistories / 20);
   REQUIRE(refused > kHistories / 20);
 }
--- a/tests/serving/coordination/configuration_proof_test.cpp
+++ b/tests/serving/coordination/configuration_proof_test.cpp
@@ -12,10 +12,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The operator's bound on the use of keys that were taken away.
+/// The operator's bound on the use of revoked keys.
 constexpr Duration kBound = seconds(5);
 constexpr Duration kProofBound = kBound - kProofMargin;
-/// Daemons are asked whether they would let a key pass this often.
+/// How often it is checked whether each daemon would accept a key.
 constexpr Duration kCheckPeriod = milliseconds(20);
 constexpr Duration kSettling = seconds(12);
 
@@ -27,16 +27,16 @@
   return settings;
 }
 
-/// What was seen while a fleet ran.
+/// Results of the checks during a run.
 struct Checks {
   std::size_t made = 0;
   std::size_t refused = 0;
-  /// A key would have passed longer than the bound after a newer configuration.
+  /// A key would have been accepted although a newer configuration was older than the bound.
   std::size_t unsafe = 0;
   Duration oldest{};
 };
 
-/// Runs the fleet and asks each living daemon that `counts` again and again.
+/// Runs the fleet and checks each running daemon that `counts` every `kCheckPeriod`.
 Checks runChecked(
     SourceFleet& fleet, Duration span,
     const std::function<bool(std::size_t)>& counts = [](std::size_t) { return true; }) {
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-TEST_CASE("undisturbed daemons can prove their configuration at all times, at little cost", "[serving]") {
+TEST_CASE("without faults every daemon always has a proof, with few requests", "[serving]") {
   const auto daemons = GENERATE(1U, 3U, 74U, 300U);
   CAPTURE(daemons);
   SourceFleet fleet(fleetOf(daemons));
@@ -70,13 +70,13 @@
   REQUIRE(checks.refused == 0);
   REQUIRE(checks.oldest <= milliseconds(2800));
   REQUIRE(fleet.unsoundProofs() == 0);
-  // Rounds begin every 1.25 s; for some seconds after a start several daemons may read side by side.
+  // Rounds begin every 1.25 s; for some seconds after a start there may be several readers.
   CAPTURE(fleet.proofQuestions() - questions);
   REQUIRE(fleet.proofQuestions() - questions <= std::size_t{40} * daemons);
   REQUIRE(fleet.proofReads() == 0);
 }
 
-TEST_CASE("without tenants no questions are asked", "[serving]") {
+TEST_CASE("without tenants no proofs are requested", "[serving]") {
   SourceFleetSettings settings = fleetOf(74);
   settings.tenants = false;
   SourceFleet fleet(settings);
@@ -84,11 +84,11 @@
   REQUIRE(fleet.proofQuestions() == 0);
 }
 
-TEST_CASE("lost frames, and frames that wait for processor time, leave daemons their proofs", "[serving]") {
+TEST_CASE("daemons keep their proofs while frames are lost or delayed", "[serving]") {
   const auto daemons = GENERATE(74U, 300U);
   SourceFleetSettings settings = fleetOf(daemons, 3);
   settings.frameLoss = 0.05;
-  // One period of a processor's quota.
+  // One CPU quota period.
   settings.longestFrame = milliseconds(100);
   SourceFleet fleet(settings);
   fleet.runFor(kSettling);
@@ -101,14 +101,14 @@
   REQUIRE(later.refused == 0);
 }
 
-TEST_CASE("the death of readers costs no daemon its proof", "[serving]") {
+TEST_CASE("no daemon loses its proof when readers crash", "[serving]") {
   const auto daemons = GENERATE(7U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U);
   CAPTURE(daemons, random);
   SourceFleet fleet(fleetOf(daemons, random));
   fleet.runFor(kSettling);
   for (std::size_t dead = 0; dead < 4; ++dead) {
-    // At any point of a round.
+    // At different points of a round.
     fleet.runFor(milliseconds(310) * static_cast<int>(dead));
     fleet.kill(dead);
     const Checks checks = runChecked(fleet, seconds(6));
@@ -117,7 +117,7 @@
   }
 }
 
-TEST_CASE("a third of the daemons that the source refuses prove by the others, also as keys are taken away",
+TEST_CASE("a third of the daemons that the source refuses get proofs from peers while keys are revoked",
           "[serving]") {
   const auto daemons = GENERATE(3U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U, 4U);
@@ -125,7 +125,7 @@
   SourceFleet fleet(fleetOf(daemons, random));
   fleet.runFor(kSettling);
   for (std::size_t number = 0; number < daemons; ++number) {
-    // The first readers among them.
+    // Includes the first readers.
     fleet.setRefused(number, number < daemons / 6 || number % 6 == 5);
   }
   for (int change = 0; change < 3; ++change) {
@@ -137,8 +137,7 @@
   }
 }
 
-TEST_CASE("a daemon that is heard by nobody proves by its own reads while the source answers it",
-          "[serving]") {
+TEST_CASE("a daemon whose frames no peer receives renews its proof by its own reads", "[serving]") {
   SourceFleet fleet(fleetOf(74, 2));
   fleet.runFor(kSettling);
   for (std::size_t other = 0; other < fleet.size(); ++other) {
@@ -147,12 +146,11 @@
   const Checks checks = runChecked(fleet, seconds(20), [](std::size_t number) { return number == 40; });
   CAPTURE(checks.oldest.count());
   REQUIRE(checks.refused == 0);
-  // One for each 3.4 to 3.8 s, and only by that daemon.
+  // One every 3.4 to 3.8 s, by that daemon only.
   REQUIRE(fleet.proofReads() <= 8);
 }
 
-TEST_CASE("a daemon without any way to the source loses its proof, and has it again soon after",
-          "[serving]") {
+TEST_CASE("an isolated daemon loses its proof, and regains it after the network recovers", "[serving]") {
   SourceFleet fleet(fleetOf(74, 2));
   fleet.runFor(kSettling);
   for (std::size_t other = 0; other < fleet.size(); ++other) {
@@ -170,8 +168,10 @@
   REQUIRE(fleet.covers(40, kProofBound));
 }
 
-TEST_CASE("proofs outlive the source by two seconds, end by the bound, and are back soon after it",
-          "[serving]") {
+TEST_CASE(
+    "during an outage of the source proofs last for two seconds, expire by the bound and are renewed after "
+    "it",
+    "[serving]") {
   const auto daemons = GENERATE(3U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U);
   CAPTURE(daemons, random);
@@ -191,7 +191,7 @@
 
 namespace {
 
-/// A fleet with generated faults, in which keys are taken away all the time.
+/// A fleet with generated faults in which keys are revoked all the time.
 class TroubledFleet {
  public:
   explicit TroubledFleet(const SourceFleetSettings& settings) : fleet_(settings) {}
@@ -254,7 +254,7 @@
     }
   }
 
-  /// `way` 0: nothing reaches it; 1: nothing leaves it; 2: both.
+  /// `way` 0: blocks frames to the daemon; 1: frames from it; 2: both.
   void cutOff(std::size_t number, int way) {
     for (std::size_t other = 0; other < fleet_.size(); ++other) {
       if (way != 1) {
@@ -266,7 +266,7 @@
     }
   }
 
-  /// Two groups; in half of the cases only one way.
+  /// Separates two groups, in half of the cases in one direction only.
   void cutApart() {
     const std::size_t first = draw();
     const bool bothWays = *rc::gen::arbitrary<bool>();
@@ -324,8 +324,7 @@
 
 }  // namespace
 
-TEST_CASE("whatever is cut, lost, late, replayed, suspended or refused, no key passes beyond the bound",
-          "[serving]") {
+TEST_CASE("no revoked key is accepted beyond the bound under generated faults", "[serving]") {
   OAKPIER_PROPERTY("proofs", [] {
     SourceFleetSettings settings =
         fleetOf(*rc::gen::element<std::size_t>(3, 4, 7, 12, 30, 74), *rc::gen::arbitrary<std::uint64_t>());
@@ -336,7 +335,7 @@
   });
 }
 
-TEST_CASE("no key passes beyond the bound in a large fleet", "[serving]") {
+TEST_CASE("no revoked key is accepted beyond the bound in a large fleet", "[serving]") {
   SourceFleetSettings settings = fleetOf(300, 11);
   settings.lateFrames = 0.1;
   settings.replayedFrames = 0.1;
--- a/tests/serving/coordination/configuration_prover_test.cpp
+++ b/tests/serving/coordination/configuration_prover_test.cpp
@@ -15,7 +15,7 @@
 const Endpoint kFirst(2, 1);
 const Endpoint kSecond(3, 1);
 
-/// A daemon that uses version 5, proved as of 1,000 ms.
+/// A daemon that uses version 5, proven as of 1,000 ms.
 struct ProvedDaemon {
   ProvedDaemon() {
     prover.setMembers({kSelf, kFirst, kSecond});
@@ -23,7 +23,7 @@
     prover.onRead(at(1000), at(1001), actions);
   }
 
-  /// The number of the one question that was asked since.
+  /// The number of the only request sent since the last call.
   std::uint64_t takeNumber() {
     REQUIRE(actions.requests.size() == 1);
     const std::uint64_t number = actions.requests[0].request.number();
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("a read proves the moment at which its call was sent", "[serving]") {
+TEST_CASE("a proof by a read dates from when its call was sent", "[serving]") {
   ProvedDaemon daemon;
   daemon.prover.onRead(at(2000), at(3100), daemon.actions);
   REQUIRE(daemon.prover.proof().provenAt == at(2000));
@@ -60,7 +60,8 @@
   REQUIRE_FALSE(daemon.prover.proof().covers(4, at(3100), milliseconds(4800)));
 }
 
-TEST_CASE("while the newest configuration is refused reads prove nothing, and nobody is asked", "[serving]") {
+TEST_CASE("while the newest configuration is unusable reads prove nothing and no requests are sent",
+          "[serving]") {
   ProvedDaemon daemon;
   daemon.prover.onConfigurationRecord(inFirstEpoch(20), false);
   daemon.prover.onRead(at(2000), at(2001), daemon.actions);
@@ -69,12 +70,12 @@
   REQUIRE(daemon.prover.proof().provenAt == at(1000));
   REQUIRE(daemon.actions.requests.empty());
   REQUIRE_FALSE(daemon.prover.takeReadWish(at(9000)));
-  SECTION("an older record, told again, changes nothing") {
+  SECTION("an older record, received again") {
     daemon.prover.onConfigurationRecord(inFirstEpoch(19), true);
     daemon.prover.onRead(at(3000), at(3001), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
   }
-  SECTION("a newer usable one") {
+  SECTION("a newer usable record") {
     daemon.prover.onConfigurationRecord(inFirstEpoch(21), true);
     daemon.prover.onVersion(7, true);
     daemon.prover.onRead(at(3000), at(3001), daemon.actions);
@@ -83,7 +84,7 @@
   }
 }
 
-TEST_CASE("an answer counts from the moment at which the question was sent, less the age told", "[serving]") {
+TEST_CASE("a proof by a reply dates from when the request was sent, less the reported age", "[serving]") {
   ProvedDaemon daemon;
   daemon.prover.onNews(kFirst, at(3000), daemon.actions);
   const std::uint64_t number = daemon.takeNumber();
@@ -97,27 +98,27 @@
     daemon.prover.onReply(kFirst, replyOf(number, 5, milliseconds(0)), at(3101), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(2600));
   }
-  SECTION("not from another daemon") {
+  SECTION("not from another peer") {
     daemon.prover.onReply(kSecond, replyOf(number, 5, milliseconds(0)), at(3100), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
   }
-  SECTION("not to a number that was never sent") {
+  SECTION("not with an unknown number") {
     daemon.prover.onReply(kFirst, replyOf(number + 1, 5, milliseconds(0)), at(3100), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
   }
-  SECTION("not after its time") {
+  SECTION("not after the timeout") {
     daemon.prover.onTime(at(4000), daemon.actions);
     REQUIRE(daemon.prover.counters().timedOut == 1);
     daemon.prover.onReply(kFirst, replyOf(number, 5, milliseconds(0)), at(4001), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
   }
-  SECTION("not with an age beyond sense") {
+  SECTION("not with an age beyond the limit") {
     ConfigurationProofReply reply = replyOf(number, 5, milliseconds(0));
     reply.set_age_us(~std::uint64_t{0});
     daemon.prover.onReply(kFirst, reply, at(3001), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
   }
-  SECTION("not without a proof") {
+  SECTION("not if the peer has no proof") {
     daemon.prover.onReply(kFirst, replyOf(number, 0, milliseconds(0)), at(3001), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
   }
@@ -127,7 +128,7 @@
   }
 }
 
-TEST_CASE("what is proved of a version that is not known yet counts once it is", "[serving]") {
+TEST_CASE("a proof of a newer version takes effect once that version is in use", "[serving]") {
   ProvedDaemon daemon;
   daemon.prover.onNews(kFirst, at(3000), daemon.actions);
   daemon.prover.onReply(kFirst, replyOf(daemon.takeNumber(), 7, milliseconds(100)), at(3010), daemon.actions);
@@ -140,9 +141,10 @@
   REQUIRE(daemon.prover.proof().provenAt == at(2900));
 }
 
-TEST_CASE("an asked daemon tells the age at its answer, and waits a little for its own", "[serving]") {
+TEST_CASE("a reply contains the age of the proof, and is deferred while an own request is outstanding",
+          "[serving]") {
   ProvedDaemon daemon;
-  SECTION("nothing asked: at once") {
+  SECTION("no own request: immediately") {
     daemon.prover.onRequest(kFirst, requestOf(9), at(3000), daemon.actions);
     REQUIRE(daemon.actions.replies.at(0).reply.number() == 9);
     REQUIRE(daemon.actions.replies.at(0).reply.version() == 5);
@@ -153,12 +155,12 @@
   const std::uint64_t number = daemon.takeNumber();
   daemon.prover.onRequest(kSecond, requestOf(9), at(3010), daemon.actions);
   REQUIRE(daemon.actions.replies.empty());
-  SECTION("the answer comes") {
+  SECTION("the own request is replied to") {
     daemon.prover.onReply(kFirst, replyOf(number, 5, milliseconds(100)), at(3050), daemon.actions);
     REQUIRE(daemon.actions.replies.at(0).to == kSecond);
     REQUIRE(daemon.actions.replies.at(0).reply.age_us() == 150000);
   }
-  SECTION("it does not") {
+  SECTION("the own request is not replied to") {
     REQUIRE(daemon.prover.nextDueAt() == at(3150));
     daemon.prover.onTime(at(3149), daemon.actions);
     REQUIRE(daemon.actions.replies.empty());
@@ -167,7 +169,7 @@
     daemon.prover.onRequest(kSecond, requestOf(10), at(3160), daemon.actions);
     REQUIRE(daemon.actions.replies.size() == 2);
   }
-  SECTION("more ask than can be held: these are answered at once") {
+  SECTION("beyond the limit of deferred replies: immediately") {
     for (int asker = 0; asker < 200; ++asker) {
       daemon.prover.onRequest(kSecond, requestOf(100), at(3020), daemon.actions);
     }
@@ -175,7 +177,8 @@
   }
 }
 
-TEST_CASE("others are asked as the proof grows old, two at a time, less often if all in vain", "[serving]") {
+TEST_CASE("peers are asked in rounds of two as the proof ages, and less often after many rounds",
+          "[serving]") {
   ProvedDaemon daemon;
   daemon.prover.onNews(kFirst, at(1900), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
@@ -192,7 +195,7 @@
     daemon.prover.onTime(at(now), daemon.actions);
   }
   REQUIRE(daemon.actions.requests.size() <= 40);
-  SECTION("a younger proof ends it") {
+  SECTION("a renewed proof ends the rounds") {
     daemon.prover.onRead(at(20000), at(20001), daemon.actions);
     daemon.actions.requests.clear();
     daemon.prover.onTime(at(22000), daemon.actions);
@@ -200,7 +203,7 @@
   }
 }
 
-TEST_CASE("without tenants nobody is asked, and those who ask are answered", "[serving]") {
+TEST_CASE("without tenants no requests are sent, and requests of peers are answered", "[serving]") {
   ProvedDaemon daemon;
   daemon.prover.onVersion(6, false);
   daemon.prover.onNews(kFirst, at(9000), daemon.actions);
@@ -212,7 +215,7 @@
   REQUIRE(daemon.actions.replies.at(0).reply.version() == 5);
 }
 
-TEST_CASE("the source is read for one's own sake when others do not help, once a second", "[serving]") {
+TEST_CASE("the source is read at most once a second if peers do not renew the proof", "[serving]") {
   ProvedDaemon daemon;
   REQUIRE_FALSE(daemon.prover.takeReadWish(at(1000 + 3840)));
   for (int round = 0; round < 3; ++round) {
@@ -224,7 +227,7 @@
   REQUIRE(daemon.prover.takeReadWish(at(1000 + 4840)));
 }
 
-TEST_CASE("a proof is lost when it grows too old, and regained", "[serving]") {
+TEST_CASE("a proof expires, and is renewed by a read", "[serving]") {
   ProvedDaemon daemon;
   daemon.prover.onTime(at(5800), daemon.actions);
   REQUIRE(daemon.prover.holds());
@@ -257,7 +260,7 @@
   return SourceRecord{"configuration", value, revision, false};
 }
 
-/// The first of two daemons, which has listed the source.
+/// The first of two daemons, after a listing of the source.
 struct ListedDaemon {
   ListedDaemon() {
     follower.setMembers(std::vector<Endpoint>{kSelf, kFirst});
@@ -270,7 +273,7 @@
 
 }  // namespace
 
-TEST_CASE("a listing proves the moment of its first call, once it is whole", "[serving]") {
+TEST_CASE("a proof by a complete listing dates from its first call", "[serving]") {
   SourceFollower follower(kSelf, FollowerSettings{}, interpret, RandomEngine(1));
   follower.setMembers(std::vector<Endpoint>{kSelf, kFirst});
   const auto first = follower.takeCall(at(1000));
@@ -282,7 +285,7 @@
   REQUIRE(follower.proof().provenAt == at(1000));
 }
 
-TEST_CASE("a call that waited for changes proves the moment at which it was sent", "[serving]") {
+TEST_CASE("a proof by a watch call dates from when the call was sent", "[serving]") {
   ListedDaemon daemon;
   const Moment sent = daemon.follower.nextDueAt();
   const auto watch = daemon.follower.takeCall(sent);
@@ -295,8 +298,7 @@
   REQUIRE(daemon.follower.proof().provenAt == sent);
 }
 
-TEST_CASE("a configuration that cannot be read keeps older ones from being proved, another record does not",
-          "[serving]") {
+TEST_CASE("an unusable configuration record prevents proofs, other unusable records do not", "[serving]") {
   ListedDaemon daemon;
   const Moment before = daemon.follower.proof().provenAt;
   const Moment sent = daemon.follower.nextDueAt();
@@ -311,7 +313,7 @@
   }
 }
 
-TEST_CASE("news alone proves nothing; its sender is asked", "[serving]") {
+TEST_CASE("an update alone proves nothing; its sender is asked for a proof", "[serving]") {
   ListedDaemon daemon;
   const Moment before = daemon.follower.proof().provenAt;
   SourceNews news;
--- a/tests/serving/coordination/quota_plan_test.cpp
+++ b/tests/serving/coordination/quota_plan_test.cpp
@@ -1,4 +1,4 @@
-/// The arithmetic of limits over the fleet, and the buckets that follow it.
+/// Bucket parameters, the visible fraction of the fleet, and the buckets of quota servers.
 
 #include "coordination/serving/quota_plan.h"
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("homes that follow one another in a window stay within the allowance", "[serving]") {
+TEST_CASE("successive quota servers within a window stay within the allowance", "[serving]") {
   for (const QuotaTolerance& tolerance : {kTolerance, QuotaTolerance{std::chrono::seconds(5), 0, 0},
                                           QuotaTolerance{std::chrono::seconds(1), 0.1, 3}}) {
     for (const double rate : {0.1, 1.0, 8.0, 100.0, 5000.0}) {
@@ -38,7 +38,7 @@
   }
 }
 
-TEST_CASE("a tenant's whole limit is counted out where there is any tolerance for it", "[serving]") {
+TEST_CASE("a tenant's full rate and burst are granted if the tolerance allows it", "[serving]") {
   for (const TenantLimit& limit : {TenantLimit{1, 1}, TenantLimit{8, 8}, TenantLimit{30, 30}}) {
     const QuotaPlan plan = planFor(limit, kTolerance);
     REQUIRE(plan.refill == limit.perSecond);
@@ -47,15 +47,15 @@
   }
 }
 
-TEST_CASE("pieces of a cut together count out what the whole may, times their headroom", "[serving]") {
+TEST_CASE("the sides of a network partition together grant at most the headroom", "[serving]") {
   const QuotaPlan plan = planFor(TenantLimit{8, 8}, kTolerance);
   REQUIRE(pieceFactor(plan, 1) == 1);
   REQUIRE(pieceFactor(plan, 0.75) + pieceFactor(plan, 0.25) <= plan.headroom + 1e-9);
-  // Twelve that are alone, of 74: less than a token each.
+  // An isolated daemon of 74 grants less than one token.
   REQUIRE(pieceFactor(plan, 1.0 / 74) * plan.capacity < 1);
 }
 
-TEST_CASE("a lower number of daemons is a cut until the peak is forgotten", "[serving]") {
+TEST_CASE("the visible fraction refers to the recent maximum of the number of daemons", "[serving]") {
   FleetShare share;
   share.onDaemons(20, 20, true, at(0));
   REQUIRE(share.seen(at(0)) == 1);
@@ -65,12 +65,12 @@
   REQUIRE(share.seen(at(39'000)) == 0.2);
   REQUIRE(share.seen(at(41'000)) == 0.8);
   REQUIRE(share.seen(at(51'000)) == 1);
-  // Come back.
+  // All daemons are reachable again.
   share.onDaemons(20, 20, true, at(52'000));
   REQUIRE(share.seen(at(52'000)) == 1);
 }
 
-TEST_CASE("a daemon that has just started sees a share of the usual number", "[serving]") {
+TEST_CASE("until the membership is stable the visible fraction refers to the expected size", "[serving]") {
   FleetShare share;
   share.onDaemons(3, 12, false, at(0));
   REQUIRE(share.seen(at(0)) == 0.25);
@@ -78,7 +78,7 @@
   REQUIRE(share.seen(at(1500)) == 1);
 }
 
-TEST_CASE("those whom a home refuses are told times that grow with the queue", "[serving]") {
+TEST_CASE("retry times of refused requests grow with the number of requests refused", "[serving]") {
   TokenHome home;
   home.setTolerance(kTolerance);
   const TenantLimit limit{4, 4};
@@ -91,23 +91,23 @@
   const Duration second = ask(4, at(2)).retryAfter;
   REQUIRE(first > Duration{});
   REQUIRE(second >= first + std::chrono::milliseconds(900));
-  // Nobody is sent away for longer than a window.
+  // A retry time is one window at most.
   REQUIRE(ask(1000, at(3)).retryAfter <= kTolerance.window);
   REQUIRE(ask(1000, at(4)).retryAfter <= kTolerance.window);
 }
 
-TEST_CASE("a frame counts once, and an earlier one of the same process not at all", "[serving]") {
+TEST_CASE("duplicate and reordered frames of one process are ignored", "[serving]") {
   TokenHome home;
   const Endpoint sender(1, 9);
   REQUIRE(home.takeFrame(sender, 7, 2, at(0)));
   REQUIRE_FALSE(home.takeFrame(sender, 7, 2, at(1)));
   REQUIRE_FALSE(home.takeFrame(sender, 7, 1, at(2)));
-  // Another process at its address begins anew.
+  // A restarted sender numbers its frames from 1.
   REQUIRE(home.takeFrame(sender, 8, 1, at(3)));
   REQUIRE(home.takeFrame(Endpoint(2, 9), 7, 1, at(4)));
 }
 
-TEST_CASE("what is given back does not raise a bucket beyond its capacity", "[serving]") {
+TEST_CASE("returned tokens do not raise a bucket beyond its capacity", "[serving]") {
   TokenHome home;
   home.setTolerance(kTolerance);
   const TenantLimit limit{4, 4};
@@ -116,7 +116,7 @@
   REQUIRE(*home.levelOf("t") <= planFor(limit, kTolerance).capacity);
 }
 
-TEST_CASE("a daemon that steps in counts out nothing more while it hears the one before it", "[serving]") {
+TEST_CASE("a successor grants only its initial level while its predecessor responds", "[serving]") {
   TokenHome home;
   home.setTolerance(kTolerance);
   const TenantLimit limit{4, 4};
@@ -126,7 +126,7 @@
     granted += home.onWish(TokenWish{"t", 1, 0}, limit, place, at(millisecond))->granted;
   }
   REQUIRE(granted == static_cast<std::uint32_t>(planFor(limit, kTolerance).start));
-  // It is heard no more.
+  // The predecessor no longer responds.
   const HomePlace alone{1, at(20'000)};
   std::uint32_t later = 0;
   for (int millisecond = 21'000; millisecond < 31'000; millisecond += 100) {
--- a/tests/serving/coordination/tenant_tokens_test.cpp
+++ b/tests/serving/coordination/tenant_tokens_test.cpp
@@ -1,4 +1,4 @@
-/// Limits of tenants over generated fleets: what runs in any window, and what is refused in error.
+/// Rate limits over simulated fleets: requests admitted in any window, and requests refused below the limit.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 const TenantLimit kSmall{1, 1};
 const TenantLimit kLarge{8, 8};
-/// Limits are some 1.6 times what a tenant usually asks.
+/// Tenants usually send 1/1.6 of their limit.
 constexpr double kUsualShare = 1 / 1.6;
 
 Moment second(double seconds) { return Moment(Duration(static_cast<std::int64_t>((100 + seconds) * 1e6))); }
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a tenant below its limit is never refused in a calm fleet", "[serving]") {
+TEST_CASE("a tenant below its limit is never refused in a fleet without faults", "[serving]") {
   for (const std::size_t daemons : {3, 12, 74, 100}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       TokenFleetSettings settings;
@@ -44,10 +44,9 @@
   }
 }
 
-TEST_CASE("a tenant below its limit is hardly refused in error while its home ends", "[serving]") {
-  // Of those who ask up to their burst just as the home ends: the stand-in begins with less than a full
-  // bucket, and with three quarters of the rate until it knows that there is no cut. Small tenants never
-  // notice.
+TEST_CASE("a tenant below its limit is rarely refused when its primary quota server crashes", "[serving]") {
+  // The successor begins with less than a full bucket, and grants three quarters of the rate until a network
+  // partition is ruled out. Only bursts of large tenants exceed that.
   constexpr std::size_t kOneIn = 1000;
   for (const std::size_t daemons : {12, 74, 100}) {
     for (const TenantLimit& limit : {kSmall, kLarge}) {
@@ -71,7 +70,7 @@
   }
 }
 
-TEST_CASE("the window holds for a hot tenant, and the others do not feel it", "[serving]") {
+TEST_CASE("a tenant beyond its limit is held to it and does not affect other tenants", "[serving]") {
   for (const double factor : {3.0, 9.0}) {
     for (const std::size_t daemons : {3, 74}) {
       TokenFleetSettings settings;
@@ -84,7 +83,7 @@
       fleet.run(second(41));
       requireWindowHolds(fleet, "hot", kLarge, settings.tolerance);
       REQUIRE(fleet.refusedInError("other", kSmall) == 0);
-      // It still gets its rate.
+      // It still gets its full rate.
       const auto& requests = fleet.requestsOf("hot");
       const auto granted = std::count_if(requests.begin(), requests.end(),
                                          [](const TokenFleet::Request& request) { return request.granted; });
@@ -93,7 +92,7 @@
   }
 }
 
-TEST_CASE("a hot tenant's refusals cost no asks once a daemon knows", "[serving]") {
+TEST_CASE("cached refusals limit the token requests for a tenant beyond its limit", "[serving]") {
   TokenFleetSettings settings;
   settings.daemons = 20;
   TokenFleet fleet(settings);
@@ -104,10 +103,10 @@
   fleet.run(second(11));
   const TokenHolderCounters counters = fleet.holderCounters();
   REQUIRE(counters.refused > 4500);
-  // 20 a second, and those that were granted.
+  // 20 a second, plus those that were granted.
   REQUIRE(counters.asks <= 20 * kSeconds + 40);
   REQUIRE(counters.refusedAtOnce > counters.refused * 9 / 10);
-  // Those who are sent away do not all come back at once: the queue is told.
+  // Retry times are spread according to the number of refused requests.
   const auto& requests = fleet.requestsOf("hot");
   const auto longest =
       std::max_element(requests.begin(), requests.end(),
@@ -117,7 +116,8 @@
   REQUIRE(longest->retryAfter > std::chrono::seconds(2));
 }
 
-TEST_CASE("the window holds while homes end, start again and frames go wrong", "[serving]") {
+TEST_CASE("the window limit holds while quota servers restart and frames are lost, delayed or duplicated",
+          "[serving]") {
   for (const std::size_t daemons : {3, 7, 20, 74, 100}) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       TokenFleetSettings settings;
@@ -144,7 +144,7 @@
   }
 }
 
-TEST_CASE("the window holds while three in ten frames come late", "[serving]") {
+TEST_CASE("the window limit holds while three in ten frames are delayed", "[serving]") {
   const TenantLimit busy{30, 30};
   for (std::uint64_t seed = 11; seed <= 20; ++seed) {
     TokenFleetSettings settings;
@@ -164,7 +164,7 @@
   }
 }
 
-TEST_CASE("the window holds in cuts, with clients of a hot tenant on all sides", "[serving]") {
+TEST_CASE("the window limit holds with clients on all sides of a network partition", "[serving]") {
   for (const std::size_t pieces : {2, 3, 4}) {
     for (const std::size_t daemons : {12, 40, 74}) {
       for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -175,7 +175,7 @@
         for (const auto& [tenant, limit] :
              std::vector<std::pair<std::string, TenantLimit>>{{"small", kSmall}, {"large", kLarge}}) {
           fleet.setLimit(tenant, limit);
-          // So that the home's bucket is full when the cut comes.
+          // A low rate first, so that the bucket is full when the network is partitioned.
           fleet.load(tenant, limit.perSecond * 0.2, second(0), second(9.9));
           fleet.load(tenant, limit.perSecond * kUsualShare * 9, second(9.9), second(40));
         }
@@ -194,7 +194,7 @@
   }
 }
 
-TEST_CASE("the window holds with twelve daemons of 74 cut off alone", "[serving]") {
+TEST_CASE("the window limit holds with twelve of 74 daemons isolated", "[serving]") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     TokenFleetSettings settings;
     settings.daemons = 74;
@@ -215,7 +215,7 @@
   }
 }
 
-TEST_CASE("the window holds when all daemons end and start again without memory", "[serving]") {
+TEST_CASE("the window limit holds when all daemons restart without state", "[serving]") {
   const TenantLimit busy{30, 30};
   for (const std::size_t daemons : {3, 20, 74}) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -247,9 +247,8 @@
   }
 }
 
-TEST_CASE("tenants below their limit are served after all daemons have started again", "[serving]") {
-  // Of 40 small tenants over 10 s, from 1 s after the start on: 107 of 2,559 requests were refused in error
-  // while buckets began empty until the members were settled.
+TEST_CASE("tenants below their limit are served after a restart of all daemons", "[serving]") {
+  // Guards against buckets that begin empty until the membership is stable.
   constexpr std::size_t kTenants = 40;
   std::size_t errors = 0;
   std::size_t requests = 0;
@@ -280,17 +279,11 @@
   REQUIRE(errors <= requests / 100);
 }
 
-// What callers saw: in the 5 s after a cut of a quarter of the daemons from the rest, 117 of 3,733 requests
-// of tenants below their limit were refused. Order of events: a daemon of the small piece asks the tenant's
-// home, which lies beyond the cut, waits, asks the next two, which mostly lie there too, and refuses. Each
-// daemon did so for each tenant, to the end of the 5 s. Cause: the membership suspects all daemons beyond the
-// cut within 2 s, but its suspicions were only counted; the order in which daemons are asked knew only whom
-// this daemon itself had found silent. Evidence: 98 of the 117 were left unanswered, all of them in the small
-// piece, 62 of these later than 2 s after the cut. Those that reached a daemon in their piece then found it
-// empty (19, and 85 once suspicions were used): it began with a share of one token, which lets nothing
-// through, and refilled at a sixteenth for 2 s more, long after the cut was known.
-TEST_CASE("a tenant below its limit is served on both sides of a cut", "[serving]") {
-  // Of 40 small tenants in fleets of 74 daemons, from 10 s before a cut of 18 to 5 s after it.
+// Guards against clients that spend their attempts on unreachable servers already suspected by the
+// membership, and against later successors that begin with less than one token and grant a sixteenth of the
+// rate although the partition of the network has been noticed.
+TEST_CASE("a tenant below its limit is served on both sides of a network partition", "[serving]") {
+  // 18 of 74 daemons are separated from the rest.
   constexpr std::size_t kTenants = 40;
   std::size_t errors = 0;
   std::size_t requests = 0;
@@ -320,13 +313,10 @@
   REQUIRE(errors <= requests / 100);
 }
 
-// What callers see: in the first seconds of a cut tenants are refused below their limit, most of them of
-// higher rates: up to 4.6% of all that they ask over 15 s. What happens: where the home and the first that
-// steps in for it both lie beyond the cut, the next ones count out a sixteenth of the rate for
-// 2 s, so that the pieces together hold the window until the cut is known everywhere. For few tenants in each
-// cut, then, nearly everything is refused. Evidence: of 138 refusals of one such fleet none was for want of
-// an answer, and 105 were on the larger side, where one tenant in sixteen has such a home.
-TEST_CASE("tenants of any rate below their limit are served in cuts that come, heal and come again",
+// Known to fail: where the primary and its first successor are both unreachable, later successors grant a
+// sixteenth of the rate until the network partition is noticed, which refuses most requests of the tenants
+// concerned.
+TEST_CASE("tenants of any rate below their limit are served in single and repeated network partitions",
           "[open][limits]") {
   constexpr std::size_t kTenants = 10;
   for (const bool again : {false, true}) {
@@ -370,8 +360,8 @@
   }
 }
 
-TEST_CASE("the window holds for a busy tenant in cuts of many pieces", "[serving]") {
-  // Its daemons step in at the full rate of their piece only when a cut would be known everywhere.
+TEST_CASE("the window limit holds for a busy tenant in network partitions with many sides", "[serving]") {
+  // Guards against successors that grant the full rate of their side before every daemon has noticed.
   const TenantLimit busy{30, 30};
   for (const std::size_t pieces : {3, 6, 12}) {
     for (const std::size_t daemons : {12, 40}) {
@@ -397,7 +387,7 @@
   }
 }
 
-TEST_CASE("a lowered limit holds after one window", "[serving]") {
+TEST_CASE("a lowered limit holds from the moment at which it is set", "[serving]") {
   TokenFleetSettings settings;
   settings.daemons = 20;
   TokenFleet fleet(settings);
@@ -414,8 +404,7 @@
   REQUIRE(static_cast<double>(after) <= allowedInWindow(kSmall, settings.tolerance));
 }
 
-TEST_CASE("a request waits for one way there and back, and with tokens ahead most wait for nothing",
-          "[serving]") {
+TEST_CASE("a request waits for one round trip, and with prefetched tokens mostly not at all", "[serving]") {
   for (const std::size_t advance : {std::size_t{0}, kAdvance}) {
     TokenFleetSettings settings;
     settings.daemons = 74;
--- a/tests/serving/coordination/token_homes_test.cpp
+++ b/tests/serving/coordination/token_homes_test.cpp
@@ -9,7 +9,7 @@
 
 namespace oakpier::serving {
 
-TEST_CASE("rankings that are carried over are those that were made anew", "[serving]") {
+TEST_CASE("cached rankings agree with newly computed ones", "[serving]") {
   RandomEngine random(3);
   constexpr std::size_t kAddresses = 30;
   const Endpoint self(1, 9);
@@ -17,7 +17,7 @@
   std::map<Endpoint, unsigned> members{{self, 25}};
   std::size_t compared = 0;
   for (int change = 0; change < 500; ++change) {
-    // One daemon or some join, leave or change their size.
+    // One to four daemons join, leave or change their capacity.
     for (std::size_t number = drawBelow(4, random) + 1; number > 0; --number) {
       const Endpoint other(static_cast<std::uint32_t>(2 + drawBelow(kAddresses, random)), 9);
       if (members.erase(other) == 0 || drawBelow(3, random) == 0) {
@@ -34,7 +34,7 @@
       const std::string name = "tenant" + std::to_string(tenant);
       const std::vector<Endpoint> fresh = rankHomes(name, daemons);
       const std::vector<Endpoint> carried = homes.candidates(name, at(0));
-      // As many as a request may ask, in the same order on every daemon.
+      // A cached ranking may be a prefix.
       REQUIRE(carried.size() >= std::min<std::size_t>(3, daemons.size()));
       REQUIRE(carried.size() <= fresh.size());
       REQUIRE(std::equal(carried.begin(), carried.end(), fresh.begin()));
@@ -44,7 +44,7 @@
   REQUIRE(compared == 10'000);
 }
 
-TEST_CASE("daemons that are suspected to have ended are asked last, until they are heard", "[serving]") {
+TEST_CASE("suspected daemons are tried last, until a frame of them is received", "[serving]") {
   TokenHomes homes(Endpoint(1, 9));
   std::vector<ServingDaemon> daemons;
   for (std::uint32_t number = 1; number <= 30; ++number) {
@@ -58,7 +58,7 @@
   REQUIRE(suspected.front() == usual[2]);
   REQUIRE(suspected[suspected.size() - 2] == usual[0]);
   REQUIRE(suspected.back() == usual[1]);
-  // First-hand goes before hearsay, also when the list of suspects changes for others.
+  // A received frame overrides an earlier suspicion, also when others become suspected.
   homes.onHeard(usual[0], at(1100));
   homes.setSuspected({usual[0], usual[1], usual[3]}, at(1200));
   REQUIRE(homes.candidates("t", at(1200)).front() == usual[0]);
@@ -67,7 +67,7 @@
   REQUIRE(homes.candidates("t", at(1300)) == usual);
 }
 
-TEST_CASE("a daemon knows since when all before it for a tenant are suspected", "[serving]") {
+TEST_CASE("the rank of a daemon includes since when all its predecessors are suspected", "[serving]") {
   std::vector<ServingDaemon> daemons;
   for (std::uint32_t number = 1; number <= 8; ++number) {
     daemons.emplace_back(Endpoint(number, 9));
@@ -82,7 +82,7 @@
   REQUIRE(homes.placeOfSelf("t").aheadSuspectedAt == at(1500));
 }
 
-TEST_CASE("stronger daemons are the home of more tenants", "[serving]") {
+TEST_CASE("daemons of greater capacity are the primary of more tenants", "[serving]") {
   std::vector<ServingDaemon> daemons;
   for (std::uint32_t number = 1; number <= 20; ++number) {
     daemons.emplace_back(Endpoint(number, 9), number == 1 ? 120 : 12);
@@ -92,7 +92,7 @@
   for (std::size_t tenant = 0; tenant < kTenants; ++tenant) {
     strongest += rankHomes("tenant" + std::to_string(tenant), daemons).front() == daemons[0].address ? 1 : 0;
   }
-  // 10 of 29 shares.
+  // Its capacity is 10 of 29 parts of the fleet's.
   REQUIRE(strongest > kTenants * 30 / 100);
   REQUIRE(strongest < kTenants * 39 / 100);
 }
--- a/tests/serving/state/tenant_table_test.cpp
+++ b/tests/serving/state/tenant_table_test.cpp
@@ -15,7 +15,7 @@
   return configuration;
 }
 
-/// The problems of a configuration with these tenants, as one text.
+/// The validation errors of a configuration with these tenants, one per line.
 std::string problemsWith(std::vector<Tenant> tenants) {
   std::string text;
   for (const std::string& problem : problemsOf(configurationWith(std::move(tenants)))) {
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("a key is found exactly if the configuration names it", "[serving]") {
+TEST_CASE("a key is found if and only if the configuration contains it", "[serving]") {
   const TenantTable table({{"amber", {"key-1", "key-2"}, 3, {8, 4}}, {"birch", {"key-3"}, {}, {}}});
   REQUIRE(table.holderOf("key-1")->name == "amber");
   REQUIRE(table.holderOf("key-2") == table.holderOf("key-1"));
@@ -42,7 +42,7 @@
   REQUIRE(TenantTable({}).empty());
 }
 
-TEST_CASE("a table keeps no key in clear", "[serving]") {
+TEST_CASE("a table keeps no plain-text keys", "[serving]") {
   const TenantTable table({{"amber", {"key-1"}, {}, {}}});
   REQUIRE(table.tenants().front().keys.empty());
   const KeyDigest digest = digestOf("key-1");
@@ -52,7 +52,7 @@
   REQUIRE(bytes.find("key-1") == std::string::npos);
 }
 
-TEST_CASE("tenants that cannot be used are told without their keys", "[serving]") {
+TEST_CASE("validation errors of tenants do not disclose keys", "[serving]") {
   REQUIRE(problemsWith({{"amber", {"secret-1", "secret-2"}, {}, {1, 2}}, {"birch", {}, {}, {}}}).empty());
   REQUIRE(problemsWith({{"amber", {"secret-1"}, {}, {}}, {"birch", {"secret-2", "secret-1"}, {}, {}}}) ==
           "tenant birch: its key number 2 is named elsewhere as well\n");
@@ -66,7 +66,7 @@
   REQUIRE(problemsWith({{"amber", {"secret-1"}, {}, {1, -2}}}) == "tenant amber: the burst is negative\n");
 }
 
-TEST_CASE("a tenant's name must reach a leaf as it is, and end no line", "[serving]") {
+TEST_CASE("a tenant's name must be a valid header value", "[serving]") {
   for (const std::string name : {"a\r\nX-Other: 1", "a\n", " a", "a ", "a\tb", "a\x7f", "caf\xc3\xa9"}) {
     REQUIRE(problemsWith({{name, {"secret-1"}, {}, {}}}) ==
             "a tenant's name cannot be the value of a header\n");
--- a/tests/serving/support/token_fleet.cpp
+++ b/tests/serving/support/token_fleet.cpp
@@ -7,13 +7,15 @@
 
 namespace {
 
-/// The membership's: a daemon is suspected after a probe, one each second, and dead some seconds later.
+/// Delays of the membership protocol, which probes once a second: an unreachable daemon is suspected within
+/// the range below and removed from the member table after the last delay; a joining one is found within the
+/// next.
 constexpr int kSuspectedFromMilliseconds = 300;
 constexpr int kSuspectedUntilMilliseconds = 2000;
 constexpr int kDeadAfterMilliseconds = 6000;
 constexpr int kFoundFromMilliseconds = 200;
 constexpr int kFoundUntilMilliseconds = 1500;
-/// As in `FleetSettling`.
+/// Time until the membership is stable after a start; see `FleetSettling`.
 constexpr Duration kSettled = std::chrono::milliseconds(1500);
 constexpr std::size_t kUsualFleet = 12;
 
@@ -109,7 +111,8 @@
 
 void TokenFleet::kill(std::size_t daemon) {
   for (const auto& [ticket, request] : daemons_[daemon]->waiting) {
-    requests_[request.first][request.second].granted = true;  // Its caller got no refusal.
+    requests_[request.first][request.second].granted =
+        true;  // The connection breaks; the caller gets no refusal.
   }
   daemons_[daemon].reset();
   for (std::size_t other = 0; other < daemons_.size(); ++other) {
--- a/tests/serving/support/token_fleet.h
+++ b/tests/serving/support/token_fleet.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// A fleet of daemons that count tenants' requests, without sockets: frames take some milliseconds and may be
-/// lost, come late or twice; daemons end, start again without memory, and are cut off from one another; what
-/// each knows of the others follows after the times that the membership takes.
+/// Simulates quota servers and clients of a fleet in virtual time. Frames take 1 to 2 ms and may be lost,
+/// delayed or duplicated; daemons may crash, restart without state and be separated by network partitions;
+/// member tables follow with the delays of the membership protocol.
 
 #include <functional>
 #include <map>
@@ -23,12 +23,11 @@
   std::size_t daemons = 20;
   QuotaTolerance tolerance{std::chrono::seconds(5), 0.25, 20};
   std::size_t advance = kAdvance;
-  /// Of frames.
+  /// Fractions of frames. Delayed ones take 0.05 to 0.4 s.
   double lost = 0;
   double twice = 0;
-  /// Of frames that come up to 0.4 s late.
   double late = 0;
-  /// Of requests that run nowhere; their tokens go back.
+  /// Fraction of admitted requests that run on no leaf; their tokens are released.
   double ranNowhere = 0;
   std::uint64_t seed = 1;
 };
@@ -48,28 +47,28 @@
   explicit TokenFleet(const TokenFleetSettings& settings);
 
   void setLimit(const std::string& tenant, const TenantLimit& limit) { limits_[tenant] = limit; }
-  /// Requests at random moments from `from` to `until`, each at one of `daemons` (empty: of all).
+  /// Schedules Poisson arrivals from `from` to `until`, each at a random one of `daemons` (empty: of all).
   void load(const std::string& tenant, double perSecond, Moment from, Moment until,
             const std::vector<std::size_t>& daemons = {});
   void at(Moment moment, std::function<void()> action);
   void run(Moment until);
 
   void kill(std::size_t daemon);
-  /// Starts again without memory.
+  /// Restarts it without state.
   void start(std::size_t daemon);
-  /// Each daemon reaches only those of its piece; `pieces` names one for each.
+  /// Each daemon reaches only those on its side of the network partition; `pieces` holds the side of each.
   void cut(const std::vector<std::size_t>& pieces);
   void heal();
   std::size_t homeOf(const std::string& tenant) const;
   std::size_t size() const { return daemons_.size(); }
 
   const std::vector<Request>& requestsOf(const std::string& tenant) { return requests_[tenant]; }
-  /// The most requests that ran in any window.
+  /// The most requests that ran within any sliding window.
   std::size_t mostInWindow(const std::string& tenant);
   std::size_t refused(const std::string& tenant);
-  /// Refused, though a bucket of the tenant's rate and burst has room for it.
+  /// Requests refused although a single token bucket with this limit would have admitted them.
   std::size_t refusedInError(const std::string& tenant, const TenantLimit& limit);
-  /// These requests, in the order in which they came.
+  /// These requests, in order of arrival.
   std::vector<Request> errorsOf(const std::string& tenant, const TenantLimit& limit);
   TokenHolderCounters holderCounters() const;
 
@@ -120,7 +119,7 @@
   std::vector<TokenGrantDecision> grant(Daemon& daemon, const std::vector<TokenWish>& wishes);
   void armTimer(std::size_t daemon);
   void publish(std::size_t daemon);
-  /// From now on `daemon` finds out about `other`, as fast as the membership does.
+  /// Schedules the changes of `daemon`'s member table after `other` became reachable or unreachable.
   void notice(std::size_t daemon, std::size_t other, bool reachable);
 
   TokenFleetSettings settings_;
@@ -131,7 +130,7 @@
   std::vector<std::unique_ptr<Daemon>> daemons_;
   std::vector<std::size_t> pieces_;
   std::uint64_t runs_ = 0;
-  /// Tells news of a state of affairs that no longer holds.
+  /// Number of the last `notice` per pair of daemons; scheduled changes of earlier ones are void.
   std::vector<std::vector<std::uint64_t>> notices_;
   std::map<std::string, TenantLimit> limits_;
   std::map<std::string, std::vector<Request>> requests_;
