--- a/src/coordination/serving/caller_authorization.cpp
+++ b/src/coordination/serving/caller_authorization.cpp
@@ -6,9 +6,9 @@
 
 /// Whether the proof is recent enough to rule out that a key of the view was revoked longer ago than the
 /// bound.
-bool mayUseKnownKey(const ServingView& view, const ConfigurationProof& proof,
-                    const AuthorizationSettings& settings, Moment now) {
-  return !settings.proofBound || proof.covers(view.configuration->version, now, *settings.proofBound);
+bool mayAcceptKnownKey(const ServingView& view, const ConfigurationProof& proof,
+                       const AuthorizationSettings& settings, Moment now) {
+  return !settings.maxProofAge || proof.covers(view.configuration->version, now, *settings.maxProofAge);
 }
 
 }  // namespace
@@ -19,21 +19,21 @@
     return AuthorizedCaller{};
   }
   if (!key) {
-    return route.isPublic ? Authorization(AuthorizedCaller{}) : AuthorizationProblem::kKeyMissing;
+    return route.isPublic ? Authorization(AuthorizedCaller{}) : AuthorizationError::kKeyMissing;
   }
-  const Tenant* holder = view.tenants->holderOf(*key);
-  if (holder != nullptr && mayUseKnownKey(view, proof, settings, now)) {
-    return AuthorizedCaller{holder};
+  const Tenant* tenant = view.tenants->findByKey(*key);
+  if (tenant != nullptr && mayAcceptKnownKey(view, proof, settings, now)) {
+    return AuthorizedCaller{tenant};
   }
   if (route.isPublic) {
     return AuthorizedCaller{};
   }
-  if (holder != nullptr) {
-    return AuthorizationProblem::kProofTooOld;
+  if (tenant != nullptr) {
+    return AuthorizationError::kProofTooOld;
   }
-  return proof.covers(view.configuration->version, now, settings.finalRefusalBound)
-             ? AuthorizationProblem::kKeyUnknown
-             : AuthorizationProblem::kKeyMaybeNew;
+  return proof.covers(view.configuration->version, now, settings.maxProofAgeForFinalRefusal)
+             ? AuthorizationError::kKeyUnknown
+             : AuthorizationError::kKeyNotYetKnown;
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/caller_authorization.h
+++ b/src/coordination/serving/caller_authorization.h
@@ -19,20 +19,20 @@
 
 struct AuthorizationSettings {
   /// Greatest age of the proof at which a known key is accepted; empty: no proof is needed.
-  std::optional<Duration> proofBound;
+  std::optional<Duration> maxProofAge;
   /// Greatest age of the proof at which an unknown key is refused for good: the time in which operators
   /// expect a new key to reach every daemon.
-  Duration finalRefusalBound = std::chrono::milliseconds(2500);
+  Duration maxProofAgeForFinalRefusal = std::chrono::milliseconds(2500);
 };
 
 /// Why a caller is refused.
-enum class AuthorizationProblem {
+enum class AuthorizationError {
   /// The route needs a key, and the request has none that can be parsed.
   kKeyMissing,
   /// No tenant holds the key; permanent.
   kKeyUnknown,
   /// The key is unknown, but may have been added since this daemon's configuration; retryable.
-  kKeyMaybeNew,
+  kKeyNotYetKnown,
   /// A tenant holds the key, but it may have been revoked since this daemon's configuration; retryable.
   kProofTooOld,
 };
@@ -42,7 +42,7 @@
   const Tenant* tenant = nullptr;
 };
 
-using Authorization = std::variant<AuthorizedCaller, AuthorizationProblem>;
+using Authorization = std::variant<AuthorizedCaller, AuthorizationError>;
 
 /// `key`: empty if the request has no key, or one that cannot be parsed.
 Authorization authorize(const Route& route, std::optional<std::string_view> key, const ServingView& view,
--- a/src/coordination/serving/configuration_prover.h
+++ b/src/coordination/serving/configuration_prover.h
@@ -49,12 +49,12 @@
 
 struct ProofCounters {
   /// Requests sent to peers.
-  std::uint64_t asked = 0;
-  /// Subset of `asked`: replied to in time.
+  std::uint64_t requests = 0;
+  /// Subset of `requests`: replied to in time.
   std::uint64_t answered = 0;
   std::uint64_t timedOut = 0;
   /// Times that a read of the source was called for.
-  std::uint64_t readWishes = 0;
+  std::uint64_t readRequests = 0;
 };
 
 class ConfigurationProver {
@@ -72,22 +72,22 @@
   void onConfigurationRecord(const SourcePosition& position, bool usable);
   /// The source may just have been restored from a backup, and so have lost a newer configuration that it had
   /// acknowledged. Reads sent before `until` prove nothing, unless `onConfigurationWritten` is called first.
-  void holdClaims(Moment until) { claimsFrom_ = until; }
+  void ignoreReadsUntil(Moment until) { readsProveFrom_ = until; }
   /// The operator has written the configuration since the restore, so any lost version is older.
-  void onConfigurationWritten() { claimsFrom_ = Moment{}; }
+  void onConfigurationWritten() { readsProveFrom_ = Moment{}; }
   /// A linearizable read of the source was applied completely; its first call was sent at `sentAt`.
   void onRead(Moment sentAt, Moment now, ProofActions& actions);
   /// A source update relayed by `sender` was accepted, so `sender` may have a recent proof.
-  void onNews(const Endpoint& sender, Moment now, ProofActions& actions);
+  void onUpdate(const Endpoint& sender, Moment now, ProofActions& actions);
   void onRequest(const Endpoint& sender, const ConfigurationProofRequest& request, Moment now,
                  ProofActions& actions);
   void onReply(const Endpoint& sender, const ConfigurationProofReply& reply, Moment now,
                ProofActions& actions);
-  void onTime(Moment now, ProofActions& actions);
-  /// When `onTime` or `takeReadWish` is due.
+  void onTimer(Moment now, ProofActions& actions);
+  /// When `onTimer` or `takeReadRequest` is due.
   Moment nextDueAt() const;
   /// True if peers did not renew the proof and the source is to be read now. At most once a second.
-  bool takeReadWish(Moment now);
+  bool takeReadRequest(Moment now);
 
   const ConfigurationProof& proof() const { return proof_; }
   /// Whether the proof was within the bound at the last call with a time.
@@ -95,11 +95,11 @@
   const ProofCounters& counters() const { return counters_; }
 
  private:
-  struct Question {
+  struct PendingRequest {
     Endpoint to;
     Moment sentAt{};
   };
-  struct Held {
+  struct DeferredReply {
     Endpoint to;
     std::uint64_t number = 0;
     Moment until{};
@@ -111,41 +111,41 @@
   Duration ageAt(Moment now) const;
   void refreshHolds(Moment now) { holds_ = proof_.covers(version_, now, settings_.bound); }
   /// That part of the bound.
-  Duration share(double part) const;
-  void ask(const Endpoint& to, Moment now, ProofActions& actions);
-  void askSome(Moment now, ProofActions& actions);
+  Duration fractionOfBound(double part) const;
+  void sendRequest(const Endpoint& to, Moment now, ProofActions& actions);
+  void requestFromPeers(Moment now, ProofActions& actions);
   /// Replaces the proof if the new one is younger.
-  void claim(const ConfigurationProof& claimed);
-  void answer(const Endpoint& to, std::uint64_t number, Moment now, ProofActions& actions) const;
+  void adopt(const ConfigurationProof& candidate);
+  void sendReply(const Endpoint& to, std::uint64_t number, Moment now, ProofActions& actions) const;
   /// Until when a reply to a peer waits for the replies that this daemon expects; `now` if it need not.
-  Moment holdUntil(Moment now) const;
-  void answerHeld(Moment now, bool all, ProofActions& actions);
-  void drawReadShare();
+  Moment deferUntil(Moment now) const;
+  void sendDeferredReplies(Moment now, bool all, ProofActions& actions);
+  void drawReadThreshold();
 
   Endpoint self_;
   ProverSettings settings_;
   RandomEngine random_;
-  std::vector<Endpoint> others_;
+  std::vector<Endpoint> peers_;
   std::uint64_t version_ = 0;
   bool hasTenants_ = false;
   SourcePosition newestRecord_;
   bool newestUsable_ = true;
   /// Reads sent earlier prove nothing.
-  Moment claimsFrom_{};
+  Moment readsProveFrom_{};
   ConfigurationProof proof_;
   /// A proof of a newer version, kept until this daemon uses that version.
-  ConfigurationProof ahead_;
+  ConfigurationProof nextVersionProof_;
   bool holds_ = false;
   /// Outstanding requests by number.
-  std::map<std::uint64_t, Question> questions_;
-  std::vector<Held> held_;
-  Moment askNewsSenderAfter_{};
-  Moment askAfter_{};
+  std::map<std::uint64_t, PendingRequest> pendingRequests_;
+  std::vector<DeferredReply> deferredReplies_;
+  Moment requestFromSenderAfter_{};
+  Moment requestAfter_{};
   Moment readAfter_{};
   /// Age of the proof, as a fraction of the bound, at which the source is read.
-  double readShare_ = 1;
+  double readThreshold_ = 1;
   /// Rounds of requests since the proof was last renewed.
-  unsigned vainRounds_ = 0;
+  unsigned roundsSinceRenewal_ = 0;
   ProofCounters counters_;
 };
 
--- a/src/coordination/serving/fleet_share.h
+++ b/src/coordination/serving/fleet_visibility.h
@@ -16,15 +16,15 @@
 
 /// How long the maximum is kept. Longer than the membership takes to declare a daemon dead (7 s with 75
 /// daemons, 13 s with 7,100), since until then it is as likely to return.
-inline constexpr Duration kPeakRemembered = std::chrono::seconds(30);
+inline constexpr Duration kMaximumRetention = std::chrono::seconds(30);
 
-class FleetShare {
+class FleetVisibility {
  public:
-  /// `answering`: daemons that are not suspected, this one included. `planned`: expected size of the fleet,
+  /// `alive`: daemons that are not suspected, this one included. `expected`: expected size of the fleet,
   /// used until the membership is stable.
-  void onDaemons(std::size_t answering, std::size_t planned, bool settled, Moment now);
+  void onDaemons(std::size_t alive, std::size_t expected, bool membershipStable, Moment now);
   /// In (0, 1].
-  double seen(Moment now);
+  double visibleFraction(Moment now);
 
  private:
   struct Count {
@@ -34,10 +34,10 @@
   };
 
   /// Maxima of the retention period: earlier counts in descending order, oldest first.
-  std::deque<Count> earlier_;
-  std::size_t answering_ = 1;
-  std::size_t planned_ = 1;
-  bool settled_ = false;
+  std::deque<Count> maxima_;
+  std::size_t alive_ = 1;
+  std::size_t expected_ = 1;
+  bool membershipStable_ = false;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/token_holder.h
+++ b/src/coordination/serving/quota_client.h
@@ -3,10 +3,10 @@
 /// Obtains tokens for the requests that arrive at this daemon: asks the tenant's quota server, tries the next
 /// one if it doesn't respond, and caches refusals so that a tenant beyond its limit causes little traffic.
 ///
-/// Invariants: each admitted request uses one token, at most `kTokenLife` after it was asked for; each
-/// request gets one decision within `kMostTries` x `kTryTime`, plus the delay of the caller's timer; at most
-/// one request for tokens per tenant is outstanding, and after a refusal there is none for
-/// `kShortestExhausted`.
+/// Invariants: each admitted request uses one token, at most `kTokenLifetime` after it was asked for; each
+/// request gets one decision within `kMaxQuotaServersTried` x `kQuotaServerTimeout`, plus the delay of the
+/// caller's timer; at most one request for tokens per tenant is outstanding, and after a refusal there is
+/// none for `kMinRefusalCacheTime`.
 
 #include <cstdint>
 #include <deque>
@@ -19,25 +19,26 @@
 #include <vector>
 
 #include "coordination/serving/quota_plan.h"
-#include "coordination/serving/token_home.h"
-#include "coordination/serving/token_homes.h"
+#include "coordination/serving/quota_server.h"
+#include "coordination/serving/quota_server_selector.h"
 #include "state/random.h"
 
 namespace oakpier::serving {
 
 /// How long one server may take to answer. Well above the round trip to another zone (3 ms) plus the queueing
 /// delay on a busy daemon.
-inline constexpr Duration kTryTime = std::chrono::milliseconds(25);
+inline constexpr Duration kQuotaServerTimeout = std::chrono::milliseconds(25);
 /// Servers tried in turn for one request.
-inline constexpr unsigned kMostTries = 6;
-/// Tokens prefetched for each tenant whose requests are less than `kTokenLife` apart. 0 disables prefetching.
-inline constexpr std::size_t kAdvance = 1;
+inline constexpr unsigned kMaxQuotaServersTried = 6;
+/// Tokens prefetched for each tenant whose requests are less than `kTokenLifetime` apart. 0 disables
+/// prefetching.
+inline constexpr std::size_t kPrefetchedTokens = 1;
 
 /// Admits one request.
 struct Token {
   /// The quota server that granted it.
-  Endpoint home;
-  Moment askedAt{};
+  Endpoint server;
+  Moment requestedAt{};
 };
 
 /// Why a request is refused.
@@ -71,124 +72,126 @@
 };
 
 /// A frame to a quota server, which may be this daemon.
-struct TokenAsk {
-  Endpoint home;
+struct OutgoingTokenRequest {
+  Endpoint server;
   std::uint64_t number = 0;
-  std::vector<TokenWish> wishes;
+  std::vector<TenantTokenRequest> tenantRequests;
 };
 
-struct TokenHolderCounters {
+struct QuotaClientCounters {
   /// Frames that request tokens.
-  std::uint64_t asks = 0;
+  std::uint64_t requests = 0;
   /// Requests admitted.
   std::uint64_t granted = 0;
   /// Subset of `granted`: on a prefetched token, without waiting.
-  std::uint64_t grantedAtOnce = 0;
+  std::uint64_t grantedImmediately = 0;
   std::uint64_t refused = 0;
   /// Subset of `refused`: on a cached refusal, without asking a server.
-  std::uint64_t refusedAtOnce = 0;
+  std::uint64_t refusedImmediately = 0;
   /// Subset of `refused`: none of the servers that were tried answered.
   std::uint64_t refusedUnanswered = 0;
   /// Token requests that timed out or could not be delivered.
   std::uint64_t unanswered = 0;
   /// Tokens that expired unused.
-  std::uint64_t lapsed = 0;
-  std::uint64_t givenBack = 0;
+  std::uint64_t expired = 0;
+  std::uint64_t released = 0;
 };
 
 /// Not thread-safe.
-class TokenHolder {
+class QuotaClient {
  public:
-  /// `homes` and `random` must outlive it.
-  TokenHolder(TokenHomes& homes, RandomEngine& random, std::size_t advance = kAdvance)
-      : homes_(homes), random_(random), advance_(advance) {}
+  /// `selector` and `random` must outlive it.
+  QuotaClient(QuotaServerSelector& selector, RandomEngine& random,
+              std::size_t prefetchLimit = kPrefetchedTokens)
+      : selector_(selector), random_(random), prefetchLimit_(prefetchLimit) {}
 
   void setTolerance(const QuotaTolerance& tolerance) { tolerance_ = tolerance; }
 
   /// Precondition: `limit.limited()`.
   TokenOutcome take(const std::string& tenant, const TenantLimit& limit, Moment now);
   /// Only for a token whose request certainly ran on no leaf.
-  void giveBack(const std::string& tenant, const Token& token, Moment now);
+  void release(const std::string& tenant, const Token& token, Moment now);
 
   /// Frames that are due to be sent.
-  std::vector<TokenAsk> takeAsks(Moment now);
-  std::vector<TokenDecision> onGrants(const Endpoint& home, std::uint64_t number,
-                                      const std::vector<TokenGrantDecision>& grants, Moment now);
+  std::vector<OutgoingTokenRequest> takeRequests(Moment now);
+  std::vector<TokenDecision> onGrants(const Endpoint& server, std::uint64_t number,
+                                      const std::vector<TenantGrant>& grants, Moment now);
   /// The frame could not be delivered.
-  std::vector<TokenDecision> onUndelivered(std::uint64_t number, Moment now);
-  std::vector<TokenDecision> onTime(Moment now);
-  /// When `onTime` is due; `kNever` while no request is outstanding.
-  Moment nextTimeAt() const;
+  std::vector<TokenDecision> onSendFailed(std::uint64_t number, Moment now);
+  std::vector<TokenDecision> onTimer(Moment now);
+  /// When `onTimer` is due; `kNever` while no request is outstanding.
+  Moment nextDueAt() const;
   /// Removes the state of tenants without requests in the last 30 seconds.
   void dropIdle(Moment now);
 
   /// Tenants with recent requests.
-  std::size_t tenants() const { return pockets_.size(); }
+  std::size_t tenants() const { return tenants_.size(); }
   /// Prefetched tokens.
-  std::size_t held() const;
-  const TokenHolderCounters& counters() const { return counters_; }
+  std::size_t prefetchedTokens() const;
+  const QuotaClientCounters& counters() const { return counters_; }
 
  private:
   struct Waiter {
     TokenTicket ticket = 0;
-    Moment cameAt{};
+    Moment arrivedAt{};
   };
-  struct Ask {
-    Endpoint home;
+  struct PendingRequest {
+    Endpoint server;
     std::uint64_t number = 0;
-    Moment askedAt{};
+    Moment requestedAt{};
     /// Requests that it is for; 0: it prefetches.
     std::size_t wanted = 0;
   };
-  struct Pocket {
+  struct TenantState {
     TenantLimit limit;
     std::deque<Token> tokens;
     std::deque<Waiter> waiting;
     /// The outstanding one.
-    std::optional<Ask> ask;
+    std::optional<PendingRequest> pending;
     /// Servers that did not answer for the waiting requests.
     std::vector<Endpoint> tried;
-    bool aheadWanted = false;
+    bool prefetchDue = false;
     /// Requests are refused without asking until then.
-    Moment exhaustedUntil{};
+    Moment refuseUntil{};
     /// From the retry time in the last refusal.
     Moment nextTokenAt{};
     /// Requests refused since that refusal.
-    double refusedSince = 0;
-    Moment usedAt{};
+    double refusedSinceReply = 0;
+    Moment lastUsedAt{};
   };
 
-  void dropLapsed(Pocket& pocket, Moment now);
-  TokenRefusal refuse(Pocket& pocket, RefusalCause cause, Moment now);
+  void dropExpired(TenantState& state, Moment now);
+  TokenRefusal refuse(TenantState& state, RefusalCause cause, Moment now);
   /// Schedules a prefetch if the tenant's requests are frequent.
-  void noteUse(const std::string& tenant, Pocket& pocket, Moment now);
-  std::optional<Endpoint> nextHome(const std::string& tenant, const Pocket& pocket, Moment now);
+  void recordUse(const std::string& tenant, TenantState& state, Moment now);
+  std::optional<Endpoint> nextServer(const std::string& tenant, const TenantState& state, Moment now);
   /// Admits waiting requests, oldest first, while there are tokens.
-  void serveWaiting(const std::string& tenant, Pocket& pocket, Moment now,
+  void serveWaiting(const std::string& tenant, TenantState& state, Moment now,
                     std::vector<TokenDecision>& decisions);
-  void refuseWaiting(const std::string& tenant, Pocket& pocket, RefusalCause cause, Moment now,
+  void refuseWaiting(const std::string& tenant, TenantState& state, RefusalCause cause, Moment now,
                      std::vector<TokenDecision>& decisions);
   /// Drops the outstanding request, then tries the next server or refuses the waiting requests.
-  void moveOn(const std::string& tenant, Pocket& pocket, Moment now, std::vector<TokenDecision>& decisions);
-  void onGrant(const Endpoint& home, std::uint64_t number, Moment askedAt, const TokenGrantDecision& grant,
+  void tryNextServer(const std::string& tenant, TenantState& state, Moment now,
+                     std::vector<TokenDecision>& decisions);
+  void onGrant(const Endpoint& server, std::uint64_t number, Moment requestedAt, const TenantGrant& grant,
                Moment now, std::vector<TokenDecision>& decisions);
 
-  TokenHomes& homes_;
+  QuotaServerSelector& selector_;
   RandomEngine& random_;
-  std::size_t advance_;
+  std::size_t prefetchLimit_;
   QuotaTolerance tolerance_;
-  std::unordered_map<std::string, Pocket> pockets_;
+  std::unordered_map<std::string, TenantState> tenants_;
   /// Tenants for which tokens are to be requested.
-  std::unordered_set<std::string> due_;
+  std::unordered_set<std::string> dueTenants_;
   /// Tenants with an outstanding request for tokens.
-  std::unordered_set<std::string> asking_;
+  std::unordered_set<std::string> pendingTenants_;
   /// Tokens to return, by the server that granted them and by tenant.
-  std::map<Endpoint, std::map<std::string, std::uint32_t>> returns_;
+  std::map<Endpoint, std::map<std::string, std::uint32_t>> releasedTokens_;
   /// When each frame was sent, by frame number, while its reply is of use.
-  std::map<std::uint64_t, Moment> sent_;
+  std::map<std::uint64_t, Moment> framesSentAt_;
   std::uint64_t lastNumber_ = 0;
   TokenTicket lastTicket_ = 0;
-  TokenHolderCounters counters_;
+  QuotaClientCounters counters_;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/quota_plan.cpp
+++ b/src/coordination/serving/quota_plan.cpp
@@ -10,15 +10,15 @@
 /// unused don't delay a tenant within its limit.
 constexpr double kCapacitySeconds = 0.5;
 /// Bounds of the capacity, as fractions of what the allowance leaves beyond the refill.
-constexpr double kCapacityShare = 0.4;
-constexpr double kMostCapacityShare = 0.6;
+constexpr double kMinCapacityShare = 0.4;
+constexpr double kMaxCapacityShare = 0.6;
 /// Quota servers that may take over within one window: the first successor, and the primary after its
 /// restart.
-constexpr double kSuccessors = 2.0;
+constexpr double kTakeovers = 2.0;
 /// Fraction of their initial levels held in reserve for frames in flight and incomplete member tables.
 constexpr double kReserveShare = 0.2;
 /// Sides of a network partition that are served by the second or a later successor.
-constexpr double kLaterPieces = 2.0;
+constexpr double kLaterSides = 2.0;
 
 double secondsOf(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -26,42 +26,47 @@
 /// it begins. In the latter the primary grants its full rate and the successors their fractions of it until
 /// the membership notices, and then each side its part.
 double headroomOf(const QuotaPlan& plan, double allowed, Duration window) {
-  if (plan.refill <= 0) {
+  if (plan.refillRate <= 0) {
     return 1;
   }
-  const double lasting = allowed / (plan.refill * secondsOf(window + kTokenLife) + plan.capacity);
-  const double unseen = secondsOf(kCutUnseen);
-  const double early =
-      secondsOf(kTokenLife) + unseen * (1 + kFirstStandInShare + kLaterPieces * kLaterStandInShare);
-  const double later = std::max(1.0, secondsOf(window) - unseen);
-  const double coming = (allowed - plan.capacity - plan.start - plan.refill * early) / (plan.refill * later);
-  return std::max(1.0, std::min(lasting, coming));
+  const double lasting = allowed / (plan.refillRate * secondsOf(window + kTokenLifetime) + plan.capacity);
+  const double detection = secondsOf(kNetworkPartitionDetectionTime);
+  const double beforeDetection =
+      secondsOf(kTokenLifetime) +
+      detection * (1 + kFirstSuccessorRateShare + kLaterSides * kLaterSuccessorRateShare);
+  const double afterDetection = std::max(1.0, secondsOf(window) - detection);
+  const double atOnset = (allowed - plan.capacity - plan.initialLevel - plan.refillRate * beforeDetection) /
+                         (plan.refillRate * afterDetection);
+  return std::max(1.0, std::min(lasting, atOnset));
 }
 
 }  // namespace
 
 double allowedInWindow(const TenantLimit& limit, const QuotaTolerance& tolerance) {
-  const double usual = limit.perSecond * secondsOf(tolerance.window) + limit.burst;
-  return usual * (1 + tolerance.tolerance) + tolerance.slack;
+  const double nominal = limit.perSecond * secondsOf(tolerance.window) + limit.burst;
+  return nominal * (1 + tolerance.tolerance) + tolerance.slack;
 }
 
-QuotaPlan planFor(const TenantLimit& limit, const QuotaTolerance& tolerance) {
+QuotaPlan planQuota(const TenantLimit& limit, const QuotaTolerance& tolerance) {
   const double allowed = allowedInWindow(limit, tolerance);
-  const double span = secondsOf(tolerance.window + kTokenLife);
-  const double least = std::max(1.0, limit.burst);
+  const double span = secondsOf(tolerance.window + kTokenLifetime);
+  const double minCapacity = std::max(1.0, limit.burst);
   QuotaPlan plan;
-  plan.refill = std::clamp((allowed - least) / span, 0.0, limit.perSecond);
-  const double spare = allowed - plan.refill * span;
-  const double wanted = std::max(limit.burst + kCapacitySeconds * limit.perSecond, kCapacityShare * spare);
-  const double most = std::max(std::min(least, spare), kMostCapacityShare * spare);
-  plan.capacity = std::max(1.0, std::min(wanted, most));
-  const double left = std::max(0.0, spare - plan.capacity);
-  plan.start = std::min(plan.capacity, left * (1 - kReserveShare) / kSuccessors);
-  plan.laterStart = std::min(1.0, (left - plan.start * kSuccessors) / kLaterPieces);
+  plan.refillRate = std::clamp((allowed - minCapacity) / span, 0.0, limit.perSecond);
+  const double spare = allowed - plan.refillRate * span;
+  const double desired =
+      std::max(limit.burst + kCapacitySeconds * limit.perSecond, kMinCapacityShare * spare);
+  const double maxCapacity = std::max(std::min(minCapacity, spare), kMaxCapacityShare * spare);
+  plan.capacity = std::max(1.0, std::min(desired, maxCapacity));
+  const double remaining = std::max(0.0, spare - plan.capacity);
+  plan.initialLevel = std::min(plan.capacity, remaining * (1 - kReserveShare) / kTakeovers);
+  plan.laterInitialLevel = std::min(1.0, (remaining - plan.initialLevel * kTakeovers) / kLaterSides);
   plan.headroom = headroomOf(plan, allowed, tolerance.window);
   return plan;
 }
 
-double pieceFactor(const QuotaPlan& plan, double seen) { return std::min(1.0, seen * plan.headroom); }
+double partitionSideScale(const QuotaPlan& plan, double visibleFraction) {
+  return std::min(1.0, visibleFraction * plan.headroom);
+}
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/quota_plan.h
+++ b/src/coordination/serving/quota_plan.h
@@ -8,9 +8,9 @@
 /// are successors: they take over, in this order, when those before them don't respond, and begin with a
 /// bucket of their own.
 ///
-/// Invariant: `refill` x (window + `kTokenLife`) + `capacity` + 2 x `start` + 2 x `laterStart` is at most
-/// `allowedInWindow`: one window has room for two changes of the server and for two further sides of a
-/// network partition.
+/// Invariant: `refillRate` x (window + `kTokenLifetime`) + `capacity` + 2 x `initialLevel` + 2 x
+/// `laterInitialLevel` is at most `allowedInWindow`: one window has room for two changes of the server and
+/// for two further sides of a network partition.
 
 #include "state/serving/tenant.h"
 #include "state/time.h"
@@ -19,20 +19,20 @@
 
 /// From the request for a token until it can no longer be used or returned. A token may be used this much
 /// later than it was granted, so a window may see the grants of a span longer by this.
-inline constexpr Duration kTokenLife = std::chrono::milliseconds(500);
+inline constexpr Duration kTokenLifetime = std::chrono::milliseconds(500);
 
 /// How long a successor allows for the membership to notice a network partition; until then it cannot tell a
 /// primary that has terminated from one that is unreachable. Daemons are probed about once a second, so that
 /// 7 in 8 of the unreachable ones are suspected by then.
-inline constexpr Duration kCutUnseen = std::chrono::seconds(2);
+inline constexpr Duration kNetworkPartitionDetectionTime = std::chrono::seconds(2);
 /// The membership waits this long for the answer to a probe, so it suspects no daemon sooner than this after
 /// a network partition.
-inline constexpr Duration kEarliestSuspicion = std::chrono::milliseconds(300);
+inline constexpr Duration kMinSuspicionDelay = std::chrono::milliseconds(300);
 /// Fractions of the refill rate that the first successor, and those after it, grant until then. The later
 /// ones grant less, as several predecessors that don't respond are more likely to be unreachable than
 /// terminated.
-inline constexpr double kFirstStandInShare = 0.75;
-inline constexpr double kLaterStandInShare = 0.0625;
+inline constexpr double kFirstSuccessorRateShare = 0.75;
+inline constexpr double kLaterSuccessorRateShare = 0.0625;
 
 /// How far all daemons together may exceed a tenant's limit. In any sliding window they admit at most
 /// (rate x window + burst) x (1 + tolerance) + slack requests.
@@ -50,21 +50,21 @@
 /// Bucket parameters, in tokens. One token admits one request.
 struct QuotaPlan {
   /// Per second.
-  double refill = 0;
+  double refillRate = 0;
   double capacity = 0;
   /// Initial level on the primary and on the first successor when they have no state for the tenant.
-  double start = 0;
+  double initialLevel = 0;
   /// Initial level on every later successor.
-  double laterStart = 0;
+  double laterInitialLevel = 0;
   /// One side of a network partition may use its fraction of the daemons times this.
   double headroom = 1;
 };
 
-QuotaPlan planFor(const TenantLimit& limit, const QuotaTolerance& tolerance);
+QuotaPlan planQuota(const TenantLimit& limit, const QuotaTolerance& tolerance);
 
-/// Factor (at most 1) for the refill and capacity of a server that sees the fraction `seen` (0 to 1) of the
-/// fleet. The factors of all sides of a network partition, each with a server of its own, sum to at most
-/// `plan.headroom`.
-double pieceFactor(const QuotaPlan& plan, double seen);
+/// Factor (at most 1) for the refill and capacity of a server that sees the fraction `visibleFraction` (0 to
+/// 1) of the fleet. The factors of all sides of a network partition, each with a server of its own, sum to at
+/// most `plan.headroom`.
+double partitionSideScale(const QuotaPlan& plan, double visibleFraction);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/token_home.h
+++ b/src/coordination/serving/quota_server.h
@@ -14,23 +14,23 @@
 #include <vector>
 
 #include "coordination/serving/quota_plan.h"
-#include "coordination/serving/token_homes.h"
+#include "coordination/serving/quota_server_selector.h"
 #include "state/endpoint.h"
 #include "state/time.h"
 
 namespace oakpier::serving {
 
 /// Requests or returns tokens of one tenant.
-struct TokenWish {
+struct TenantTokenRequest {
   std::string tenant;
   /// Tokens for requests that are waiting. 0 with nothing returned: prefetches one token.
   std::uint32_t wanted = 0;
   std::uint32_t returned = 0;
 
-  bool asks() const { return wanted > 0 || returned == 0; }
+  bool wantsGrant() const { return wanted > 0 || returned == 0; }
 };
 
-struct TokenGrantDecision {
+struct TenantGrant {
   std::string tenant;
   std::uint32_t granted = 0;
   /// Until a token may be available, if fewer were granted than requested. 0: this daemon does not know the
@@ -38,10 +38,10 @@
   Duration retryAfter{};
 };
 
-struct TokenHomeCounters {
+struct QuotaServerCounters {
   std::uint64_t granted = 0;
   /// Subset of `granted`: prefetched tokens.
-  std::uint64_t advanced = 0;
+  std::uint64_t prefetched = 0;
   std::uint64_t refused = 0;
   std::uint64_t returned = 0;
   /// Duplicate or reordered frames.
@@ -49,30 +49,30 @@
 };
 
 /// Not thread-safe.
-class TokenHome {
+class QuotaServer {
  public:
   void setTolerance(const QuotaTolerance& tolerance);
-  /// `seen`: the fraction of the fleet that this daemon sees; see `FleetShare`. `settled`: its member table
-  /// is stable. Until then new buckets start with that fraction of their initial level, since after a start
-  /// of the whole fleet several daemons rank themselves first for a tenant. They don't start empty, as that
-  /// would refuse tenants below their limit.
-  void setSeen(double seen, bool settled) {
-    seen_ = seen;
-    settled_ = settled;
+  /// `visibleFraction`: the fraction of the fleet that this daemon sees; see `FleetVisibility`.
+  /// `membershipStable`: its member table is stable. Until then new buckets start with that fraction of their
+  /// initial level, since after a start of the whole fleet several daemons rank themselves first for a
+  /// tenant. They don't start empty, as that would refuse tenants below their limit.
+  void setVisibleFraction(double visibleFraction, bool membershipStable) {
+    visibleFraction_ = visibleFraction;
+    membershipStable_ = membershipStable;
   }
 
   /// False for a duplicate or reordered frame, which must be ignored. `run` identifies the sender's process:
   /// a restarted one numbers its frames from 1 again.
-  bool takeFrame(const Endpoint& sender, std::uint64_t run, std::uint64_t number, Moment now);
+  bool acceptFrame(const Endpoint& sender, std::uint64_t run, std::uint64_t number, Moment now);
   /// Empty if the request only returns tokens.
-  std::optional<TokenGrantDecision> onWish(const TokenWish& wish, const TenantLimit& limit,
-                                           const HomePlace& place, Moment now);
+  std::optional<TenantGrant> onRequest(const TenantTokenRequest& request, const TenantLimit& limit,
+                                       const QuotaServerRank& position, Moment now);
   /// Tokens left at the last refill; empty if there is no bucket for the tenant.
   std::optional<double> levelOf(const std::string& tenant) const;
   /// Removes buckets and senders without activity in the last minute.
   void dropIdle(Moment now);
   std::size_t buckets() const { return buckets_.size(); }
-  const TokenHomeCounters& counters() const { return counters_; }
+  const QuotaServerCounters& counters() const { return counters_; }
 
  private:
   struct Bucket {
@@ -83,34 +83,35 @@
     double backlog = 0;
     std::size_t rank = 0;
     /// A predecessor has responded lately, or since the last refill.
-    bool aheadHeard = false;
+    bool predecessorResponds = false;
     /// Since when all predecessors are suspected; `kNever` while one is not.
-    Moment aheadSuspectedAt = kNever;
+    Moment predecessorsSuspectedSince = kNever;
     /// Since when no predecessor responds.
-    Moment aloneSince{};
+    Moment predecessorsUnresponsiveSince{};
     /// Time of the last refill.
-    Moment countedAt{};
+    Moment refilledAt{};
   };
   struct Sender {
     std::uint64_t run = 0;
     std::uint64_t number = 0;
-    Moment heardAt{};
+    Moment lastReceivedAt{};
   };
 
   /// This daemon is a successor, and its member table may not reflect a recent network partition yet.
-  static bool cutMayBeUnseen(const Bucket& bucket, Moment now);
-  Bucket& bucketFor(const std::string& tenant, const TenantLimit& limit, const HomePlace& place, Moment now);
+  static bool networkPartitionMayBeUndetected(const Bucket& bucket, Moment now);
+  Bucket& bucketFor(const std::string& tenant, const TenantLimit& limit, const QuotaServerRank& position,
+                    Moment now);
   /// Initial level of a bucket.
-  double startOf(const QuotaPlan& plan, const HomePlace& place) const;
-  double refillOf(const Bucket& bucket, Moment now) const;
+  double initialLevelOf(const QuotaPlan& plan, const QuotaServerRank& position) const;
+  double refillRateOf(const Bucket& bucket, Moment now) const;
   void refill(Bucket& bucket, Moment now) const;
 
   QuotaTolerance tolerance_;
-  double seen_ = 1;
-  bool settled_ = true;
+  double visibleFraction_ = 1;
+  bool membershipStable_ = true;
   std::unordered_map<std::string, Bucket> buckets_;
   std::unordered_map<Endpoint, Sender> senders_;
-  TokenHomeCounters counters_;
+  QuotaServerCounters counters_;
 };
 
 }  // namespace oakpier::serving
--- /dev/null
+++ b/src/coordination/serving/quota_server_selector.cpp
@@ -0,0 +1,181 @@
+#include "coordination/serving/quota_server_selector.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "state/hashing.h"
+
+namespace oakpier::serving {
+
+namespace {
+
+/// Shortest time between two probes of a predecessor. Four fit into `kAliveAfterFrame`, the time for which a
+/// daemon counts as alive after a frame of it.
+constexpr Duration kProbePeriod = std::chrono::milliseconds(50);
+
+/// Cached rankings of fewer daemons are dropped: one request may try `kMaxQuotaServersTried` of them.
+constexpr std::size_t kMinCachedRanking = 8;
+
+bool precedes(const ServingDaemon& left, const ServingDaemon& right) {
+  return left.address != right.address ? left.address < right.address : left.capacity < right.capacity;
+}
+
+/// The daemons with these addresses, in this order. Precondition: each address is one of a daemon.
+std::vector<ServingDaemon> inOrder(const std::vector<Endpoint>& addresses,
+                                   const std::vector<ServingDaemon>& daemons) {
+  std::vector<ServingDaemon> ordered;
+  ordered.reserve(addresses.size());
+  for (const Endpoint& address : addresses) {
+    ordered.push_back(*std::find_if(daemons.begin(), daemons.end(),
+                                    [&](const ServingDaemon& daemon) { return daemon.address == address; }));
+  }
+  return ordered;
+}
+
+}  // namespace
+
+std::vector<Endpoint> rankQuotaServers(const std::string& tenant, const std::vector<ServingDaemon>& daemons) {
+  return rankDaemons(hashText(tenant), daemons, kMaxQuotaServerCandidates);
+}
+
+void QuotaServerSelector::setDaemons(std::vector<ServingDaemon> daemons) {
+  std::vector<ServingDaemon> removed;
+  std::vector<ServingDaemon> added;
+  std::set_difference(daemons_.begin(), daemons_.end(), daemons.begin(), daemons.end(),
+                      std::back_inserter(removed), precedes);
+  std::set_difference(daemons.begin(), daemons.end(), daemons_.begin(), daemons_.end(),
+                      std::back_inserter(added), precedes);
+  updateRankings(removed, added);
+  daemons_ = std::move(daemons);
+  const std::vector<Endpoint> addresses = addressesOf(daemons_);
+  silence_.retain(addresses);
+  const auto retain = [&](std::unordered_map<Endpoint, Moment>& moments) {
+    for (auto entry = moments.begin(); entry != moments.end();) {
+      const bool known = std::binary_search(addresses.begin(), addresses.end(), entry->first);
+      entry = known ? std::next(entry) : moments.erase(entry);
+    }
+  };
+  retain(lastReceivedAt_);
+  retain(probedAt_);
+}
+
+void QuotaServerSelector::updateRankings(const std::vector<ServingDaemon>& removed,
+                                         const std::vector<ServingDaemon>& added) {
+  for (auto entry = rankings_.begin(); entry != rankings_.end();) {
+    std::vector<ServingDaemon>& ranking = entry->second;
+    const bool complete = ranking.size() == daemons_.size();
+    ranking.erase(std::remove_if(ranking.begin(), ranking.end(),
+                                 [&](const ServingDaemon& daemon) {
+                                   return std::binary_search(removed.begin(), removed.end(), daemon,
+                                                             precedes);
+                                 }),
+                  ranking.end());
+    if (ranking.size() < kMinCachedRanking) {
+      entry = rankings_.erase(entry);
+      continue;
+    }
+    if (!added.empty()) {
+      const Endpoint last = ranking.back().address;
+      ranking.insert(ranking.end(), added.begin(), added.end());
+      ranking = inOrder(rankQuotaServers(entry->first, ranking), ranking);
+      // The cached prefix doesn't tell which daemons rank after its last one, so nothing may follow that one.
+      const auto end = std::find_if(ranking.begin(), ranking.end(),
+                                    [&](const ServingDaemon& daemon) { return daemon.address == last; });
+      if (!complete && end != ranking.end()) {
+        ranking.erase(std::next(end), ranking.end());
+      }
+    }
+    ++entry;
+  }
+}
+
+const std::vector<ServingDaemon>& QuotaServerSelector::rankingOf(const std::string& tenant) {
+  const auto [entry, isNew] = rankings_.try_emplace(tenant);
+  if (isNew) {
+    entry->second = inOrder(rankQuotaServers(tenant, daemons_), daemons_);
+  }
+  return entry->second;
+}
+
+std::vector<Endpoint> QuotaServerSelector::candidates(const std::string& tenant, Moment now) {
+  std::vector<Endpoint> servers = addressesOf(rankingOf(tenant));
+  std::stable_partition(servers.begin(), servers.end(),
+                        [&](const Endpoint& server) { return expectedToRespond(server, now); });
+  return servers;
+}
+
+void QuotaServerSelector::setSuspected(const std::vector<Endpoint>& suspected, Moment now) {
+  std::unordered_map<Endpoint, Moment> since;
+  since.reserve(suspected.size());
+  for (const Endpoint& daemon : suspected) {
+    const auto known = suspectedAt_.find(daemon);
+    since.emplace(daemon, known == suspectedAt_.end() ? now : known->second);
+  }
+  suspectedAt_ = std::move(since);
+}
+
+bool QuotaServerSelector::expectedToRespond(const Endpoint& server, Moment now) const {
+  if (silence_.silent(server, now)) {
+    return false;
+  }
+  // A request has few attempts. Without the suspicions of the membership, each daemon on the small side of a
+  // network partition would find out for itself, tenant by tenant, which daemons are unreachable.
+  const auto suspected = suspectedAt_.find(server);
+  if (suspected == suspectedAt_.end()) {
+    return true;
+  }
+  const auto received = lastReceivedAt_.find(server);
+  return received != lastReceivedAt_.end() && received->second > suspected->second;
+}
+
+QuotaServerRank QuotaServerSelector::rankOfSelf(const std::string& tenant) {
+  QuotaServerRank position;
+  position.predecessorsSuspectedSince = Moment::min();
+  for (const auto& [server, capacity] : rankingOf(tenant)) {
+    if (server == self_) {
+      break;
+    }
+    ++position.rank;
+    const auto suspected = suspectedAt_.find(server);
+    const Moment since = suspected == suspectedAt_.end() ? kNever : suspected->second;
+    position.predecessorsSuspectedSince = std::max(position.predecessorsSuspectedSince, since);
+    const auto received = lastReceivedAt_.find(server);
+    if (received != lastReceivedAt_.end()) {
+      position.predecessorReceivedAt = std::max(position.predecessorReceivedAt, received->second);
+    }
+  }
+  return position;
+}
+
+std::vector<Endpoint> QuotaServerSelector::takePredecessorProbes(const std::string& tenant, Moment now) {
+  std::vector<Endpoint> due;
+  for (const auto& [server, capacity] : rankingOf(tenant)) {
+    if (server == self_) {
+      break;
+    }
+    const auto [probed, isNew] = probedAt_.try_emplace(server, now);
+    if (isNew || now - probed->second >= kProbePeriod) {
+      probed->second = now;
+      due.push_back(server);
+    }
+  }
+  return due;
+}
+
+void QuotaServerSelector::onSent(const Endpoint& server, Moment now) {
+  if (server != self_) {
+    silence_.onSent(server, now);
+  }
+}
+
+void QuotaServerSelector::onReceived(const Endpoint& server, Moment now) {
+  silence_.onHeard(server, now);
+  lastReceivedAt_[server] = now;
+}
+
+void QuotaServerSelector::onUnreachable(const Endpoint& server, Moment now) {
+  silence_.onToldSilent(server, now);
+}
+
+}  // namespace oakpier::serving
--- a/src/coordination/serving/token_homes.h
+++ b/src/coordination/serving/quota_server_selector.h
@@ -21,25 +21,25 @@
 
 /// Length of a ranking. On a side of a network partition with a quarter of the daemons, one tenant in a
 /// hundred has none of its candidates in reach.
-inline constexpr std::size_t kHomeCandidates = 16;
+inline constexpr std::size_t kMaxQuotaServerCandidates = 16;
 
-/// The primary, then the successors; at most `kHomeCandidates` daemons.
-std::vector<Endpoint> rankHomes(const std::string& tenant, const std::vector<ServingDaemon>& daemons);
+/// The primary, then the successors; at most `kMaxQuotaServerCandidates` daemons.
+std::vector<Endpoint> rankQuotaServers(const std::string& tenant, const std::vector<ServingDaemon>& daemons);
 
 /// A daemon's place in the ranking of a tenant.
-struct HomePlace {
+struct QuotaServerRank {
   /// 0: the primary; 1: the first successor, and so on.
   std::size_t rank = 0;
   /// When a frame of any daemon that ranks before it, a predecessor, was last received.
-  Moment aheadHeardAt = Moment::min();
+  Moment predecessorReceivedAt = Moment::min();
   /// Since when all predecessors are suspected; `kNever` while one is not.
-  Moment aheadSuspectedAt = kNever;
+  Moment predecessorsSuspectedSince = kNever;
 };
 
 /// Not thread-safe.
-class TokenHomes {
+class QuotaServerSelector {
  public:
-  explicit TokenHomes(const Endpoint& self) : self_(self), daemons_{ServingDaemon(self)} {}
+  explicit QuotaServerSelector(const Endpoint& self) : self_(self), daemons_{ServingDaemon(self)} {}
 
   /// All serving daemons, this one included, in ascending order of address. Updates the cached rankings
   /// incrementally, since computing one takes 0.5 ms with 7,100 daemons.
@@ -49,30 +49,30 @@
   void setSuspected(const std::vector<Endpoint>& suspected, Moment now);
   /// The tenant's ranking, with daemons that are not expected to respond moved to the end.
   std::vector<Endpoint> candidates(const std::string& tenant, Moment now);
-  HomePlace placeOfSelf(const std::string& tenant);
+  QuotaServerRank rankOfSelf(const std::string& tenant);
   /// Predecessors of this daemon that are due for a probe. To be called when a client asks this daemon in
   /// their place.
-  std::vector<Endpoint> takeProbesAhead(const std::string& tenant, Moment now);
+  std::vector<Endpoint> takePredecessorProbes(const std::string& tenant, Moment now);
 
-  void onSent(const Endpoint& home, Moment now);
-  void onHeard(const Endpoint& home, Moment now);
-  void onUnreachable(const Endpoint& home, Moment now);
+  void onSent(const Endpoint& server, Moment now);
+  void onReceived(const Endpoint& server, Moment now);
+  void onUnreachable(const Endpoint& server, Moment now);
   /// Unresponsive daemons that are due for a probe.
-  std::vector<Endpoint> takeProbes(Moment now) { return silence_.takeTries(now); }
+  std::vector<Endpoint> takeDueProbes(Moment now) { return silence_.takeTries(now); }
 
  private:
-  const std::vector<ServingDaemon>& ranked(const std::string& tenant);
+  const std::vector<ServingDaemon>& rankingOf(const std::string& tenant);
   /// It responds to this daemon, and the membership has not suspected it since its last frame was received.
-  bool expectedToAnswer(const Endpoint& home, Moment now) const;
+  bool expectedToRespond(const Endpoint& server, Moment now) const;
   /// Updates the cached rankings; drops those that become too short.
-  void carryOver(const std::vector<ServingDaemon>& gone, const std::vector<ServingDaemon>& added);
+  void updateRankings(const std::vector<ServingDaemon>& removed, const std::vector<ServingDaemon>& added);
 
   Endpoint self_;
   std::vector<ServingDaemon> daemons_;
   /// Cached rankings, each complete or a prefix.
-  std::unordered_map<std::string, std::vector<ServingDaemon>> ranked_;
+  std::unordered_map<std::string, std::vector<ServingDaemon>> rankings_;
   PeerSilence silence_;
-  std::unordered_map<Endpoint, Moment> heardAt_;
+  std::unordered_map<Endpoint, Moment> lastReceivedAt_;
   /// Suspected daemons, and since when.
   std::unordered_map<Endpoint, Moment> suspectedAt_;
   std::unordered_map<Endpoint, Moment> probedAt_;
--- a/src/coordination/serving/source_follower.cpp
+++ b/src/coordination/serving/source_follower.cpp
@@ -53,13 +53,13 @@
     actions.ask = recovery_.takeAsk(now, random_);
     counters_.newsAsked += actions.ask ? 1 : 0;
   }
-  prover_.onTime(now, actions.proofs);
+  prover_.onTimer(now, actions.proofs);
   return actions;
 }
 
 std::optional<SourceCall> SourceFollower::takeCall(Moment now) {
   const bool due = reader_.nextCallAt() <= now;
-  if (prover_.takeReadWish(now)) {
+  if (prover_.takeReadRequest(now)) {
     reader_.readNow(now);
   }
   auto call = reader_.takeCall(now);
@@ -258,7 +258,7 @@
 void SourceFollower::beginEpoch(const SourcePosition& position, const SourcePosition& before, Moment now) {
   epochBegan_ = position;
   // To a daemon that has just started, any epoch but the first may have begun just now.
-  prover_.holdClaims(now + writtenAgainWithin_);
+  prover_.ignoreReadsUntil(now + writtenAgainWithin_);
   if (before.revision > 0) {
     epochs_.onRestored(before.epoch, position.epoch);
     knowledge_.onRestored(position, now);
@@ -371,7 +371,7 @@
       election_.onNews(*reader);
     }
     leaveReadingToOthers(relay_.freshAt(), now);
-    prover_.onNews(sender, now, actions.proofs);
+    prover_.onUpdate(sender, now, actions.proofs);
   }
   actions.news.insert(actions.news.end(), relayed.news.begin(), relayed.news.end());
   actions.ask = relayed.ask;
--- a/src/programs/gateway/gateway_metrics.cpp
+++ b/src/programs/gateway/gateway_metrics.cpp
@@ -79,19 +79,19 @@
 };
 
 void addQuota(FamilyList& list, const QuotaFigures& quota) {
-  list.counter("token_asks_total", "Frames that asked homes of tenants for tokens", quota.holder.asks);
+  list.counter("token_asks_total", "Frames that asked homes of tenants for tokens", quota.holder.requests);
   list.counter("token_asks_unanswered_total", "Of these, left unanswered in time", quota.holder.unanswered);
   list.counter("tenant_grants_total", "Requests of limited tenants let through", quota.holder.granted);
   list.counter("tenant_grants_at_once_total", "Of these, on a token that was at hand",
-               quota.holder.grantedAtOnce);
+               quota.holder.grantedImmediately);
   list.counter("tenant_refusals_total", "Requests refused beyond their tenant's limit", quota.holder.refused);
-  list.counter("tenant_refusals_at_once_total", "Of these, without asking", quota.holder.refusedAtOnce);
+  list.counter("tenant_refusals_at_once_total", "Of these, without asking", quota.holder.refusedImmediately);
   list.counter("tenant_refusals_unanswered_total", "Of these, as no daemon that counts answered",
                quota.holder.refusedUnanswered);
-  list.counter("tokens_lapsed_total", "Tokens that nobody used in time", quota.holder.lapsed);
-  list.counter("tokens_given_back_total", "Tokens of requests that ran nowhere", quota.holder.givenBack);
+  list.counter("tokens_lapsed_total", "Tokens that nobody used in time", quota.holder.expired);
+  list.counter("tokens_given_back_total", "Tokens of requests that ran nowhere", quota.holder.released);
   list.counter("home_tokens_granted_total", "Tokens counted out as the home of tenants", quota.home.granted);
-  list.counter("home_tokens_advanced_total", "Of these, ahead of a request", quota.home.advanced);
+  list.counter("home_tokens_advanced_total", "Of these, ahead of a request", quota.home.prefetched);
   list.counter("home_tokens_refused_total", "Requests refused as the home of tenants", quota.home.refused);
   list.counter("home_tokens_returned_total", "Tokens taken back as the home of tenants", quota.home.returned);
   list.counter("home_frames_ignored_total", "Asks that came again or out of order", quota.home.framesIgnored);
@@ -202,12 +202,12 @@
   list.counter("leafs_born_again_total", "Entries that told of another life of a known leaf",
                figures.source.leafsBornAgain);
   list.counter("proof_questions_total", "Times that another daemon was asked for its proof",
-               figures.source.proofs.asked);
+               figures.source.proofs.requests);
   list.counter("proof_answers_total", "Of these, answered in time", figures.source.proofs.answered);
   list.counter("proof_questions_timed_out_total", "Of these, not answered in time",
                figures.source.proofs.timedOut);
   list.counter("proof_reads_total", "Times that the source was read as no other daemon helped to a proof",
-               figures.source.proofs.readWishes);
+               figures.source.proofs.readRequests);
   list.gauge("configuration_proof_age_seconds", "Since the configuration was last proved the newest",
              figures.proofAgeSeconds);
 }
--- a/src/programs/gateway/quota_link.cpp
+++ b/src/programs/gateway/quota_link.cpp
@@ -63,7 +63,7 @@
   const Moment now = steadyNow();
   const std::size_t known = homes_.count();
   share_.onDaemons(known - std::min(known, suspected_), planned_, settled_, now);
-  home_.setSeen(share_.seen(now), settled_);
+  home_.setVisibleFraction(share_.visibleFraction(now), settled_);
 }
 
 void QuotaLink::take(const Tenant& tenant, Listener listener) {
@@ -86,7 +86,7 @@
 
 void QuotaLink::giveBack(const std::string& tenant, const std::optional<Token>& token) {
   if (token) {
-    holder_.giveBack(tenant, *token, steadyNow());
+    holder_.release(tenant, *token, steadyNow());
     scheduleFlush();
   }
 }
@@ -102,51 +102,53 @@
 
 void QuotaLink::flush() {
   const Moment now = steadyNow();
-  for (auto asks = holder_.takeAsks(now); !asks.empty(); asks = holder_.takeAsks(now)) {
-    for (const TokenAsk& ask : asks) {
+  for (auto asks = holder_.takeRequests(now); !asks.empty(); asks = holder_.takeRequests(now)) {
+    for (const OutgoingTokenRequest& ask : asks) {
       send(ask, now);
     }
   }
-  for (const Endpoint& silent : homes_.takeProbes(now)) {
+  for (const Endpoint& silent : homes_.takeDueProbes(now)) {
     askForSignOfLife(silent, now);
   }
   armTimer();
 }
 
 /// Nothing is asked, so that no request has to wait to find out.
-void QuotaLink::askForSignOfLife(const Endpoint& daemon, Moment now) { send(TokenAsk{daemon, 0, {}}, now); }
+void QuotaLink::askForSignOfLife(const Endpoint& daemon, Moment now) {
+  send(OutgoingTokenRequest{daemon, 0, {}}, now);
+}
 
-void QuotaLink::send(const TokenAsk& ask, Moment now) {
-  if (ask.home == self_) {
-    decide(holder_.onGrants(self_, ask.number, grant(ask.wishes, now), now));
+void QuotaLink::send(const OutgoingTokenRequest& ask, Moment now) {
+  if (ask.server == self_) {
+    decide(holder_.onGrants(self_, ask.number, grant(ask.tenantRequests, now), now));
     return;
   }
   PeerEnvelope frame;
   TokenRequest* request = frame.mutable_token_request();
   request->set_sender_run(run_);
   request->set_number(ask.number);
-  for (const TokenWish& wish : ask.wishes) {
+  for (const TenantTokenRequest& wish : ask.tenantRequests) {
     TenantTokens* tokens = request->add_tenants();
     tokens->set_tenant(wish.tenant);
     tokens->set_wanted(wish.wanted);
     tokens->set_returned(wish.returned);
   }
   frame.set_time_to_live_ms(kAskLifetimeMilliseconds);
-  sendFrame_(ask.home, std::move(frame));
+  sendFrame_(ask.server, std::move(frame));
 }
 
-std::vector<TokenGrantDecision> QuotaLink::grant(const std::vector<TokenWish>& wishes, Moment now) {
-  home_.setSeen(share_.seen(now), settled_);
-  std::vector<TokenGrantDecision> grants;
-  for (const TokenWish& wish : wishes) {
-    for (const Endpoint& ahead : homes_.takeProbesAhead(wish.tenant, now)) {
+std::vector<TenantGrant> QuotaLink::grant(const std::vector<TenantTokenRequest>& wishes, Moment now) {
+  home_.setVisibleFraction(share_.visibleFraction(now), settled_);
+  std::vector<TenantGrant> grants;
+  for (const TenantTokenRequest& wish : wishes) {
+    for (const Endpoint& ahead : homes_.takePredecessorProbes(wish.tenant, now)) {
       askForSignOfLife(ahead, now);
     }
-    const Tenant* tenant = tenants_ == nullptr ? nullptr : tenants_->named(wish.tenant);
+    const Tenant* tenant = tenants_ == nullptr ? nullptr : tenants_->findByName(wish.tenant);
     if (tenant == nullptr || !tenant->limit.limited()) {
       // The asking daemon's configuration differs; another one may know the tenant as it does.
-      grants.push_back(TokenGrantDecision{wish.tenant, 0, {}});
-    } else if (auto decision = home_.onWish(wish, tenant->limit, homes_.placeOfSelf(wish.tenant), now)) {
+      grants.push_back(TenantGrant{wish.tenant, 0, {}});
+    } else if (auto decision = home_.onRequest(wish, tenant->limit, homes_.rankOfSelf(wish.tenant), now)) {
       grants.push_back(std::move(*decision));
     }
   }
@@ -155,16 +157,17 @@
 
 void QuotaLink::onRequest(const Endpoint& sender, const TokenRequest& request) {
   const Moment now = steadyNow();
-  homes_.onHeard(sender, now);
-  std::vector<TokenWish> wishes;
+  homes_.onReceived(sender, now);
+  std::vector<TenantTokenRequest> wishes;
   for (const TenantTokens& tokens : request.tenants()) {
     wishes.push_back({tokens.tenant(), tokens.wanted(), tokens.returned()});
   }
-  const bool asks = wishes.empty() || std::any_of(wishes.begin(), wishes.end(),
-                                                  [](const TokenWish& wish) { return wish.asks(); });
-  std::vector<TokenGrantDecision> grants;
+  const bool asks =
+      wishes.empty() || std::any_of(wishes.begin(), wishes.end(),
+                                    [](const TenantTokenRequest& wish) { return wish.wantsGrant(); });
+  std::vector<TenantGrant> grants;
   if (!wishes.empty()) {
-    if (!home_.takeFrame(sender, request.sender_run(), request.number(), now)) {
+    if (!home_.acceptFrame(sender, request.sender_run(), request.number(), now)) {
       return;
     }
     grants = grant(wishes, now);
@@ -177,7 +180,7 @@
   TokenReply* reply = frame.mutable_token_reply();
   reply->set_receiver_run(request.sender_run());
   reply->set_number(request.number());
-  for (const TokenGrantDecision& decision : grants) {
+  for (const TenantGrant& decision : grants) {
     TokenGrant* grant = reply->add_grants();
     grant->set_tenant(decision.tenant);
     grant->set_granted(decision.granted);
@@ -191,7 +194,7 @@
   if (reply.receiver_run() != run_) {
     return;
   }
-  std::vector<TokenGrantDecision> grants;
+  std::vector<TenantGrant> grants;
   for (const TokenGrant& grant : reply.grants()) {
     const std::uint64_t wait = std::min(grant.retry_after_us(), kLongestWaitMicroseconds);
     grants.push_back({grant.tenant(), grant.granted(), Duration(static_cast<std::int64_t>(wait))});
@@ -202,7 +205,7 @@
 
 void QuotaLink::onUndeliverable(const TokenRequest& request) {
   if (request.sender_run() == run_) {
-    decide(holder_.onUndelivered(request.number(), steadyNow()));
+    decide(holder_.onSendFailed(request.number(), steadyNow()));
     flush();
   }
 }
@@ -252,7 +255,7 @@
 }
 
 void QuotaLink::armTimer() {
-  const Moment next = holder_.nextTimeAt();
+  const Moment next = holder_.nextDueAt();
   if (next == armedFor_) {
     return;
   }
@@ -267,7 +270,7 @@
       return;
     }
     armedFor_ = kNever;
-    decide(holder_.onTime(steadyNow()));
+    decide(holder_.onTimer(steadyNow()));
     flush();
   });
 }
@@ -292,8 +295,8 @@
 }
 
 QuotaFigures QuotaLink::figures() const {
-  return QuotaFigures{holder_.counters(), home_.counters(), home_.buckets(),
-                      holder_.held(),     waits_,           logLinesLeftOut_};
+  return QuotaFigures{holder_.counters(),         home_.counters(), home_.buckets(),
+                      holder_.prefetchedTokens(), waits_,           logLinesLeftOut_};
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/quota_link.h
+++ b/src/programs/gateway/quota_link.h
@@ -16,10 +16,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/serving/fleet_share.h"
-#include "coordination/serving/token_holder.h"
-#include "coordination/serving/token_home.h"
-#include "coordination/serving/token_homes.h"
+#include "coordination/serving/fleet_visibility.h"
+#include "coordination/serving/quota_client.h"
+#include "coordination/serving/quota_server.h"
+#include "coordination/serving/quota_server_selector.h"
 #include "oakpier/peer.pb.h"
 #include "programs/gateway/latency_histogram.h"
 #include "state/endpoint.h"
@@ -31,7 +31,7 @@
 namespace oakpier::serving {
 
 /// Until a request is decided on, whoever is silent. Timers of a busy daemon may come a little later.
-inline constexpr Duration kLongestAsk = kMostTries * kTryTime;
+inline constexpr Duration kLongestAsk = kMaxQuotaServersTried * kQuotaServerTimeout;
 
 struct QuotaDecision {
   bool granted = true;
@@ -43,8 +43,8 @@
 };
 
 struct QuotaFigures {
-  TokenHolderCounters holder;
-  TokenHomeCounters home;
+  QuotaClientCounters holder;
+  QuotaServerCounters home;
   /// Tenants that this daemon counts for.
   std::size_t buckets = 0;
   /// Tokens that lie here unused.
@@ -91,9 +91,9 @@
   /// Sends what is due, at the end of what is being handled: so requests that came together ask together.
   void scheduleFlush();
   void flush();
-  void send(const TokenAsk& ask, Moment now);
+  void send(const OutgoingTokenRequest& ask, Moment now);
   void askForSignOfLife(const Endpoint& daemon, Moment now);
-  std::vector<TokenGrantDecision> grant(const std::vector<TokenWish>& wishes, Moment now);
+  std::vector<TenantGrant> grant(const std::vector<TenantTokenRequest>& wishes, Moment now);
   void decide(const std::vector<TokenDecision>& decisions);
   void refuse(const std::string& tenant, const TokenRefusal& refusal, const Listener& listener, Moment now);
   void logRefusal(const std::string& tenant, const TokenRefusal& refusal, Moment now);
@@ -106,10 +106,10 @@
   SendFrame sendFrame_;
   /// Tells this process from earlier ones at its address.
   std::uint64_t run_;
-  TokenHomes homes_;
-  TokenHolder holder_;
-  TokenHome home_;
-  FleetShare share_;
+  QuotaServerSelector homes_;
+  QuotaClient holder_;
+  QuotaServer home_;
+  FleetVisibility share_;
   std::shared_ptr<const TenantTable> tenants_;
   std::unordered_map<TokenTicket, Waiting> waiting_;
   std::size_t suspected_ = 0;
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -91,7 +91,7 @@
   bool findRoute(ArrivedRequest& arrived);
   bool identifyCaller(ArrivedRequest& arrived);
   bool admit(ArrivedRequest& arrived);
-  void rejectCaller(const ArrivedRequest& arrived, AuthorizationProblem problem);
+  void rejectCaller(const ArrivedRequest& arrived, AuthorizationError problem);
   void onQuota(ArrivedRequest& arrived, const QuotaDecision& decision);
   void onCallerGone(ArrivedRequest& arrived);
   void begin(ArrivedRequest& arrived);
--- a/src/programs/gateway/request_intake.cpp
+++ b/src/programs/gateway/request_intake.cpp
@@ -21,13 +21,13 @@
 /// For callers that come while the configuration is not proved fresh: about one round of proofs.
 constexpr Duration kProofRetryAfter = std::chrono::milliseconds(600);
 
-LossCause causeOf(AuthorizationProblem problem) {
+LossCause causeOf(AuthorizationError problem) {
   switch (problem) {
-    case AuthorizationProblem::kKeyMissing:
+    case AuthorizationError::kKeyMissing:
       return LossCause::kKeyMissing;
-    case AuthorizationProblem::kKeyUnknown:
+    case AuthorizationError::kKeyUnknown:
       return LossCause::kKeyUnknown;
-    case AuthorizationProblem::kKeyMaybeNew:
+    case AuthorizationError::kKeyNotYetKnown:
       return LossCause::kKeyMaybeNew;
     default:
       return LossCause::kProofTooOld;
@@ -120,14 +120,14 @@
   const auto proof = proof_.read();
   const Authorization authorization =
       authorize(*arrived.route, key, view, *proof, authorization_, arrived.receivedAt);
-  const auto* problem = std::get_if<AuthorizationProblem>(&authorization);
+  const auto* problem = std::get_if<AuthorizationError>(&authorization);
   if (problem == nullptr) {
     arrived.tenant = std::get<AuthorizedCaller>(authorization).tenant;
   }
   if (view.tenants != nullptr && !view.tenants->empty()) {
     // Also of a refused request: its log line names the tenant, and its fingerprint does not depend on the
     // key.
-    const Tenant* named = problem != nullptr && key ? view.tenants->holderOf(*key) : arrived.tenant;
+    const Tenant* named = problem != nullptr && key ? view.tenants->findByKey(*key) : arrived.tenant;
     arrived.logged.tenant = named == nullptr ? "" : named->name;
     replaceCredentials(arrived.request, arrived.logged.tenant, names_);
   }
@@ -138,10 +138,9 @@
   return problem == nullptr;
 }
 
-void RequestGateway::rejectCaller(const ArrivedRequest& arrived, AuthorizationProblem problem) {
+void RequestGateway::rejectCaller(const ArrivedRequest& arrived, AuthorizationError problem) {
   const LossCause cause = causeOf(problem);
-  const bool final =
-      problem == AuthorizationProblem::kKeyMissing || problem == AuthorizationProblem::kKeyUnknown;
+  const bool final = problem == AuthorizationError::kKeyMissing || problem == AuthorizationError::kKeyUnknown;
   if (!final) {
     ++counters_.refusedUnproved;
     refuse(arrived.writer, arrived.logged, arrived.route->name, cause, kProofRetryAfter);
--- a/src/state/serving/key_digest.cpp
+++ b/src/state/serving/key_digest.cpp
@@ -11,7 +11,7 @@
 
 using Secret = std::array<unsigned char, crypto_generichash_KEYBYTES>;
 
-Secret drawSecret() {
+Secret generateSecret() {
   // Fails only if the system has no source of randomness. There is no fallback: under a known secret the
   // digests would protect nothing.
   if (sodium_init() < 0) {
@@ -23,7 +23,7 @@
 }
 
 const Secret& processSecret() {
-  static const Secret secret = drawSecret();
+  static const Secret secret = generateSecret();
   return secret;
 }
 
--- a/src/state/serving/tenant_table.cpp
+++ b/src/state/serving/tenant_table.cpp
@@ -4,25 +4,25 @@
 
 TenantTable::TenantTable(const std::vector<Tenant>& tenants) {
   tenants_.reserve(tenants.size());
-  names_.reserve(tenants.size());
+  indexByName_.reserve(tenants.size());
   for (const Tenant& tenant : tenants) {
-    const auto place = static_cast<std::uint32_t>(tenants_.size());
+    const auto index = static_cast<std::uint32_t>(tenants_.size());
     tenants_.push_back(Tenant{tenant.name, {}, tenant.rank, tenant.limit});
-    names_.emplace(tenants_.back().name, place);
+    indexByName_.emplace(tenants_.back().name, index);
     for (const std::string& key : tenant.keys) {
-      holders_.emplace(digestOf(key), place);
+      indexByKey_.emplace(digestOf(key), index);
     }
   }
 }
 
-const Tenant* TenantTable::holderOf(std::string_view key) const {
-  const auto found = holders_.find(digestOf(key));
-  return found == holders_.end() ? nullptr : &tenants_[found->second];
+const Tenant* TenantTable::findByKey(std::string_view key) const {
+  const auto found = indexByKey_.find(digestOf(key));
+  return found == indexByKey_.end() ? nullptr : &tenants_[found->second];
 }
 
-const Tenant* TenantTable::named(std::string_view name) const {
-  const auto found = names_.find(name);
-  return found == names_.end() ? nullptr : &tenants_[found->second];
+const Tenant* TenantTable::findByName(std::string_view name) const {
+  const auto found = indexByName_.find(name);
+  return found == indexByName_.end() ? nullptr : &tenants_[found->second];
 }
 
 }  // namespace oakpier::serving
--- a/src/state/serving/tenant_table.h
+++ b/src/state/serving/tenant_table.h
@@ -22,25 +22,25 @@
  public:
   /// Precondition: names and keys are unique; see `problemsOf`.
   explicit TenantTable(const std::vector<Tenant>& tenants);
-  /// Not copyable: `names_` refers to strings in `tenants_`.
+  /// Not copyable: `indexByName_` refers to strings in `tenants_`.
   TenantTable(const TenantTable&) = delete;
   TenantTable& operator=(const TenantTable&) = delete;
 
   /// Without tenants no request needs a key.
   bool empty() const { return tenants_.empty(); }
   /// Null if no tenant holds the key.
-  const Tenant* holderOf(std::string_view key) const;
+  const Tenant* findByKey(std::string_view key) const;
   /// Null if there is no such tenant.
-  const Tenant* named(std::string_view name) const;
+  const Tenant* findByName(std::string_view name) const;
   /// Without their keys.
   const std::vector<Tenant>& tenants() const { return tenants_; }
-  std::size_t keyCount() const { return holders_.size(); }
+  std::size_t keyCount() const { return indexByKey_.size(); }
 
  private:
   std::vector<Tenant> tenants_;
   /// Indexes into `tenants_`.
-  std::unordered_map<KeyDigest, std::uint32_t, KeyDigestHash> holders_;
-  std::unordered_map<std::string_view, std::uint32_t> names_;
+  std::unordered_map<KeyDigest, std::uint32_t, KeyDigestHash> indexByKey_;
+  std::unordered_map<std::string_view, std::uint32_t> indexByName_;
 };
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/caller_authorization_test.cpp
+++ b/tests/serving/coordination/caller_authorization_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-using Problem = AuthorizationProblem;
+using Error = AuthorizationError;
 
 constexpr std::uint64_t kVersion = 7;
 
@@ -34,7 +34,7 @@
 }
 
 /// Arguments of one call of `authorize`.
-struct Question {
+struct AuthorizationCall {
   std::shared_ptr<const ServingView> view = viewWith({{"amber", {"key-1", "key-2"}, {}, {}}});
   bool isPublic = false;
   std::optional<std::string_view> key;
@@ -42,85 +42,85 @@
   AuthorizationSettings settings{std::chrono::milliseconds(4000), std::chrono::milliseconds(2500)};
   Moment now = at(10000);
 
-  Authorization answer() const { return authorize(routeThatIs(isPublic), key, *view, proof, settings, now); }
+  Authorization decision() const {
+    return authorize(routeThatIs(isPublic), key, *view, proof, settings, now);
+  }
   /// The tenant's name, "nobody" for an anonymous caller, or the number of the error.
-  std::string text() const {
-    const Authorization answered = answer();
-    if (const auto* problem = std::get_if<Problem>(&answered)) {
-      return textOf(*problem);
+  std::string outcome() const {
+    const Authorization result = decision();
+    if (const auto* error = std::get_if<Error>(&result)) {
+      return nameOf(*error);
     }
-    const Tenant* tenant = std::get<AuthorizedCaller>(answered).tenant;
+    const Tenant* tenant = std::get<AuthorizedCaller>(result).tenant;
     return tenant == nullptr ? "nobody" : tenant->name;
   }
-  static std::string textOf(Problem problem) {
-    return "problem " + std::to_string(static_cast<int>(problem));
-  }
+  static std::string nameOf(Error error) { return "problem " + std::to_string(static_cast<int>(error)); }
 };
 
 }  // namespace
 
 TEST_CASE("without tenants every caller may use every route", "[serving]") {
-  Question question;
-  question.view = GENERATE(true, false) ? viewWith({}) : std::make_shared<const ServingView>();
-  question.key = GENERATE(std::optional<std::string_view>(), std::optional<std::string_view>("key-1"));
-  REQUIRE(question.text() == "nobody");
+  AuthorizationCall call;
+  call.view = GENERATE(true, false) ? viewWith({}) : std::make_shared<const ServingView>();
+  call.key = GENERATE(std::optional<std::string_view>(), std::optional<std::string_view>("key-1"));
+  REQUIRE(call.outcome() == "nobody");
 }
 
 TEST_CASE("a view looks up tenants by key and holds no plain-text keys", "[serving]") {
   const auto view = viewWith({{"amber", {"key-1", "key-2"}, {}, {}}});
-  REQUIRE(view->tenants->holderOf("key-2")->name == "amber");
+  REQUIRE(view->tenants->findByKey("key-2")->name == "amber");
   REQUIRE(view->configuration->tenants.size() == 1);
   REQUIRE(view->configuration->tenants.front().name == "amber");
   REQUIRE(view->configuration->tenants.front().keys.empty());
 }
 
 TEST_CASE("a known key is accepted only under a recent proof", "[serving]") {
-  Question question;
-  question.key = GENERATE("key-1", "key-2");
-  REQUIRE(question.text() == Question::textOf(Problem::kProofTooOld));
-  question.proof = {kVersion, at(6000)};
-  REQUIRE(question.text() == "amber");
-  question.proof = {kVersion - 1, at(6000)};
-  REQUIRE(question.text() == "amber");
-  question.proof.provenAt = at(5999);
-  REQUIRE(question.text() == Question::textOf(Problem::kProofTooOld));
-  question.proof = {kVersion + 1, at(10000)};
-  REQUIRE(question.text() == Question::textOf(Problem::kProofTooOld));
-  question.settings.proofBound.reset();
-  REQUIRE(question.text() == "amber");
+  AuthorizationCall call;
+  call.key = GENERATE("key-1", "key-2");
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kProofTooOld));
+  call.proof = {kVersion, at(6000)};
+  REQUIRE(call.outcome() == "amber");
+  call.proof = {kVersion - 1, at(6000)};
+  REQUIRE(call.outcome() == "amber");
+  call.proof.provenAt = at(5999);
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kProofTooOld));
+  call.proof = {kVersion + 1, at(10000)};
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kProofTooOld));
+  call.settings.maxProofAge.reset();
+  REQUIRE(call.outcome() == "amber");
 }
 
 TEST_CASE("an unknown key is refused for good only under a recent proof", "[serving]") {
-  Question question;
-  question.key = "key-3";
-  REQUIRE(question.text() == Question::textOf(Problem::kKeyMaybeNew));
-  question.proof = {kVersion, at(7500)};
-  REQUIRE(question.text() == Question::textOf(Problem::kKeyUnknown));
-  question.proof.provenAt = at(7499);
-  REQUIRE(question.text() == Question::textOf(Problem::kKeyMaybeNew));
-  question.proof = {kVersion + 1, at(10000)};
-  REQUIRE(question.text() == Question::textOf(Problem::kKeyMaybeNew));
-  question.settings.proofBound.reset();
-  REQUIRE(question.text() == Question::textOf(Problem::kKeyMaybeNew));
+  AuthorizationCall call;
+  call.key = "key-3";
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kKeyNotYetKnown));
+  call.proof = {kVersion, at(7500)};
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kKeyUnknown));
+  call.proof.provenAt = at(7499);
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kKeyNotYetKnown));
+  call.proof = {kVersion + 1, at(10000)};
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kKeyNotYetKnown));
+  call.settings.maxProofAge.reset();
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kKeyNotYetKnown));
 }
 
 TEST_CASE("a caller without a key is refused, with or without a proof", "[serving]") {
-  Question question;
-  REQUIRE(question.text() == Question::textOf(Problem::kKeyMissing));
-  question.proof = {kVersion, at(10000)};
-  REQUIRE(question.text() == Question::textOf(Problem::kKeyMissing));
+  AuthorizationCall call;
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kKeyMissing));
+  call.proof = {kVersion, at(10000)};
+  REQUIRE(call.outcome() == AuthorizationCall::nameOf(Error::kKeyMissing));
 }
 
 TEST_CASE("a public route serves every caller, and tenants as such only under a recent proof", "[serving]") {
-  Question question;
-  question.isPublic = true;
-  REQUIRE(question.text() == "nobody");
-  question.key = "key-3";
-  REQUIRE(question.text() == "nobody");
-  question.key = "key-1";
-  REQUIRE(question.text() == "nobody");
-  question.proof = {kVersion, at(9000)};
-  REQUIRE(question.text() == "amber");
+  AuthorizationCall call;
+  call.isPublic = true;
+  REQUIRE(call.outcome() == "nobody");
+  call.key = "key-3";
+  REQUIRE(call.outcome() == "nobody");
+  call.key = "key-1";
+  REQUIRE(call.outcome() == "nobody");
+  call.proof = {kVersion, at(9000)};
+  REQUIRE(call.outcome() == "amber");
 }
 
 namespace {
@@ -156,7 +156,7 @@
     while (versions.back().acknowledgedAt > now) {
       versions.pop_back();
     }
-    tellDaemon();
+    deliverVersions();
     drawProof();
   }
 
@@ -173,7 +173,7 @@
 
   /// Whether any version that was the newest at some time in the last `window` milliseconds has the property.
   template <typename Property>
-  bool anyInForce(int window, Property property) const {
+  bool anyNewest(int window, Property property) const {
     for (std::size_t index = 0; index < versions.size(); ++index) {
       const bool last = index + 1 == versions.size();
       const int end = last ? now : versions[index + 1].acknowledgedAt;
@@ -188,7 +188,7 @@
   int now = 0;
   ConfigurationProof proof;
   /// The newest version that the daemon received; 0: none.
-  std::uint64_t told = 0;
+  std::uint64_t received = 0;
   ServingKnowledge knowledge{KnowledgeSettings{}};
 
  private:
@@ -215,23 +215,23 @@
   }
 
   /// Invalid, as two tenants hold the same key: no source acknowledges it, and no daemon may apply it.
-  std::shared_ptr<const ServingConfiguration> unusable() {
+  std::shared_ptr<const ServingConfiguration> invalidConfiguration() {
     auto configuration = std::make_shared<ServingConfiguration>();
     configuration->version = static_cast<std::uint64_t>(drawn(1, 30));
     configuration->tenants = {{"amber", {kKeys[0], kKeys[1]}, {}, {}}, {"birch", {kKeys[1]}, {}, {}}};
     return configuration;
   }
 
-  void tellDaemon() {
+  void deliverVersions() {
     const int count = drawn(0, 6);
     for (int index = 0; index < count; ++index) {
       if (drawn(0, 5) == 0) {
-        knowledge.onConfiguration(unusable());
+        knowledge.onConfiguration(invalidConfiguration());
         continue;
       }
-      const auto place = static_cast<std::size_t>(drawn(0, static_cast<int>(versions.size()) - 1));
-      knowledge.onConfiguration(versions[place].configuration);
-      told = std::max(told, versions[place].number);
+      const auto chosen = static_cast<std::size_t>(drawn(0, static_cast<int>(versions.size()) - 1));
+      knowledge.onConfiguration(versions[chosen].configuration);
+      received = std::max(received, versions[chosen].number);
     }
   }
 
@@ -249,24 +249,24 @@
 /// One request to the daemon of a history.
 struct GeneratedCaller {
   explicit GeneratedCaller(GeneratedHistory& history) {
-    const int place = history.drawn(0, static_cast<int>(kKeys.size()) + 1);
-    if (place < static_cast<int>(kKeys.size())) {
-      key = kKeys[static_cast<std::size_t>(place)];
-    } else if (place == static_cast<int>(kKeys.size())) {
+    const int chosen = history.drawn(0, static_cast<int>(kKeys.size()) + 1);
+    if (chosen < static_cast<int>(kKeys.size())) {
+      key = kKeys[static_cast<std::size_t>(chosen)];
+    } else if (chosen == static_cast<int>(kKeys.size())) {
       key = "never given";
     }
     isPublic = history.drawn(0, 3) == 0;
     finalBound = history.drawn(0, kHistoryEnd / 2);
     if (history.drawn(0, 3) > 0) {
-      proofBound = history.drawn(0, kHistoryEnd / 2);
+      maxProofAge = history.drawn(0, kHistoryEnd / 2);
     }
   }
 
   AuthorizationSettings settings() const {
     AuthorizationSettings made;
-    made.finalRefusalBound = std::chrono::milliseconds(finalBound);
-    if (proofBound) {
-      made.proofBound = std::chrono::milliseconds(*proofBound);
+    made.maxProofAgeForFinalRefusal = std::chrono::milliseconds(finalBound);
+    if (maxProofAge) {
+      made.maxProofAge = std::chrono::milliseconds(*maxProofAge);
     }
     return made;
   }
@@ -274,7 +274,7 @@
   std::optional<std::string> key;
   bool isPublic = false;
   int finalBound = 0;
-  std::optional<int> proofBound;
+  std::optional<int> maxProofAge;
 };
 
 void checkServed(const GeneratedHistory& history, const GeneratedCaller& caller,
@@ -289,31 +289,31 @@
     return found != version.holders.end() && found->second == tenant->name;
   };
   REQUIRE(holds(used));
-  if (caller.proofBound) {
-    REQUIRE(history.anyInForce(*caller.proofBound, holds));
+  if (caller.maxProofAge) {
+    REQUIRE(history.anyNewest(*caller.maxProofAge, holds));
   }
 }
 
 void checkRefused(const GeneratedHistory& history, const GeneratedCaller& caller,
-                  const AcknowledgedVersion& used, Problem problem) {
+                  const AcknowledgedVersion& used, Error error) {
   REQUIRE_FALSE(caller.isPublic);
   REQUIRE_FALSE(used.configuration->tenants.empty());
-  REQUIRE((problem == Problem::kKeyMissing) == !caller.key.has_value());
+  REQUIRE((error == Error::kKeyMissing) == !caller.key.has_value());
   if (!caller.key) {
     return;
   }
   const auto lacks = [&](const AcknowledgedVersion& version) {
     return version.holders.count(*caller.key) == 0;
   };
-  REQUIRE((problem == Problem::kProofTooOld) == !lacks(used));
-  if (problem == Problem::kKeyUnknown) {
-    REQUIRE(history.anyInForce(caller.finalBound, lacks));
+  REQUIRE((error == Error::kProofTooOld) == !lacks(used));
+  if (error == Error::kKeyUnknown) {
+    REQUIRE(history.anyNewest(caller.finalBound, lacks));
   }
-  const bool proved = history.proof.version != 0;
+  const bool proven = history.proof.version != 0;
   const Duration age = at(history.now) - history.proof.provenAt;
-  const Duration bound = std::chrono::milliseconds(caller.proofBound.value_or(0));
-  const bool mustServe = !lacks(used) && (!caller.proofBound ||
-                                          (proved && age <= bound && used.number >= history.proof.version));
+  const Duration bound = std::chrono::milliseconds(caller.maxProofAge.value_or(0));
+  const bool mustServe = !lacks(used) && (!caller.maxProofAge ||
+                                          (proven && age <= bound && used.number >= history.proof.version));
   REQUIRE_FALSE(mustServe);
 }
 
@@ -326,24 +326,24 @@
     GeneratedHistory history(static_cast<std::uint32_t>(seed));
     const GeneratedCaller caller(history);
     const auto view = history.knowledge.takeChangedView();
-    if (history.told == 0) {
+    if (history.received == 0) {
       continue;
     }
     CAPTURE(seed);
-    REQUIRE(view->configuration->version == history.told);
+    REQUIRE(view->configuration->version == history.received);
     const auto used =
         std::find_if(history.versions.begin(), history.versions.end(),
-                     [&](const AcknowledgedVersion& version) { return version.number == history.told; });
+                     [&](const AcknowledgedVersion& version) { return version.number == history.received; });
     const std::optional<std::string_view> key =
         caller.key ? std::optional<std::string_view>(*caller.key) : std::nullopt;
-    const Authorization answer = authorize(routeThatIs(caller.isPublic), key, *view, history.proof,
+    const Authorization result = authorize(routeThatIs(caller.isPublic), key, *view, history.proof,
                                            caller.settings(), at(history.now));
-    if (const auto* allowed = std::get_if<AuthorizedCaller>(&answer)) {
+    if (const auto* allowed = std::get_if<AuthorizedCaller>(&result)) {
       served += allowed->tenant != nullptr ? 1 : 0;
       checkServed(history, caller, *used, allowed->tenant);
     } else {
       ++refused;
-      checkRefused(history, caller, *used, std::get<Problem>(answer));
+      checkRefused(history, caller, *used, std::get<Error>(result));
     }
   }
   // Both outcomes must be frequent for the loop to be meaningful.
--- a/tests/serving/coordination/configuration_proof_test.cpp
+++ b/tests/serving/coordination/configuration_proof_test.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kProofBound = kBound - kProofMargin;
 /// How often it is checked whether each daemon would accept a key.
 constexpr Duration kCheckPeriod = milliseconds(20);
-constexpr Duration kSettling = seconds(12);
+constexpr Duration kStabilizationTime = seconds(12);
 
 SourceFleetSettings fleetOf(std::size_t daemons, std::uint64_t random = 1) {
   SourceFleetSettings settings;
@@ -63,16 +63,16 @@
   const auto daemons = GENERATE(1U, 3U, 74U, 300U);
   CAPTURE(daemons);
   SourceFleet fleet(fleetOf(daemons));
-  fleet.runFor(kSettling);
-  const std::size_t questions = fleet.proofQuestions();
+  fleet.runFor(kStabilizationTime);
+  const std::size_t requests = fleet.proofQuestions();
   const Checks checks = runChecked(fleet, seconds(20));
   CAPTURE(checks.oldest.count());
   REQUIRE(checks.refused == 0);
   REQUIRE(checks.oldest <= milliseconds(2800));
   REQUIRE(fleet.unsoundProofs() == 0);
   // Rounds begin every 1.25 s; for some seconds after a start there may be several readers.
-  CAPTURE(fleet.proofQuestions() - questions);
-  REQUIRE(fleet.proofQuestions() - questions <= std::size_t{40} * daemons);
+  CAPTURE(fleet.proofQuestions() - requests);
+  REQUIRE(fleet.proofQuestions() - requests <= std::size_t{40} * daemons);
   REQUIRE(fleet.proofReads() == 0);
 }
 
@@ -91,7 +91,7 @@
   // One CPU quota period.
   settings.longestFrame = milliseconds(100);
   SourceFleet fleet(settings);
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   const Checks checks = runChecked(fleet, seconds(20));
   CAPTURE(daemons, checks.oldest.count());
   REQUIRE(checks.refused == 0);
@@ -106,7 +106,7 @@
   const auto random = GENERATE(1U, 2U, 3U);
   CAPTURE(daemons, random);
   SourceFleet fleet(fleetOf(daemons, random));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t dead = 0; dead < 4; ++dead) {
     // At different points of a round.
     fleet.runFor(milliseconds(310) * static_cast<int>(dead));
@@ -123,7 +123,7 @@
   const auto random = GENERATE(1U, 2U, 3U, 4U);
   CAPTURE(daemons, random);
   SourceFleet fleet(fleetOf(daemons, random));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t number = 0; number < daemons; ++number) {
     // Includes the first readers.
     fleet.setRefused(number, number < daemons / 6 || number % 6 == 5);
@@ -139,7 +139,7 @@
 
 TEST_CASE("a daemon whose frames no peer receives renews its proof by its own reads", "[serving]") {
   SourceFleet fleet(fleetOf(74, 2));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t other = 0; other < fleet.size(); ++other) {
     fleet.setCut(40, other, true);
   }
@@ -152,7 +152,7 @@
 
 TEST_CASE("an isolated daemon loses its proof, and regains it after the network recovers", "[serving]") {
   SourceFleet fleet(fleetOf(74, 2));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t other = 0; other < fleet.size(); ++other) {
     fleet.setCut(other, 40, true);
   }
@@ -176,7 +176,7 @@
   const auto random = GENERATE(1U, 2U, 3U);
   CAPTURE(daemons, random);
   SourceFleet fleet(fleetOf(daemons, random));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   fleet.setSourceDown(true);
   REQUIRE(runChecked(fleet, seconds(2)).refused == 0);
   fleet.changeConfiguration();
@@ -192,14 +192,14 @@
 namespace {
 
 /// A fleet with generated faults in which keys are revoked all the time.
-class TroubledFleet {
+class FaultyFleet {
  public:
-  explicit TroubledFleet(const SourceFleetSettings& settings) : fleet_(settings) {}
+  explicit FaultyFleet(const SourceFleetSettings& settings) : fleet_(settings) {}
 
-  void play(int steps) {
+  void run(int steps) {
     fleet_.runFor(seconds(4));
     for (int step = 0; step < steps; ++step) {
-      disturb();
+      injectFault();
       fleet_.changeConfiguration();
       check(milliseconds(*rc::gen::inRange(50, 3000)));
       if (*rc::gen::inRange(0, 3) == 0) {
@@ -214,30 +214,30 @@
   }
 
  private:
-  std::size_t draw() const { return *rc::gen::inRange<std::size_t>(0, fleet_.size()); }
+  std::size_t drawDaemon() const { return *rc::gen::inRange<std::size_t>(0, fleet_.size()); }
 
   void check(Duration span) {
     RC_ASSERT(runChecked(fleet_, span).unsafe == 0U);
     RC_ASSERT(fleet_.unsoundProofs() == 0U);
   }
 
-  void disturb() {
+  void injectFault() {
     switch (*rc::gen::inRange(0, 9)) {
       case 0:
         fleet_.kill(*rc::gen::inRange<std::size_t>(0, std::min<std::size_t>(5, fleet_.size())));
         break;
       case 1:
-        fleet_.kill(draw());
-        fleet_.start(draw());
+        fleet_.kill(drawDaemon());
+        fleet_.start(drawDaemon());
         break;
       case 2:
-        cutOff(draw(), *rc::gen::inRange(0, 3));
+        isolate(drawDaemon(), *rc::gen::inRange(0, 3));
         break;
       case 3:
-        cutApart();
+        separateGroups();
         break;
       case 4:
-        fleet_.setAnswersLost(draw(), true);
+        fleet_.setAnswersLost(drawDaemon(), true);
         break;
       case 5:
         suspendSome();
@@ -249,13 +249,13 @@
         fleet_.forgetHistory();
         break;
       default:
-        refuseSome();
+        refuseReads();
         break;
     }
   }
 
   /// `way` 0: blocks frames to the daemon; 1: frames from it; 2: both.
-  void cutOff(std::size_t number, int way) {
+  void isolate(std::size_t number, int way) {
     for (std::size_t other = 0; other < fleet_.size(); ++other) {
       if (way != 1) {
         fleet_.setCut(other, number, true);
@@ -267,8 +267,8 @@
   }
 
   /// Separates two groups, in half of the cases in one direction only.
-  void cutApart() {
-    const std::size_t first = draw();
+  void separateGroups() {
+    const std::size_t first = drawDaemon();
     const bool bothWays = *rc::gen::arbitrary<bool>();
     for (std::size_t from = 0; from < first; ++from) {
       for (std::size_t to = first; to < fleet_.size(); ++to) {
@@ -289,7 +289,7 @@
     }
   }
 
-  void refuseSome() {
+  void refuseReads() {
     for (std::size_t number = 0; number < fleet_.size(); ++number) {
       fleet_.setRefused(number, *rc::gen::inRange(0, 3) == 0);
     }
@@ -331,7 +331,7 @@
     settings.frameLoss = *rc::gen::element(0.0, 0.02);
     settings.lateFrames = *rc::gen::element(0.0, 0.05, 0.3);
     settings.replayedFrames = *rc::gen::element(0.0, 0.05, 0.3);
-    TroubledFleet(settings).play(*rc::gen::inRange(1, 6));
+    FaultyFleet(settings).run(*rc::gen::inRange(1, 6));
   });
 }
 
@@ -340,7 +340,7 @@
   settings.lateFrames = 0.1;
   settings.replayedFrames = 0.1;
   SourceFleet fleet(settings);
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t number = 0; number < 300; number += 7) {
     fleet.suspend(number);
   }
--- a/tests/serving/coordination/configuration_prover_test.cpp
+++ b/tests/serving/coordination/configuration_prover_test.cpp
@@ -16,8 +16,8 @@
 const Endpoint kSecond(3, 1);
 
 /// A daemon that uses version 5, proven as of 1,000 ms.
-struct ProvedDaemon {
-  ProvedDaemon() {
+struct ProvenDaemon {
+  ProvenDaemon() {
     prover.setMembers({kSelf, kFirst, kSecond});
     prover.onVersion(5, true);
     prover.onRead(at(1000), at(1001), actions);
@@ -52,7 +52,7 @@
 }  // namespace
 
 TEST_CASE("a proof by a read dates from when its call was sent", "[serving]") {
-  ProvedDaemon daemon;
+  ProvenDaemon daemon;
   daemon.prover.onRead(at(2000), at(3100), daemon.actions);
   REQUIRE(daemon.prover.proof().provenAt == at(2000));
   REQUIRE(daemon.prover.proof().covers(5, at(6800), milliseconds(4800)));
@@ -62,14 +62,14 @@
 
 TEST_CASE("while the newest configuration is unusable reads prove nothing and no requests are sent",
           "[serving]") {
-  ProvedDaemon daemon;
+  ProvenDaemon daemon;
   daemon.prover.onConfigurationRecord(inFirstEpoch(20), false);
   daemon.prover.onRead(at(2000), at(2001), daemon.actions);
-  daemon.prover.onNews(kFirst, at(4500), daemon.actions);
-  daemon.prover.onTime(at(4500), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(4500), daemon.actions);
+  daemon.prover.onTimer(at(4500), daemon.actions);
   REQUIRE(daemon.prover.proof().provenAt == at(1000));
   REQUIRE(daemon.actions.requests.empty());
-  REQUIRE_FALSE(daemon.prover.takeReadWish(at(9000)));
+  REQUIRE_FALSE(daemon.prover.takeReadRequest(at(9000)));
   SECTION("an older record, received again") {
     daemon.prover.onConfigurationRecord(inFirstEpoch(19), true);
     daemon.prover.onRead(at(3000), at(3001), daemon.actions);
@@ -85,8 +85,8 @@
 }
 
 TEST_CASE("a proof by a reply dates from when the request was sent, less the reported age", "[serving]") {
-  ProvedDaemon daemon;
-  daemon.prover.onNews(kFirst, at(3000), daemon.actions);
+  ProvenDaemon daemon;
+  daemon.prover.onUpdate(kFirst, at(3000), daemon.actions);
   const std::uint64_t number = daemon.takeNumber();
   SECTION("in time") {
     daemon.prover.onReply(kFirst, replyOf(number, 5, milliseconds(400)), at(3700), daemon.actions);
@@ -107,7 +107,7 @@
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
   }
   SECTION("not after the timeout") {
-    daemon.prover.onTime(at(4000), daemon.actions);
+    daemon.prover.onTimer(at(4000), daemon.actions);
     REQUIRE(daemon.prover.counters().timedOut == 1);
     daemon.prover.onReply(kFirst, replyOf(number, 5, milliseconds(0)), at(4001), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
@@ -129,8 +129,8 @@
 }
 
 TEST_CASE("a proof of a newer version takes effect once that version is in use", "[serving]") {
-  ProvedDaemon daemon;
-  daemon.prover.onNews(kFirst, at(3000), daemon.actions);
+  ProvenDaemon daemon;
+  daemon.prover.onUpdate(kFirst, at(3000), daemon.actions);
   daemon.prover.onReply(kFirst, replyOf(daemon.takeNumber(), 7, milliseconds(100)), at(3010), daemon.actions);
   REQUIRE(daemon.prover.proof().version == 5);
   REQUIRE(daemon.prover.proof().provenAt == at(1000));
@@ -143,7 +143,7 @@
 
 TEST_CASE("a reply contains the age of the proof, and is deferred while an own request is outstanding",
           "[serving]") {
-  ProvedDaemon daemon;
+  ProvenDaemon daemon;
   SECTION("no own request: immediately") {
     daemon.prover.onRequest(kFirst, requestOf(9), at(3000), daemon.actions);
     REQUIRE(daemon.actions.replies.at(0).reply.number() == 9);
@@ -151,7 +151,7 @@
     REQUIRE(daemon.actions.replies.at(0).reply.age_us() == 2000000);
     return;
   }
-  daemon.prover.onNews(kFirst, at(3000), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(3000), daemon.actions);
   const std::uint64_t number = daemon.takeNumber();
   daemon.prover.onRequest(kSecond, requestOf(9), at(3010), daemon.actions);
   REQUIRE(daemon.actions.replies.empty());
@@ -162,9 +162,9 @@
   }
   SECTION("the own request is not replied to") {
     REQUIRE(daemon.prover.nextDueAt() == at(3150));
-    daemon.prover.onTime(at(3149), daemon.actions);
+    daemon.prover.onTimer(at(3149), daemon.actions);
     REQUIRE(daemon.actions.replies.empty());
-    daemon.prover.onTime(at(3150), daemon.actions);
+    daemon.prover.onTimer(at(3150), daemon.actions);
     REQUIRE(daemon.actions.replies.at(0).reply.age_us() == 2150000);
     daemon.prover.onRequest(kSecond, requestOf(10), at(3160), daemon.actions);
     REQUIRE(daemon.actions.replies.size() == 2);
@@ -179,59 +179,59 @@
 
 TEST_CASE("peers are asked in rounds of two as the proof ages, and less often after many rounds",
           "[serving]") {
-  ProvedDaemon daemon;
-  daemon.prover.onNews(kFirst, at(1900), daemon.actions);
+  ProvenDaemon daemon;
+  daemon.prover.onUpdate(kFirst, at(1900), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
-  daemon.prover.onTime(at(3879), daemon.actions);
+  daemon.prover.onTimer(at(3879), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
   REQUIRE(daemon.prover.nextDueAt() == at(3880));
-  daemon.prover.onTime(at(3880), daemon.actions);
+  daemon.prover.onTimer(at(3880), daemon.actions);
   REQUIRE(daemon.actions.requests.size() == 2);
-  daemon.prover.onTime(at(4179), daemon.actions);
+  daemon.prover.onTimer(at(4179), daemon.actions);
   REQUIRE(daemon.actions.requests.size() == 2);
-  daemon.prover.onTime(at(4180), daemon.actions);
+  daemon.prover.onTimer(at(4180), daemon.actions);
   REQUIRE(daemon.actions.requests.size() == 4);
   for (int now = 4181; now < 20000; ++now) {
-    daemon.prover.onTime(at(now), daemon.actions);
+    daemon.prover.onTimer(at(now), daemon.actions);
   }
   REQUIRE(daemon.actions.requests.size() <= 40);
   SECTION("a renewed proof ends the rounds") {
     daemon.prover.onRead(at(20000), at(20001), daemon.actions);
     daemon.actions.requests.clear();
-    daemon.prover.onTime(at(22000), daemon.actions);
+    daemon.prover.onTimer(at(22000), daemon.actions);
     REQUIRE(daemon.actions.requests.empty());
   }
 }
 
 TEST_CASE("without tenants no requests are sent, and requests of peers are answered", "[serving]") {
-  ProvedDaemon daemon;
+  ProvenDaemon daemon;
   daemon.prover.onVersion(6, false);
-  daemon.prover.onNews(kFirst, at(9000), daemon.actions);
-  daemon.prover.onTime(at(9000), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(9000), daemon.actions);
+  daemon.prover.onTimer(at(9000), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
-  REQUIRE_FALSE(daemon.prover.takeReadWish(at(9000)));
+  REQUIRE_FALSE(daemon.prover.takeReadRequest(at(9000)));
   REQUIRE(daemon.prover.nextDueAt() == kNever);
   daemon.prover.onRequest(kFirst, requestOf(9), at(9000), daemon.actions);
   REQUIRE(daemon.actions.replies.at(0).reply.version() == 5);
 }
 
 TEST_CASE("the source is read at most once a second if peers do not renew the proof", "[serving]") {
-  ProvedDaemon daemon;
-  REQUIRE_FALSE(daemon.prover.takeReadWish(at(1000 + 3840)));
+  ProvenDaemon daemon;
+  REQUIRE_FALSE(daemon.prover.takeReadRequest(at(1000 + 3840)));
   for (int round = 0; round < 3; ++round) {
-    daemon.prover.onTime(at(1000 + 2880 + 300 * round), daemon.actions);
+    daemon.prover.onTimer(at(1000 + 2880 + 300 * round), daemon.actions);
   }
-  REQUIRE_FALSE(daemon.prover.takeReadWish(at(1000 + 3359)));
-  REQUIRE(daemon.prover.takeReadWish(at(1000 + 3840)));
-  REQUIRE_FALSE(daemon.prover.takeReadWish(at(1000 + 4839)));
-  REQUIRE(daemon.prover.takeReadWish(at(1000 + 4840)));
+  REQUIRE_FALSE(daemon.prover.takeReadRequest(at(1000 + 3359)));
+  REQUIRE(daemon.prover.takeReadRequest(at(1000 + 3840)));
+  REQUIRE_FALSE(daemon.prover.takeReadRequest(at(1000 + 4839)));
+  REQUIRE(daemon.prover.takeReadRequest(at(1000 + 4840)));
 }
 
 TEST_CASE("a proof expires, and is renewed by a read", "[serving]") {
-  ProvedDaemon daemon;
-  daemon.prover.onTime(at(5800), daemon.actions);
+  ProvenDaemon daemon;
+  daemon.prover.onTimer(at(5800), daemon.actions);
   REQUIRE(daemon.prover.holds());
-  daemon.prover.onTime(at(5801), daemon.actions);
+  daemon.prover.onTimer(at(5801), daemon.actions);
   REQUIRE_FALSE(daemon.prover.holds());
   daemon.prover.onRead(at(6000), at(6010), daemon.actions);
   REQUIRE(daemon.prover.holds());
--- a/tests/serving/coordination/quota_plan_test.cpp
+++ b/tests/serving/coordination/quota_plan_test.cpp
@@ -4,8 +4,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "coordination/serving/fleet_share.h"
-#include "coordination/serving/token_home.h"
+#include "coordination/serving/fleet_visibility.h"
+#include "coordination/serving/quota_server.h"
 #include "serving/support/serving_fixtures.h"
 
 namespace oakpier::serving {
@@ -24,14 +24,14 @@
     for (const double rate : {0.1, 1.0, 8.0, 100.0, 5000.0}) {
       for (const double burst : {0.0, 1.0, 8.0, 100.0, 5000.0}) {
         const TenantLimit limit{rate, burst};
-        const QuotaPlan plan = planFor(limit, tolerance);
-        const double counted = plan.refill * seconds(tolerance.window + kTokenLife) + plan.capacity +
-                               2 * plan.start + 2 * plan.laterStart;
-        CAPTURE(rate, burst, plan.capacity, plan.start, plan.refill);
+        const QuotaPlan plan = planQuota(limit, tolerance);
+        const double counted = plan.refillRate * seconds(tolerance.window + kTokenLifetime) + plan.capacity +
+                               2 * plan.initialLevel + 2 * plan.laterInitialLevel;
+        CAPTURE(rate, burst, plan.capacity, plan.initialLevel, plan.refillRate);
         REQUIRE(counted <= std::max(1.0, allowedInWindow(limit, tolerance)) + 1e-6);
         REQUIRE(plan.capacity >= 1);
-        REQUIRE(plan.start >= 0);
-        REQUIRE(plan.laterStart >= 0);
+        REQUIRE(plan.initialLevel >= 0);
+        REQUIRE(plan.laterInitialLevel >= 0);
         REQUIRE(plan.headroom >= 1);
       }
     }
@@ -40,97 +40,97 @@
 
 TEST_CASE("a tenant's full rate and burst are granted if the tolerance allows it", "[serving]") {
   for (const TenantLimit& limit : {TenantLimit{1, 1}, TenantLimit{8, 8}, TenantLimit{30, 30}}) {
-    const QuotaPlan plan = planFor(limit, kTolerance);
-    REQUIRE(plan.refill == limit.perSecond);
+    const QuotaPlan plan = planQuota(limit, kTolerance);
+    REQUIRE(plan.refillRate == limit.perSecond);
     REQUIRE(plan.capacity >= limit.burst + 0.5 * limit.perSecond);
-    REQUIRE(plan.start >= 1);
+    REQUIRE(plan.initialLevel >= 1);
   }
 }
 
 TEST_CASE("the sides of a network partition together grant at most the headroom", "[serving]") {
-  const QuotaPlan plan = planFor(TenantLimit{8, 8}, kTolerance);
-  REQUIRE(pieceFactor(plan, 1) == 1);
-  REQUIRE(pieceFactor(plan, 0.75) + pieceFactor(plan, 0.25) <= plan.headroom + 1e-9);
+  const QuotaPlan plan = planQuota(TenantLimit{8, 8}, kTolerance);
+  REQUIRE(partitionSideScale(plan, 1) == 1);
+  REQUIRE(partitionSideScale(plan, 0.75) + partitionSideScale(plan, 0.25) <= plan.headroom + 1e-9);
   // An isolated daemon of 74 grants less than one token.
-  REQUIRE(pieceFactor(plan, 1.0 / 74) * plan.capacity < 1);
+  REQUIRE(partitionSideScale(plan, 1.0 / 74) * plan.capacity < 1);
 }
 
 TEST_CASE("the visible fraction refers to the recent maximum of the number of daemons", "[serving]") {
-  FleetShare share;
-  share.onDaemons(20, 20, true, at(0));
-  REQUIRE(share.seen(at(0)) == 1);
-  share.onDaemons(5, 20, true, at(10'000));
-  REQUIRE(share.seen(at(10'000)) == 0.25);
-  share.onDaemons(4, 20, true, at(20'000));
-  REQUIRE(share.seen(at(39'000)) == 0.2);
-  REQUIRE(share.seen(at(41'000)) == 0.8);
-  REQUIRE(share.seen(at(51'000)) == 1);
+  FleetVisibility visibility;
+  visibility.onDaemons(20, 20, true, at(0));
+  REQUIRE(visibility.visibleFraction(at(0)) == 1);
+  visibility.onDaemons(5, 20, true, at(10'000));
+  REQUIRE(visibility.visibleFraction(at(10'000)) == 0.25);
+  visibility.onDaemons(4, 20, true, at(20'000));
+  REQUIRE(visibility.visibleFraction(at(39'000)) == 0.2);
+  REQUIRE(visibility.visibleFraction(at(41'000)) == 0.8);
+  REQUIRE(visibility.visibleFraction(at(51'000)) == 1);
   // All daemons are reachable again.
-  share.onDaemons(20, 20, true, at(52'000));
-  REQUIRE(share.seen(at(52'000)) == 1);
+  visibility.onDaemons(20, 20, true, at(52'000));
+  REQUIRE(visibility.visibleFraction(at(52'000)) == 1);
 }
 
 TEST_CASE("until the membership is stable the visible fraction refers to the expected size", "[serving]") {
-  FleetShare share;
-  share.onDaemons(3, 12, false, at(0));
-  REQUIRE(share.seen(at(0)) == 0.25);
-  share.onDaemons(3, 3, true, at(1500));
-  REQUIRE(share.seen(at(1500)) == 1);
+  FleetVisibility visibility;
+  visibility.onDaemons(3, 12, false, at(0));
+  REQUIRE(visibility.visibleFraction(at(0)) == 0.25);
+  visibility.onDaemons(3, 3, true, at(1500));
+  REQUIRE(visibility.visibleFraction(at(1500)) == 1);
 }
 
 TEST_CASE("retry times of refused requests grow with the number of requests refused", "[serving]") {
-  TokenHome home;
-  home.setTolerance(kTolerance);
+  QuotaServer server;
+  server.setTolerance(kTolerance);
   const TenantLimit limit{4, 4};
-  const auto ask = [&](std::uint32_t wanted, Moment now) {
-    return *home.onWish(TokenWish{"t", wanted, 0}, limit, HomePlace{}, now);
+  const auto request = [&](std::uint32_t wanted, Moment now) {
+    return *server.onRequest(TenantTokenRequest{"t", wanted, 0}, limit, QuotaServerRank{}, now);
   };
-  const auto start = static_cast<std::uint32_t>(planFor(limit, kTolerance).start);
-  REQUIRE(ask(start, at(0)).granted == start);
-  const Duration first = ask(4, at(1)).retryAfter;
-  const Duration second = ask(4, at(2)).retryAfter;
+  const auto start = static_cast<std::uint32_t>(planQuota(limit, kTolerance).initialLevel);
+  REQUIRE(request(start, at(0)).granted == start);
+  const Duration first = request(4, at(1)).retryAfter;
+  const Duration second = request(4, at(2)).retryAfter;
   REQUIRE(first > Duration{});
   REQUIRE(second >= first + std::chrono::milliseconds(900));
   // A retry time is one window at most.
-  REQUIRE(ask(1000, at(3)).retryAfter <= kTolerance.window);
-  REQUIRE(ask(1000, at(4)).retryAfter <= kTolerance.window);
+  REQUIRE(request(1000, at(3)).retryAfter <= kTolerance.window);
+  REQUIRE(request(1000, at(4)).retryAfter <= kTolerance.window);
 }
 
 TEST_CASE("duplicate and reordered frames of one process are ignored", "[serving]") {
-  TokenHome home;
+  QuotaServer server;
   const Endpoint sender(1, 9);
-  REQUIRE(home.takeFrame(sender, 7, 2, at(0)));
-  REQUIRE_FALSE(home.takeFrame(sender, 7, 2, at(1)));
-  REQUIRE_FALSE(home.takeFrame(sender, 7, 1, at(2)));
+  REQUIRE(server.acceptFrame(sender, 7, 2, at(0)));
+  REQUIRE_FALSE(server.acceptFrame(sender, 7, 2, at(1)));
+  REQUIRE_FALSE(server.acceptFrame(sender, 7, 1, at(2)));
   // A restarted sender numbers its frames from 1.
-  REQUIRE(home.takeFrame(sender, 8, 1, at(3)));
-  REQUIRE(home.takeFrame(Endpoint(2, 9), 7, 1, at(4)));
+  REQUIRE(server.acceptFrame(sender, 8, 1, at(3)));
+  REQUIRE(server.acceptFrame(Endpoint(2, 9), 7, 1, at(4)));
 }
 
 TEST_CASE("returned tokens do not raise a bucket beyond its capacity", "[serving]") {
-  TokenHome home;
-  home.setTolerance(kTolerance);
+  QuotaServer server;
+  server.setTolerance(kTolerance);
   const TenantLimit limit{4, 4};
-  home.onWish(TokenWish{"t", 1, 0}, limit, HomePlace{}, at(0));
-  REQUIRE_FALSE(home.onWish(TokenWish{"t", 0, 1000}, limit, HomePlace{}, at(1)));
-  REQUIRE(*home.levelOf("t") <= planFor(limit, kTolerance).capacity);
+  server.onRequest(TenantTokenRequest{"t", 1, 0}, limit, QuotaServerRank{}, at(0));
+  REQUIRE_FALSE(server.onRequest(TenantTokenRequest{"t", 0, 1000}, limit, QuotaServerRank{}, at(1)));
+  REQUIRE(*server.levelOf("t") <= planQuota(limit, kTolerance).capacity);
 }
 
 TEST_CASE("a successor grants only its initial level while its predecessor responds", "[serving]") {
-  TokenHome home;
-  home.setTolerance(kTolerance);
+  QuotaServer server;
+  server.setTolerance(kTolerance);
   const TenantLimit limit{4, 4};
   std::uint32_t granted = 0;
   for (int millisecond = 0; millisecond < 20'000; millisecond += 100) {
-    const HomePlace place{1, at(millisecond)};
-    granted += home.onWish(TokenWish{"t", 1, 0}, limit, place, at(millisecond))->granted;
+    const QuotaServerRank position{1, at(millisecond)};
+    granted += server.onRequest(TenantTokenRequest{"t", 1, 0}, limit, position, at(millisecond))->granted;
   }
-  REQUIRE(granted == static_cast<std::uint32_t>(planFor(limit, kTolerance).start));
+  REQUIRE(granted == static_cast<std::uint32_t>(planQuota(limit, kTolerance).initialLevel));
   // The predecessor no longer responds.
-  const HomePlace alone{1, at(20'000)};
+  const QuotaServerRank alone{1, at(20'000)};
   std::uint32_t later = 0;
   for (int millisecond = 21'000; millisecond < 31'000; millisecond += 100) {
-    later += home.onWish(TokenWish{"t", 1, 0}, limit, alone, at(millisecond))->granted;
+    later += server.onRequest(TenantTokenRequest{"t", 1, 0}, limit, alone, at(millisecond))->granted;
   }
   REQUIRE(later >= 35);
 }
--- a/tests/serving/programs/gateway_log_test.cpp
+++ b/tests/serving/programs/gateway_log_test.cpp
@@ -51,10 +51,10 @@
   PeerTransportCounters peers;
   peers.bytesSentByKind.at(static_cast<std::size_t>(FrameKind::kWork)) = 77;
   FollowerCounters source;
-  source.proofs.asked = 31;
+  source.proofs.requests = 31;
   source.proofs.timedOut = 5;
   QuotaFigures quota;
-  quota.holder.asks = 31;
+  quota.holder.requests = 31;
   quota.home.granted = 32;
   quota.buckets = 33;
   quota.waits.record(std::chrono::milliseconds(3));
--- a/tests/serving/programs/quota_link_test.cpp
+++ b/tests/serving/programs/quota_link_test.cpp
@@ -46,7 +46,7 @@
       link->setDaemons(all_, daemons, true);
       links_.emplace(self, std::move(link));
     }
-    order = rankHomes(tenant.name, all_);
+    order = rankQuotaServers(tenant.name, all_);
   }
 
   /// The daemons in the order in which they count for the tenant.
@@ -155,7 +155,7 @@
   fleet.drain();
   REQUIRE(fleet.frames.size() == framesBefore);
   REQUIRE(fleet.decisions.back().retryAfter > first);
-  REQUIRE(fleet.entry().figures().holder.refusedAtOnce >= kMore);
+  REQUIRE(fleet.entry().figures().holder.refusedImmediately >= kMore);
 }
 
 TEST_CASE("a refusal beyond a limit is logged with the tenant, the time and the home", "[serving]") {
@@ -179,7 +179,7 @@
   Fleet fleet(8, tenantOf("t", 8, 8));
   fleet.silent.insert(fleet.order.front());
   REQUIRE(fleet.decide(fleet.entry()).granted);
-  REQUIRE(fleet.decisions.back().token->home == fleet.order[1]);
+  REQUIRE(fleet.decisions.back().token->server == fleet.order[1]);
   REQUIRE(fleet.entry().figures().holder.unanswered == 1);
 }
 
@@ -189,7 +189,7 @@
   fleet.take(fleet.entry());
   fleet.drain();
   REQUIRE(fleet.decisions.size() == 1);
-  REQUIRE(fleet.decisions[0].token->home == fleet.order[1]);
+  REQUIRE(fleet.decisions[0].token->server == fleet.order[1]);
   // From now on it is passed over.
   fleet.frames.clear();
   fleet.take(fleet.entry());
@@ -220,12 +220,12 @@
   fleet.drain();
   REQUIRE(fleet.decisions.size() == 1);
   REQUIRE(fleet.decisions[0].granted);
-  REQUIRE(fleet.decisions[0].token->home == fleet.order[1]);
+  REQUIRE(fleet.decisions[0].token->server == fleet.order[1]);
 }
 
 TEST_CASE("a daemon that steps in for one that still answers lets through what it began with", "[serving]") {
   Fleet fleet(8, tenantOf("t", 1, 1));
-  const QuotaPlan plan = planFor(TenantLimit{1, 1}, kTolerance);
+  const QuotaPlan plan = planQuota(TenantLimit{1, 1}, kTolerance);
   QuotaLink& standIn = fleet.at(fleet.order[1]);
   // As another daemon would that cannot reach the home.
   TokenRequest request;
@@ -236,7 +236,7 @@
   request.set_number(1);
   standIn.onRequest(fleet.order.back(), request);
   fleet.drain();
-  REQUIRE(standIn.figures().home.granted == static_cast<std::uint64_t>(plan.start));
+  REQUIRE(standIn.figures().home.granted == static_cast<std::uint64_t>(plan.initialLevel));
   const bool asked = std::any_of(fleet.frames.begin(), fleet.frames.end(), [&](const auto& frame) {
     return frame.first == fleet.order.front() && frame.second.token_request().tenants().empty();
   });
@@ -285,7 +285,7 @@
   const Tenant lowered = tenantOf("t", 0.1, 1);
   QuotaLink& home = fleet.at(fleet.order.front());
   home.setTenants(std::make_shared<const TenantTable>(std::vector<Tenant>{lowered}));
-  const QuotaPlan plan = planFor(lowered.limit, kTolerance);
+  const QuotaPlan plan = planQuota(lowered.limit, kTolerance);
   std::size_t granted = 0;
   while (fleet.decide(fleet.entry()).granted) {
     ++granted;
--- a/tests/serving/programs/tenant_requests_test.cpp
+++ b/tests/serving/programs/tenant_requests_test.cpp
@@ -78,7 +78,7 @@
   }
   void demandProof() {
     AuthorizationSettings settings;
-    settings.proofBound = std::chrono::seconds(60);
+    settings.maxProofAge = std::chrono::seconds(60);
     gateway.setAuthorization(settings);
   }
 
--- a/tests/serving/state/tenant_table_test.cpp
+++ b/tests/serving/state/tenant_table_test.cpp
@@ -16,7 +16,7 @@
 }
 
 /// The validation errors of a configuration with these tenants, one per line.
-std::string problemsWith(std::vector<Tenant> tenants) {
+std::string validationErrorsWith(std::vector<Tenant> tenants) {
   std::string text;
   for (const std::string& problem : problemsOf(configurationWith(std::move(tenants)))) {
     text += problem + "\n";
@@ -28,15 +28,15 @@
 
 TEST_CASE("a key is found if and only if the configuration contains it", "[serving]") {
   const TenantTable table({{"amber", {"key-1", "key-2"}, 3, {8, 4}}, {"birch", {"key-3"}, {}, {}}});
-  REQUIRE(table.holderOf("key-1")->name == "amber");
-  REQUIRE(table.holderOf("key-2") == table.holderOf("key-1"));
-  REQUIRE(table.holderOf("key-3")->name == "birch");
+  REQUIRE(table.findByKey("key-1")->name == "amber");
+  REQUIRE(table.findByKey("key-2") == table.findByKey("key-1"));
+  REQUIRE(table.findByKey("key-3")->name == "birch");
   REQUIRE(table.keyCount() == 3);
-  REQUIRE(table.named("amber")->rank == 3U);
-  REQUIRE(table.named("amber")->limit.burst == 4);
-  REQUIRE(table.named("cedar") == nullptr);
+  REQUIRE(table.findByName("amber")->rank == 3U);
+  REQUIRE(table.findByName("amber")->limit.burst == 4);
+  REQUIRE(table.findByName("cedar") == nullptr);
   for (const char* other : {"", "key-", "key-11", "KEY-1", " key-1", "amber"}) {
-    REQUIRE(table.holderOf(other) == nullptr);
+    REQUIRE(table.findByKey(other) == nullptr);
   }
   REQUIRE_FALSE(table.empty());
   REQUIRE(TenantTable({}).empty());
@@ -53,25 +53,30 @@
 }
 
 TEST_CASE("validation errors of tenants do not disclose keys", "[serving]") {
-  REQUIRE(problemsWith({{"amber", {"secret-1", "secret-2"}, {}, {1, 2}}, {"birch", {}, {}, {}}}).empty());
-  REQUIRE(problemsWith({{"amber", {"secret-1"}, {}, {}}, {"birch", {"secret-2", "secret-1"}, {}, {}}}) ==
-          "tenant birch: its key number 2 is named elsewhere as well\n");
-  REQUIRE(problemsWith({{"amber", {"secret-1", "secret-1"}, {}, {}}}) ==
+  REQUIRE(
+      validationErrorsWith({{"amber", {"secret-1", "secret-2"}, {}, {1, 2}}, {"birch", {}, {}, {}}}).empty());
+  REQUIRE(
+      validationErrorsWith({{"amber", {"secret-1"}, {}, {}}, {"birch", {"secret-2", "secret-1"}, {}, {}}}) ==
+      "tenant birch: its key number 2 is named elsewhere as well\n");
+  REQUIRE(validationErrorsWith({{"amber", {"secret-1", "secret-1"}, {}, {}}}) ==
           "tenant amber: its key number 2 is named elsewhere as well\n");
-  REQUIRE(problemsWith({{"amber", {"secret-1", ""}, {}, {}}}) == "tenant amber: its key number 2 is empty\n");
-  REQUIRE(problemsWith({{"amber", {"secret-1"}, {}, {}}, {"amber", {"secret-2"}, {}, {}}}) ==
+  REQUIRE(validationErrorsWith({{"amber", {"secret-1", ""}, {}, {}}}) ==
+          "tenant amber: its key number 2 is empty\n");
+  REQUIRE(validationErrorsWith({{"amber", {"secret-1"}, {}, {}}, {"amber", {"secret-2"}, {}, {}}}) ==
           "tenant amber: another tenant has its name\n");
-  REQUIRE(problemsWith({{"", {"secret-1"}, {}, {}}}) == "a tenant has no name\n");
-  REQUIRE(problemsWith({{"amber", {"secret-1"}, {}, {-1, 0}}}) == "tenant amber: the rate is negative\n");
-  REQUIRE(problemsWith({{"amber", {"secret-1"}, {}, {1, -2}}}) == "tenant amber: the burst is negative\n");
+  REQUIRE(validationErrorsWith({{"", {"secret-1"}, {}, {}}}) == "a tenant has no name\n");
+  REQUIRE(validationErrorsWith({{"amber", {"secret-1"}, {}, {-1, 0}}}) ==
+          "tenant amber: the rate is negative\n");
+  REQUIRE(validationErrorsWith({{"amber", {"secret-1"}, {}, {1, -2}}}) ==
+          "tenant amber: the burst is negative\n");
 }
 
 TEST_CASE("a tenant's name must be a valid header value", "[serving]") {
   for (const std::string name : {"a\r\nX-Other: 1", "a\n", " a", "a ", "a\tb", "a\x7f", "caf\xc3\xa9"}) {
-    REQUIRE(problemsWith({{name, {"secret-1"}, {}, {}}}) ==
+    REQUIRE(validationErrorsWith({{name, {"secret-1"}, {}, {}}}) ==
             "a tenant's name cannot be the value of a header\n");
   }
-  REQUIRE(problemsWith({{"a b", {"secret-1"}, {}, {}}}).empty());
+  REQUIRE(validationErrorsWith({{"a b", {"secret-1"}, {}, {}}}).empty());
 }
 
 }  // namespace oakpier::serving
--- /dev/null
+++ b/tests/serving/support/quota_fleet.cpp
@@ -0,0 +1,402 @@
+#include "serving/support/quota_fleet.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace oakpier::serving {
+
+namespace {
+
+/// Delays of the membership protocol, which probes once a second: an unreachable daemon is suspected within
+/// the range below and removed from the member table after the last delay; a joining one is found within the
+/// next.
+constexpr int kSuspectedFromMilliseconds = 300;
+constexpr int kSuspectedUntilMilliseconds = 2000;
+constexpr int kDeadAfterMilliseconds = 6000;
+constexpr int kJoinedFromMilliseconds = 200;
+constexpr int kJoinedUntilMilliseconds = 1500;
+/// Time until the membership is stable after a start; see `FleetSettling`.
+constexpr Duration kStabilizationTime = std::chrono::milliseconds(1500);
+constexpr std::size_t kExpectedFleet = 12;
+
+}  // namespace
+
+QuotaFleet::Daemon::Daemon(const Endpoint& address, const QuotaFleetSettings& settings, RandomEngine& random)
+    : self(address), selector(address), client(selector, random, settings.prefetchLimit) {
+  client.setTolerance(settings.tolerance);
+  server.setTolerance(settings.tolerance);
+}
+
+QuotaFleet::QuotaFleet(const QuotaFleetSettings& settings)
+    : settings_(settings),
+      random_(settings.seed),
+      daemons_(settings.daemons),
+      sides_(settings.daemons, 0),
+      detections_(settings.daemons, std::vector<std::uint64_t>(settings.daemons, 0)) {
+  for (std::size_t number = 0; number < settings.daemons; ++number) {
+    daemons_[number] = std::make_unique<Daemon>(addressOf(number), settings_, random_);
+    daemons_[number]->run = ++runs_;
+    daemons_[number]->membershipStable = true;
+    daemons_[number]->known.assign(settings.daemons, true);
+    daemons_[number]->suspected.assign(settings.daemons, false);
+    applyMembership(number);
+  }
+}
+
+void QuotaFleet::at(Moment moment, std::function<void()> action) {
+  queue_.push(Event{moment, ++events_, std::move(action)});
+}
+
+void QuotaFleet::run(Moment until) {
+  while (!queue_.empty() && queue_.top().at <= until) {
+    const Event event = queue_.top();
+    queue_.pop();
+    now_ = std::max(now_, event.at);
+    event.action();
+  }
+  now_ = until;
+}
+
+Duration QuotaFleet::drawBetween(int fromMilliseconds, int toMilliseconds) {
+  const double milliseconds = fromMilliseconds + draw() * (toMilliseconds - fromMilliseconds);
+  return Duration(static_cast<std::int64_t>(milliseconds * 1000));
+}
+
+bool QuotaFleet::reaches(std::size_t from, std::size_t to) const {
+  return daemons_[to] != nullptr && sides_[from] == sides_[to];
+}
+
+void QuotaFleet::applyMembership(std::size_t number) {
+  Daemon& daemon = *daemons_[number];
+  std::vector<ServingDaemon> serving;
+  std::vector<Endpoint> suspected;
+  for (std::size_t other = 0; other < daemons_.size(); ++other) {
+    if (daemon.known[other]) {
+      serving.emplace_back(addressOf(other));
+      if (daemon.suspected[other]) {
+        suspected.push_back(addressOf(other));
+      }
+    }
+  }
+  const std::size_t expected =
+      daemon.membershipStable ? serving.size() : std::max(serving.size(), kExpectedFleet);
+  const std::size_t alive = serving.size() - suspected.size();
+  daemon.selector.setDaemons(std::move(serving));
+  daemon.selector.setSuspected(suspected, now_);
+  daemon.visibility.onDaemons(alive, expected, daemon.membershipStable, now_);
+}
+
+void QuotaFleet::scheduleDetection(std::size_t daemon, std::size_t other, bool reachable) {
+  if (daemon == other || daemons_[daemon] == nullptr) {
+    return;
+  }
+  const std::uint64_t number = ++detections_[daemon][other];
+  const auto later = [this, daemon, other, number, run = daemons_[daemon]->run](Moment moment, bool known,
+                                                                                bool suspected) {
+    at(moment, [=] {
+      if (detections_[daemon][other] == number && daemons_[daemon] != nullptr &&
+          daemons_[daemon]->run == run) {
+        daemons_[daemon]->known[other] = known;
+        daemons_[daemon]->suspected[other] = suspected;
+        applyMembership(daemon);
+      }
+    });
+  };
+  if (reachable) {
+    later(now_ + drawBetween(kJoinedFromMilliseconds, kJoinedUntilMilliseconds), true, false);
+  } else {
+    const Moment suspected = now_ + drawBetween(kSuspectedFromMilliseconds, kSuspectedUntilMilliseconds);
+    later(suspected, true, true);
+    later(suspected + std::chrono::milliseconds(kDeadAfterMilliseconds), false, false);
+  }
+}
+
+void QuotaFleet::kill(std::size_t daemon) {
+  for (const auto& [ticket, request] : daemons_[daemon]->waiting) {
+    requests_[request.first][request.second].granted =
+        true;  // The connection breaks; the caller gets no refusal.
+  }
+  daemons_[daemon].reset();
+  for (std::size_t other = 0; other < daemons_.size(); ++other) {
+    scheduleDetection(other, daemon, false);
+  }
+}
+
+void QuotaFleet::start(std::size_t number) {
+  daemons_[number] = std::make_unique<Daemon>(addressOf(number), settings_, random_);
+  Daemon& daemon = *daemons_[number];
+  daemon.run = ++runs_;
+  daemon.known.assign(daemons_.size(), false);
+  daemon.known[number] = true;
+  daemon.suspected.assign(daemons_.size(), false);
+  applyMembership(number);
+  for (std::size_t other = 0; other < daemons_.size(); ++other) {
+    if (reaches(number, other)) {
+      scheduleDetection(number, other, true);
+      scheduleDetection(other, number, true);
+    }
+  }
+  at(now_ + kStabilizationTime, [this, number, run = daemon.run] {
+    if (daemons_[number] != nullptr && daemons_[number]->run == run) {
+      daemons_[number]->membershipStable = true;
+      applyMembership(number);
+    }
+  });
+}
+
+void QuotaFleet::partitionNetwork(const std::vector<std::size_t>& sides) {
+  const std::vector<std::size_t> previous = std::exchange(sides_, sides);
+  for (std::size_t one = 0; one < daemons_.size(); ++one) {
+    for (std::size_t other = 0; other < daemons_.size(); ++other) {
+      const bool together = sides_[one] == sides_[other];
+      if (daemons_[other] != nullptr && together != (previous[one] == previous[other])) {
+        scheduleDetection(one, other, together);
+      }
+    }
+  }
+}
+
+void QuotaFleet::healNetwork() { partitionNetwork(std::vector<std::size_t>(daemons_.size(), 0)); }
+
+std::size_t QuotaFleet::primaryOf(const std::string& tenant) const {
+  std::vector<ServingDaemon> all;
+  for (std::size_t number = 0; number < daemons_.size(); ++number) {
+    all.emplace_back(addressOf(number));
+  }
+  return numberOf(rankQuotaServers(tenant, all).front());
+}
+
+void QuotaFleet::addLoad(const std::string& tenant, double perSecond, Moment from, Moment until,
+                         const std::vector<std::size_t>& daemons) {
+  std::exponential_distribution<double> pause(perSecond);
+  for (Moment moment = from;;) {
+    moment += Duration(static_cast<std::int64_t>(pause(random_) * 1e6));
+    if (moment >= until) {
+      return;
+    }
+    const std::size_t daemon =
+        daemons.empty() ? drawBelow(daemons_.size(), random_) : daemons[drawBelow(daemons.size(), random_)];
+    at(moment, [this, tenant, daemon] { onArrival(tenant, daemon); });
+  }
+}
+
+void QuotaFleet::onArrival(const std::string& tenant, std::size_t number) {
+  if (daemons_[number] == nullptr) {
+    return;
+  }
+  Daemon& daemon = *daemons_[number];
+  Request request;
+  request.at = now_;
+  request.daemon = number;
+  const std::size_t index = requests_[tenant].size();
+  requests_[tenant].push_back(request);
+  const TokenOutcome outcome = daemon.client.take(tenant, limits_.at(tenant), now_);
+  if (const auto* pending = std::get_if<TokenPending>(&outcome)) {
+    daemon.waiting[pending->ticket] = {tenant, index};
+  } else if (const auto* token = std::get_if<Token>(&outcome)) {
+    complete(tenant, number, index, *token);
+  } else {
+    complete(tenant, number, index, std::get<TokenRefusal>(outcome));
+  }
+  sendDue(number);
+}
+
+void QuotaFleet::complete(const std::string& tenant, std::size_t daemon, std::size_t index,
+                          const std::variant<Token, TokenRefusal>& decision) {
+  Request& request = requests_[tenant][index];
+  request.waited = now_ - request.at;
+  if (const auto* refusal = std::get_if<TokenRefusal>(&decision)) {
+    request.retryAfter = refusal->retryAfter;
+    request.refusal = refusal->cause;
+    return;
+  }
+  request.granted = true;
+  request.ran = draw() >= settings_.ranOnNoLeaf;
+  if (request.ran) {
+    request.at = now_;
+    return;
+  }
+  at(now_ + drawBetween(0, 300),
+     [this, tenant, daemon, token = std::get<Token>(decision), run = daemons_[daemon]->run] {
+       if (daemons_[daemon] != nullptr && daemons_[daemon]->run == run) {
+         daemons_[daemon]->client.release(tenant, token, now_);
+         sendDue(daemon);
+       }
+     });
+}
+
+void QuotaFleet::completeAll(std::size_t daemon, const std::vector<TokenDecision>& decisions) {
+  for (const TokenDecision& decision : decisions) {
+    const auto found = daemons_[daemon]->waiting.find(decision.ticket);
+    if (found != daemons_[daemon]->waiting.end()) {
+      const auto [tenant, index] = found->second;
+      daemons_[daemon]->waiting.erase(found);
+      complete(tenant, daemon, index, decision.decision);
+    }
+  }
+}
+
+std::vector<TenantGrant> QuotaFleet::grant(Daemon& daemon,
+                                           const std::vector<TenantTokenRequest>& tenantRequests) {
+  daemon.server.setVisibleFraction(daemon.visibility.visibleFraction(now_), daemon.membershipStable);
+  std::vector<TenantGrant> grants;
+  const std::size_t number = numberOf(daemon.self);
+  for (const TenantTokenRequest& tenantRequest : tenantRequests) {
+    for (const Endpoint& predecessor : daemon.selector.takePredecessorProbes(tenantRequest.tenant, now_)) {
+      sendProbe(number, predecessor);
+    }
+    if (auto decision = daemon.server.onRequest(tenantRequest, limits_.at(tenantRequest.tenant),
+                                                daemon.selector.rankOfSelf(tenantRequest.tenant), now_)) {
+      grants.push_back(std::move(*decision));
+    }
+  }
+  return grants;
+}
+
+void QuotaFleet::sendDue(std::size_t number) {
+  Daemon& daemon = *daemons_[number];
+  for (auto requests = daemon.client.takeRequests(now_); !requests.empty();
+       requests = daemon.client.takeRequests(now_)) {
+    for (const OutgoingTokenRequest& request : requests) {
+      if (request.server == daemon.self) {
+        completeAll(number, daemon.client.onGrants(daemon.self, request.number,
+                                                   grant(daemon, request.tenantRequests), now_));
+        continue;
+      }
+      send(number, numberOf(request.server), [this, number, run = daemon.run, request](Daemon& receiver) {
+        answer(numberOf(receiver.self), number, run, request);
+      });
+    }
+  }
+  for (const Endpoint& unresponsive : daemon.selector.takeDueProbes(now_)) {
+    sendProbe(number, unresponsive);
+  }
+  armTimer(number);
+}
+
+void QuotaFleet::sendProbe(std::size_t number, const Endpoint& other) {
+  send(number, numberOf(other), [this, number, run = daemons_[number]->run, other](Daemon& receiver) {
+    answer(numberOf(receiver.self), number, run, OutgoingTokenRequest{other, 0, {}});
+  });
+}
+
+void QuotaFleet::answer(std::size_t number, std::size_t requester, std::uint64_t requesterRun,
+                        const OutgoingTokenRequest& request) {
+  Daemon& daemon = *daemons_[number];
+  daemon.selector.onReceived(addressOf(requester), now_);
+  std::vector<TenantGrant> grants;
+  if (!request.tenantRequests.empty()) {
+    if (!daemon.server.acceptFrame(addressOf(requester), requesterRun, request.number, now_)) {
+      return;
+    }
+    grants = grant(daemon, request.tenantRequests);
+    if (grants.empty()) {
+      return;
+    }
+  }
+  send(number, requester, [this, number, requester, requesterRun, request, grants](Daemon& sender) {
+    if (sender.run == requesterRun) {
+      completeAll(requester, sender.client.onGrants(addressOf(number), request.number, grants, now_));
+      sendDue(requester);
+    }
+  });
+}
+
+void QuotaFleet::send(std::size_t from, std::size_t to, const std::function<void(Daemon&)>& deliver) {
+  ++frames;
+  if (!reaches(from, to)) {
+    return;
+  }
+  const int copies = draw() < settings_.duplicated ? 2 : 1;
+  for (int copy = 0; copy < copies; ++copy) {
+    if (draw() < settings_.lost) {
+      continue;
+    }
+    const Duration delay = draw() < settings_.delayed ? drawBetween(50, 400) : drawBetween(1, 2);
+    at(now_ + delay, [this, to, from, deliver] {
+      if (reaches(from, to)) {
+        deliver(*daemons_[to]);
+      }
+    });
+  }
+}
+
+void QuotaFleet::armTimer(std::size_t number) {
+  const Moment next = daemons_[number]->client.nextDueAt();
+  if (next == kNever) {
+    return;
+  }
+  at(next, [this, number, run = daemons_[number]->run] {
+    if (daemons_[number] != nullptr && daemons_[number]->run == run &&
+        daemons_[number]->client.nextDueAt() <= now_) {
+      completeAll(number, daemons_[number]->client.onTimer(now_));
+      sendDue(number);
+    }
+  });
+}
+
+std::size_t QuotaFleet::maxInWindow(const std::string& tenant) {
+  std::vector<Moment> ran;
+  for (const Request& request : requests_[tenant]) {
+    if (request.ran) {
+      ran.push_back(request.at);
+    }
+  }
+  std::sort(ran.begin(), ran.end());
+  std::size_t maximum = 0;
+  for (std::size_t first = 0, last = 0; last < ran.size(); ++last) {
+    while (ran[last] - ran[first] >= settings_.tolerance.window) {
+      ++first;
+    }
+    maximum = std::max(maximum, last - first + 1);
+  }
+  return maximum;
+}
+
+std::size_t QuotaFleet::refused(const std::string& tenant) {
+  const auto& requests = requests_[tenant];
+  return static_cast<std::size_t>(std::count_if(requests.begin(), requests.end(),
+                                                [](const Request& request) { return !request.granted; }));
+}
+
+std::size_t QuotaFleet::wronglyRefused(const std::string& tenant, const TenantLimit& limit) {
+  return wrongRefusals(tenant, limit).size();
+}
+
+std::vector<QuotaFleet::Request> QuotaFleet::wrongRefusals(const std::string& tenant,
+                                                           const TenantLimit& limit) {
+  double level = limit.burst;
+  Moment countedAt{};
+  std::vector<Request> errors;
+  for (const Request& request : requests_[tenant]) {
+    const double passed = std::chrono::duration<double>(request.at - countedAt).count();
+    countedAt = std::max(countedAt, request.at);
+    level = std::min(limit.burst, level + std::max(0.0, passed) * limit.perSecond);
+    if (level >= 1) {
+      level -= 1;
+      if (!request.granted) {
+        errors.push_back(request);
+      }
+    }
+  }
+  return errors;
+}
+
+QuotaClientCounters QuotaFleet::clientCounters() const {
+  QuotaClientCounters sum;
+  for (const auto& daemon : daemons_) {
+    if (daemon != nullptr) {
+      const QuotaClientCounters& counters = daemon->client.counters();
+      sum.requests += counters.requests;
+      sum.granted += counters.granted;
+      sum.grantedImmediately += counters.grantedImmediately;
+      sum.refused += counters.refused;
+      sum.refusedImmediately += counters.refusedImmediately;
+      sum.refusedUnanswered += counters.refusedUnanswered;
+      sum.expired += counters.expired;
+    }
+  }
+  return sum;
+}
+
+}  // namespace oakpier::serving
--- a/tests/serving/support/token_fleet.h
+++ b/tests/serving/support/quota_fleet.h
@@ -12,27 +12,27 @@
 #include <string>
 #include <vector>
 
-#include "coordination/serving/fleet_share.h"
-#include "coordination/serving/token_holder.h"
-#include "coordination/serving/token_home.h"
-#include "coordination/serving/token_homes.h"
+#include "coordination/serving/fleet_visibility.h"
+#include "coordination/serving/quota_client.h"
+#include "coordination/serving/quota_server.h"
+#include "coordination/serving/quota_server_selector.h"
 
 namespace oakpier::serving {
 
-struct TokenFleetSettings {
+struct QuotaFleetSettings {
   std::size_t daemons = 20;
   QuotaTolerance tolerance{std::chrono::seconds(5), 0.25, 20};
-  std::size_t advance = kAdvance;
+  std::size_t prefetchLimit = kPrefetchedTokens;
   /// Fractions of frames. Delayed ones take 0.05 to 0.4 s.
   double lost = 0;
-  double twice = 0;
-  double late = 0;
+  double duplicated = 0;
+  double delayed = 0;
   /// Fraction of admitted requests that run on no leaf; their tokens are released.
-  double ranNowhere = 0;
+  double ranOnNoLeaf = 0;
   std::uint64_t seed = 1;
 };
 
-class TokenFleet {
+class QuotaFleet {
  public:
   struct Request {
     Moment at{};
@@ -44,48 +44,48 @@
     RefusalCause refusal = RefusalCause::kNoTokens;
   };
 
-  explicit TokenFleet(const TokenFleetSettings& settings);
+  explicit QuotaFleet(const QuotaFleetSettings& settings);
 
   void setLimit(const std::string& tenant, const TenantLimit& limit) { limits_[tenant] = limit; }
   /// Schedules Poisson arrivals from `from` to `until`, each at a random one of `daemons` (empty: of all).
-  void load(const std::string& tenant, double perSecond, Moment from, Moment until,
-            const std::vector<std::size_t>& daemons = {});
+  void addLoad(const std::string& tenant, double perSecond, Moment from, Moment until,
+               const std::vector<std::size_t>& daemons = {});
   void at(Moment moment, std::function<void()> action);
   void run(Moment until);
 
   void kill(std::size_t daemon);
   /// Restarts it without state.
   void start(std::size_t daemon);
-  /// Each daemon reaches only those on its side of the network partition; `pieces` holds the side of each.
-  void cut(const std::vector<std::size_t>& pieces);
-  void heal();
-  std::size_t homeOf(const std::string& tenant) const;
+  /// Each daemon reaches only those on its side of the network partition; `sides` holds the side of each.
+  void partitionNetwork(const std::vector<std::size_t>& sides);
+  void healNetwork();
+  std::size_t primaryOf(const std::string& tenant) const;
   std::size_t size() const { return daemons_.size(); }
 
   const std::vector<Request>& requestsOf(const std::string& tenant) { return requests_[tenant]; }
   /// The most requests that ran within any sliding window.
-  std::size_t mostInWindow(const std::string& tenant);
+  std::size_t maxInWindow(const std::string& tenant);
   std::size_t refused(const std::string& tenant);
   /// Requests refused although a single token bucket with this limit would have admitted them.
-  std::size_t refusedInError(const std::string& tenant, const TenantLimit& limit);
+  std::size_t wronglyRefused(const std::string& tenant, const TenantLimit& limit);
   /// These requests, in order of arrival.
-  std::vector<Request> errorsOf(const std::string& tenant, const TenantLimit& limit);
-  TokenHolderCounters holderCounters() const;
+  std::vector<Request> wrongRefusals(const std::string& tenant, const TenantLimit& limit);
+  QuotaClientCounters clientCounters() const;
 
   std::uint64_t frames = 0;
   std::uint64_t framesBetween = 0;
 
  private:
   struct Daemon {
-    Daemon(const Endpoint& self, const TokenFleetSettings& settings, RandomEngine& random);
+    Daemon(const Endpoint& self, const QuotaFleetSettings& settings, RandomEngine& random);
 
     Endpoint self;
-    TokenHomes homes;
-    TokenHolder holder;
-    TokenHome home;
-    FleetShare share;
+    QuotaServerSelector selector;
+    QuotaClient client;
+    QuotaServer server;
+    FleetVisibility visibility;
     std::uint64_t run = 0;
-    bool settled = false;
+    bool membershipStable = false;
     std::vector<bool> known;
     std::vector<bool> suspected;
     std::map<TokenTicket, std::pair<std::string, std::size_t>> waiting;
@@ -108,30 +108,31 @@
   bool reaches(std::size_t from, std::size_t to) const;
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   Duration drawBetween(int fromMilliseconds, int toMilliseconds);
-  void carry(std::size_t from, std::size_t to, const std::function<void(Daemon&)>& deliver);
-  void arrive(const std::string& tenant, std::size_t daemon);
-  void settle(const std::string& tenant, std::size_t daemon, std::size_t request,
-              const std::variant<Token, TokenRefusal>& decision);
-  void decide(std::size_t daemon, const std::vector<TokenDecision>& decisions);
-  void flush(std::size_t daemon);
-  void askForSignOfLife(std::size_t daemon, const Endpoint& other);
-  void answer(std::size_t daemon, std::size_t asker, std::uint64_t askerRun, const TokenAsk& ask);
-  std::vector<TokenGrantDecision> grant(Daemon& daemon, const std::vector<TokenWish>& wishes);
+  void send(std::size_t from, std::size_t to, const std::function<void(Daemon&)>& deliver);
+  void onArrival(const std::string& tenant, std::size_t daemon);
+  void complete(const std::string& tenant, std::size_t daemon, std::size_t request,
+                const std::variant<Token, TokenRefusal>& decision);
+  void completeAll(std::size_t daemon, const std::vector<TokenDecision>& decisions);
+  void sendDue(std::size_t daemon);
+  void sendProbe(std::size_t daemon, const Endpoint& other);
+  void answer(std::size_t daemon, std::size_t requester, std::uint64_t requesterRun,
+              const OutgoingTokenRequest& request);
+  std::vector<TenantGrant> grant(Daemon& daemon, const std::vector<TenantTokenRequest>& tenantRequests);
   void armTimer(std::size_t daemon);
-  void publish(std::size_t daemon);
+  void applyMembership(std::size_t daemon);
   /// Schedules the changes of `daemon`'s member table after `other` became reachable or unreachable.
-  void notice(std::size_t daemon, std::size_t other, bool reachable);
+  void scheduleDetection(std::size_t daemon, std::size_t other, bool reachable);
 
-  TokenFleetSettings settings_;
+  QuotaFleetSettings settings_;
   RandomEngine random_;
   Moment now_{std::chrono::seconds(100)};
   std::uint64_t events_ = 0;
   std::priority_queue<Event> queue_;
   std::vector<std::unique_ptr<Daemon>> daemons_;
-  std::vector<std::size_t> pieces_;
+  std::vector<std::size_t> sides_;
   std::uint64_t runs_ = 0;
-  /// Number of the last `notice` per pair of daemons; scheduled changes of earlier ones are void.
-  std::vector<std::vector<std::uint64_t>> notices_;
+  /// Number of the last `scheduleDetection` per pair of daemons; scheduled changes of earlier ones are void.
+  std::vector<std::vector<std::uint64_t>> detections_;
   std::map<std::string, TenantLimit> limits_;
   std::map<std::string, std::vector<Request>> requests_;
 };
--- a/tests/serving/support/source_fleet.cpp
+++ b/tests/serving/support/source_fleet.cpp
@@ -334,7 +334,7 @@
 std::size_t SourceFleet::proofReads() const {
   std::size_t reads = 0;
   for (const Daemon& daemon : daemons_) {
-    reads += daemon.alive ? daemon.follower->counters().proofs.readWishes : 0;
+    reads += daemon.alive ? daemon.follower->counters().proofs.readRequests : 0;
   }
   return reads;
 }
