--- a/src/coordination/serving/configuration_prover.cpp
+++ b/src/coordination/serving/configuration_prover.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// All shares are fractions of the bound. Below this age a proof is not renewed at each source update:
-/// updates may come four times a second, and from several readers, while one renewal in 1.25 s is enough.
+/// Thresholds are ages of the proof, as fractions of the bound. Below this one a proof is not renewed at each
+/// source update: updates may come four times a second, and from several readers, while one renewal in 1.25 s
+/// is enough.
 constexpr double kFreshThreshold = 0.3;
 /// From this age on peers are asked. The reader's own proof gets 2.25 s old before the reply to its next
 /// call, and that of a daemon five levels down the forwarding tree some 0.5 s older (one CPU quota period per
--- a/src/coordination/serving/configuration_prover.h
+++ b/src/coordination/serving/configuration_prover.h
@@ -53,7 +53,7 @@
   /// Subset of `requests`: replied to in time.
   std::uint64_t answered = 0;
   std::uint64_t timedOut = 0;
-  /// Times that a read of the source was called for.
+  /// Reads of the source that `takeReadRequest` asked for.
   std::uint64_t readRequests = 0;
 };
 
@@ -110,7 +110,7 @@
   /// `Duration::max()` without a proof.
   Duration ageAt(Moment now) const;
   void refreshHolds(Moment now) { holds_ = proof_.covers(version_, now, settings_.bound); }
-  /// That part of the bound.
+  /// `part` of the bound on the age of proofs.
   Duration fractionOfBound(double part) const;
   void sendRequest(const Endpoint& to, Moment now, ProofActions& actions);
   void requestFromPeers(Moment now, ProofActions& actions);
--- a/src/coordination/serving/fleet_visibility.h
+++ b/src/coordination/serving/fleet_visibility.h
@@ -28,12 +28,12 @@
 
  private:
   struct Count {
-    /// When the number of daemons changed from this one.
+    /// When `daemons` stopped being the current count.
     Moment endedAt{};
     std::size_t daemons = 0;
   };
 
-  /// Maxima of the retention period: earlier counts in descending order, oldest first.
+  /// Earlier counts that may still be the maximum: oldest first, in descending order.
   std::deque<Count> maxima_;
   std::size_t alive_ = 1;
   std::size_t expected_ = 1;
--- a/src/coordination/serving/quota_client.h
+++ b/src/coordination/serving/quota_client.h
@@ -3,7 +3,7 @@
 /// Obtains tokens for the requests that arrive at this daemon: asks the tenant's quota server, tries the next
 /// one if it doesn't respond, and caches refusals so that a tenant beyond its limit causes little traffic.
 ///
-/// Invariants: each admitted request uses one token, at most `kTokenLifetime` after it was asked for; each
+/// Invariants: each admitted request uses one token, at most `kTokenLifetime` after that was requested; each
 /// request gets one decision within `kMaxQuotaServersTried` x `kQuotaServerTimeout`, plus the delay of the
 /// caller's timer; at most one request for tokens per tenant is outstanding, and after a refusal there is
 /// none for `kMinRefusalCacheTime`.
@@ -79,7 +79,7 @@
 };
 
 struct QuotaClientCounters {
-  /// Frames that request tokens.
+  /// Frames sent that request tokens.
   std::uint64_t requests = 0;
   /// Requests admitted.
   std::uint64_t granted = 0;
@@ -90,7 +90,7 @@
   std::uint64_t refusedImmediately = 0;
   /// Subset of `refused`: none of the servers that were tried answered.
   std::uint64_t refusedUnanswered = 0;
-  /// Token requests that timed out or could not be delivered.
+  /// Requests to servers that timed out or could not be delivered.
   std::uint64_t unanswered = 0;
   /// Tokens that expired unused.
   std::uint64_t expired = 0;
@@ -139,21 +139,21 @@
     Endpoint server;
     std::uint64_t number = 0;
     Moment requestedAt{};
-    /// Requests that it is for; 0: it prefetches.
+    /// Number of waiting requests that it asks for; 0: a prefetch.
     std::size_t wanted = 0;
   };
   struct TenantState {
     TenantLimit limit;
     std::deque<Token> tokens;
     std::deque<Waiter> waiting;
-    /// The outstanding one.
+    /// The outstanding request for tokens.
     std::optional<PendingRequest> pending;
     /// Servers that did not answer for the waiting requests.
     std::vector<Endpoint> tried;
     bool prefetchDue = false;
     /// Requests are refused without asking until then.
     Moment refuseUntil{};
-    /// From the retry time in the last refusal.
+    /// When the server expects to have a token, from its last refusal.
     Moment nextTokenAt{};
     /// Requests refused since that refusal.
     double refusedSinceReply = 0;
--- a/src/coordination/serving/quota_plan.cpp
+++ b/src/coordination/serving/quota_plan.cpp
@@ -24,7 +24,7 @@
 
 /// The smaller of two bounds: one for windows within a lasting network partition, one for the window in which
 /// it begins. In the latter the primary grants its full rate and the successors their fractions of it until
-/// the membership notices, and then each side its part.
+/// the membership detects it, and then each side its part.
 double headroomOf(const QuotaPlan& plan, double allowed, Duration window) {
   if (plan.refillRate <= 0) {
     return 1;
--- a/src/coordination/serving/quota_server.h
+++ b/src/coordination/serving/quota_server.h
@@ -33,8 +33,8 @@
 struct TenantGrant {
   std::string tenant;
   std::uint32_t granted = 0;
-  /// Until a token may be available, if fewer were granted than requested. 0: this daemon does not know the
-  /// tenant's limit.
+  /// Expected time until another token is available, if fewer were granted than requested. 0: this daemon
+  /// does not know the tenant's limit.
   Duration retryAfter{};
 };
 
@@ -79,16 +79,15 @@
     TenantLimit limit;
     QuotaPlan plan;
     double level = 0;
-    /// Tokens refused and not refilled since. Spreads the retry times of refused callers.
+    /// Refused tokens, less the refill since. Refused callers get retry times that grow with it.
     double backlog = 0;
     std::size_t rank = 0;
     /// A predecessor has responded lately, or since the last refill.
     bool predecessorResponds = false;
     /// Since when all predecessors are suspected; `kNever` while one is not.
     Moment predecessorsSuspectedSince = kNever;
-    /// Since when no predecessor responds.
+    /// Since when no predecessor has responded.
     Moment predecessorsUnresponsiveSince{};
-    /// Time of the last refill.
     Moment refilledAt{};
   };
   struct Sender {
@@ -101,7 +100,6 @@
   static bool networkPartitionMayBeUndetected(const Bucket& bucket, Moment now);
   Bucket& bucketFor(const std::string& tenant, const TenantLimit& limit, const QuotaServerRank& position,
                     Moment now);
-  /// Initial level of a bucket.
   double initialLevelOf(const QuotaPlan& plan, const QuotaServerRank& position) const;
   double refillRateOf(const Bucket& bucket, Moment now) const;
   void refill(Bucket& bucket, Moment now) const;
--- a/tests/serving/coordination/configuration_proof_test.cpp
+++ b/tests/serving/coordination/configuration_proof_test.cpp
@@ -168,10 +168,8 @@
   REQUIRE(fleet.covers(40, kProofBound));
 }
 
-TEST_CASE(
-    "during an outage of the source proofs last for two seconds, expire by the bound and are renewed after "
-    "it",
-    "[serving]") {
+TEST_CASE("during an outage of the source proofs last two seconds, expire by the bound and are renewed",
+          "[serving]") {
   const auto daemons = GENERATE(3U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U);
   CAPTURE(daemons, random);
