--- a/src/coordination/serving/quota_server.cpp
+++ b/src/coordination/serving/quota_server.cpp
@@ -42,13 +42,13 @@
   }
 }
 
-bool QuotaServer::acceptFrame(const Endpoint& sender, std::uint64_t run, std::uint64_t number, Moment now) {
+bool QuotaServer::acceptFrame(const Endpoint& sender, std::uint64_t runId, std::uint64_t number, Moment now) {
   Sender& last = senders_[sender];
-  if (last.run == run && number <= last.number) {
+  if (last.runId == runId && number <= last.number) {
     ++counters_.framesIgnored;
     return false;
   }
-  last = Sender{run, number, now};
+  last = Sender{runId, number, now};
   return true;
 }
 
@@ -80,18 +80,18 @@
   bucket.refilledAt = std::max(bucket.refilledAt, now);
 }
 
-double QuotaServer::initialLevelOf(const QuotaPlan& plan, const QuotaServerRank& position) const {
+double QuotaServer::initialLevelOf(const QuotaPlan& plan, const QuotaServerRank& serverRank) const {
   // The second and later successors may each be on a side of their own.
-  const double full = position.rank < kEarlyRanks ? plan.initialLevel : plan.laterInitialLevel;
+  const double full = serverRank.rank < kEarlyRanks ? plan.initialLevel : plan.laterInitialLevel;
   if (!membershipStable_) {
     return std::min(full, kMaxUnstableInitialLevel) * visibleFraction_;
   }
-  const bool fullLaterLevel = position.rank >= kEarlyRanks && visibleFraction_ > kMinFullLevelFraction;
+  const bool fullLaterLevel = serverRank.rank >= kEarlyRanks && visibleFraction_ > kMinFullLevelFraction;
   return fullLaterLevel ? full : full * partitionSideScale(plan, visibleFraction_);
 }
 
 QuotaServer::Bucket& QuotaServer::bucketFor(const std::string& tenant, const TenantLimit& limit,
-                                            const QuotaServerRank& position, Moment now) {
+                                            const QuotaServerRank& serverRank, Moment now) {
   const auto [found, isNew] = buckets_.try_emplace(tenant);
   Bucket& bucket = found->second;
   const bool changed = limit.perSecond != bucket.limit.perSecond || limit.burst != bucket.limit.burst;
@@ -102,12 +102,12 @@
   if (isNew) {
     bucket.predecessorsUnresponsiveSince = now;
     bucket.refilledAt = now;
-    bucket.level = initialLevelOf(bucket.plan, position);
+    bucket.level = initialLevelOf(bucket.plan, serverRank);
   }
-  bucket.rank = position.rank;
-  bucket.predecessorsSuspectedSince = position.predecessorsSuspectedSince;
-  bucket.predecessorResponds = position.predecessorReceivedAt > now - kAliveAfterFrame ||
-                               (!isNew && position.predecessorReceivedAt >= bucket.refilledAt);
+  bucket.rank = serverRank.rank;
+  bucket.predecessorsSuspectedSince = serverRank.predecessorsSuspectedSince;
+  bucket.predecessorResponds = serverRank.predecessorReceivedAt > now - kAliveAfterFrame ||
+                               (!isNew && serverRank.predecessorReceivedAt >= bucket.refilledAt);
   if (bucket.predecessorResponds) {
     bucket.predecessorsUnresponsiveSince = now;
   }
@@ -116,8 +116,8 @@
 }
 
 std::optional<TenantGrant> QuotaServer::onRequest(const TenantTokenRequest& request, const TenantLimit& limit,
-                                                  const QuotaServerRank& position, Moment now) {
-  Bucket& bucket = bucketFor(request.tenant, limit, position, now);
+                                                  const QuotaServerRank& serverRank, Moment now) {
+  Bucket& bucket = bucketFor(request.tenant, limit, serverRank, now);
   const double capacity = bucket.plan.capacity * partitionSideScale(bucket.plan, visibleFraction_);
   bucket.level = std::min(capacity, bucket.level + request.returned);
   counters_.returned += request.returned;
--- a/src/coordination/serving/quota_server.h
+++ b/src/coordination/serving/quota_server.h
@@ -55,18 +55,19 @@
   /// `visibleFraction`: the fraction of the fleet that this daemon sees; see `FleetVisibility`.
   /// `membershipStable`: its member table is stable. Until then new buckets start with that fraction of their
   /// initial level, since after a start of the whole fleet several daemons rank themselves first for a
-  /// tenant. They don't start empty, as that would refuse tenants below their limit.
+  /// tenant. They don't start empty, as that would refuse tenants below their limit, also those whose first
+  /// servers are unreachable in a network partition.
   void setVisibleFraction(double visibleFraction, bool membershipStable) {
     visibleFraction_ = visibleFraction;
     membershipStable_ = membershipStable;
   }
 
-  /// False for a duplicate or reordered frame, which must be ignored. `run` identifies the sender's process:
-  /// a restarted one numbers its frames from 1 again.
-  bool acceptFrame(const Endpoint& sender, std::uint64_t run, std::uint64_t number, Moment now);
+  /// False for a duplicate or reordered frame, which must be ignored. `runId` identifies the sender's
+  /// process: a restarted one numbers its frames from 1 again.
+  bool acceptFrame(const Endpoint& sender, std::uint64_t runId, std::uint64_t number, Moment now);
   /// Empty if the request only returns tokens.
   std::optional<TenantGrant> onRequest(const TenantTokenRequest& request, const TenantLimit& limit,
-                                       const QuotaServerRank& position, Moment now);
+                                       const QuotaServerRank& serverRank, Moment now);
   /// Tokens left at the last refill; empty if there is no bucket for the tenant.
   std::optional<double> levelOf(const std::string& tenant) const;
   /// Removes buckets and senders without activity in the last minute.
@@ -91,16 +92,16 @@
     Moment refilledAt{};
   };
   struct Sender {
-    std::uint64_t run = 0;
+    std::uint64_t runId = 0;
     std::uint64_t number = 0;
     Moment lastReceivedAt{};
   };
 
   /// This daemon is a successor, and its member table may not reflect a recent network partition yet.
   static bool networkPartitionMayBeUndetected(const Bucket& bucket, Moment now);
-  Bucket& bucketFor(const std::string& tenant, const TenantLimit& limit, const QuotaServerRank& position,
+  Bucket& bucketFor(const std::string& tenant, const TenantLimit& limit, const QuotaServerRank& serverRank,
                     Moment now);
-  double initialLevelOf(const QuotaPlan& plan, const QuotaServerRank& position) const;
+  double initialLevelOf(const QuotaPlan& plan, const QuotaServerRank& serverRank) const;
   double refillRateOf(const Bucket& bucket, Moment now) const;
   void refill(Bucket& bucket, Moment now) const;
 
--- a/src/coordination/serving/quota_server_selector.cpp
+++ b/src/coordination/serving/quota_server_selector.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Shortest time between two probes of a predecessor. Four fit into `kAliveAfterFrame`, the time for which a
-/// daemon counts as alive after a frame of it.
+/// Shortest time between two probes of a predecessor. Fits four times into the time for which `QuotaServer`
+/// counts a daemon as alive after a frame of it.
 constexpr Duration kProbePeriod = std::chrono::milliseconds(50);
 
 /// Cached rankings of fewer daemons are dropped: one request may try `kMaxQuotaServersTried` of them.
@@ -49,7 +49,7 @@
   updateRankings(removed, added);
   daemons_ = std::move(daemons);
   const std::vector<Endpoint> addresses = addressesOf(daemons_);
-  silence_.retain(addresses);
+  failureDetector_.retain(addresses);
   const auto retain = [&](std::unordered_map<Endpoint, Moment>& moments) {
     for (auto entry = moments.begin(); entry != moments.end();) {
       const bool known = std::binary_search(addresses.begin(), addresses.end(), entry->first);
@@ -116,7 +116,7 @@
 }
 
 bool QuotaServerSelector::expectedToRespond(const Endpoint& server, Moment now) const {
-  if (silence_.silent(server, now)) {
+  if (failureDetector_.silent(server, now)) {
     return false;
   }
   // A request has few attempts. Without the suspicions of the membership, each daemon on the small side of a
@@ -130,22 +130,22 @@
 }
 
 QuotaServerRank QuotaServerSelector::rankOfSelf(const std::string& tenant) {
-  QuotaServerRank position;
-  position.predecessorsSuspectedSince = Moment::min();
+  QuotaServerRank serverRank;
+  serverRank.predecessorsSuspectedSince = Moment::min();
   for (const auto& [server, capacity] : rankingOf(tenant)) {
     if (server == self_) {
       break;
     }
-    ++position.rank;
+    ++serverRank.rank;
     const auto suspected = suspectedAt_.find(server);
     const Moment since = suspected == suspectedAt_.end() ? kNever : suspected->second;
-    position.predecessorsSuspectedSince = std::max(position.predecessorsSuspectedSince, since);
+    serverRank.predecessorsSuspectedSince = std::max(serverRank.predecessorsSuspectedSince, since);
     const auto received = lastReceivedAt_.find(server);
     if (received != lastReceivedAt_.end()) {
-      position.predecessorReceivedAt = std::max(position.predecessorReceivedAt, received->second);
+      serverRank.predecessorReceivedAt = std::max(serverRank.predecessorReceivedAt, received->second);
     }
   }
-  return position;
+  return serverRank;
 }
 
 std::vector<Endpoint> QuotaServerSelector::takePredecessorProbes(const std::string& tenant, Moment now) {
@@ -165,17 +165,17 @@
 
 void QuotaServerSelector::onSent(const Endpoint& server, Moment now) {
   if (server != self_) {
-    silence_.onSent(server, now);
+    failureDetector_.onSent(server, now);
   }
 }
 
 void QuotaServerSelector::onReceived(const Endpoint& server, Moment now) {
-  silence_.onHeard(server, now);
+  failureDetector_.onHeard(server, now);
   lastReceivedAt_[server] = now;
 }
 
 void QuotaServerSelector::onUnreachable(const Endpoint& server, Moment now) {
-  silence_.onToldSilent(server, now);
+  failureDetector_.onToldSilent(server, now);
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/quota_server_selector.h
+++ b/src/coordination/serving/quota_server_selector.h
@@ -58,7 +58,7 @@
   void onReceived(const Endpoint& server, Moment now);
   void onUnreachable(const Endpoint& server, Moment now);
   /// Unresponsive daemons that are due for a probe.
-  std::vector<Endpoint> takeDueProbes(Moment now) { return silence_.takeTries(now); }
+  std::vector<Endpoint> takeDueProbes(Moment now) { return failureDetector_.takeTries(now); }
 
  private:
   const std::vector<ServingDaemon>& rankingOf(const std::string& tenant);
@@ -71,7 +71,7 @@
   std::vector<ServingDaemon> daemons_;
   /// Cached rankings, each complete or a prefix.
   std::unordered_map<std::string, std::vector<ServingDaemon>> rankings_;
-  PeerSilence silence_;
+  PeerSilence failureDetector_;
   std::unordered_map<Endpoint, Moment> lastReceivedAt_;
   /// Suspected daemons, and since when.
   std::unordered_map<Endpoint, Moment> suspectedAt_;
--- a/tests/serving/coordination/configuration_prover_test.cpp
+++ b/tests/serving/coordination/configuration_prover_test.cpp
@@ -316,11 +316,11 @@
 TEST_CASE("an update alone proves nothing; its sender is asked for a proof", "[serving]") {
   ListedDaemon daemon;
   const Moment before = daemon.follower.proof().provenAt;
-  SourceNews news;
-  news.set_after_revision(10);
-  news.set_revision(10);
-  news.set_reader(kFirst.text());
-  const FollowerActions actions = daemon.follower.onNews(kFirst, news, at(3000));
+  SourceNews update;
+  update.set_after_revision(10);
+  update.set_revision(10);
+  update.set_reader(kFirst.text());
+  const FollowerActions actions = daemon.follower.onNews(kFirst, update, at(3000));
   REQUIRE(daemon.follower.proof().provenAt == before);
   REQUIRE(actions.proofs.requests.size() == 1);
   REQUIRE(actions.proofs.requests[0].to == kFirst);
--- a/tests/serving/coordination/quota_plan_test.cpp
+++ b/tests/serving/coordination/quota_plan_test.cpp
@@ -25,10 +25,10 @@
       for (const double burst : {0.0, 1.0, 8.0, 100.0, 5000.0}) {
         const TenantLimit limit{rate, burst};
         const QuotaPlan plan = planQuota(limit, tolerance);
-        const double counted = plan.refillRate * seconds(tolerance.window + kTokenLifetime) + plan.capacity +
+        const double granted = plan.refillRate * seconds(tolerance.window + kTokenLifetime) + plan.capacity +
                                2 * plan.initialLevel + 2 * plan.laterInitialLevel;
         CAPTURE(rate, burst, plan.capacity, plan.initialLevel, plan.refillRate);
-        REQUIRE(counted <= std::max(1.0, allowedInWindow(limit, tolerance)) + 1e-6);
+        REQUIRE(granted <= std::max(1.0, allowedInWindow(limit, tolerance)) + 1e-6);
         REQUIRE(plan.capacity >= 1);
         REQUIRE(plan.initialLevel >= 0);
         REQUIRE(plan.laterInitialLevel >= 0);
@@ -122,8 +122,8 @@
   const TenantLimit limit{4, 4};
   std::uint32_t granted = 0;
   for (int millisecond = 0; millisecond < 20'000; millisecond += 100) {
-    const QuotaServerRank position{1, at(millisecond)};
-    granted += server.onRequest(TenantTokenRequest{"t", 1, 0}, limit, position, at(millisecond))->granted;
+    const QuotaServerRank serverRank{1, at(millisecond)};
+    granted += server.onRequest(TenantTokenRequest{"t", 1, 0}, limit, serverRank, at(millisecond))->granted;
   }
   REQUIRE(granted == static_cast<std::uint32_t>(planQuota(limit, kTolerance).initialLevel));
   // The predecessor no longer responds.
--- a/tests/serving/support/quota_fleet.cpp
+++ b/tests/serving/support/quota_fleet.cpp
@@ -7,9 +7,8 @@
 
 namespace {
 
-/// Delays of the membership protocol, which probes once a second: an unreachable daemon is suspected within
-/// the range below and removed from the member table after the last delay; a joining one is found within the
-/// next.
+/// Delays of the membership protocol, which probes once a second: until an unreachable daemon is suspected,
+/// from then until it is removed, and until a joining daemon is found.
 constexpr int kSuspectedFromMilliseconds = 300;
 constexpr int kSuspectedUntilMilliseconds = 2000;
 constexpr int kDeadAfterMilliseconds = 6000;
@@ -35,7 +34,7 @@
       detections_(settings.daemons, std::vector<std::uint64_t>(settings.daemons, 0)) {
   for (std::size_t number = 0; number < settings.daemons; ++number) {
     daemons_[number] = std::make_unique<Daemon>(addressOf(number), settings_, random_);
-    daemons_[number]->run = ++runs_;
+    daemons_[number]->runId = ++lastRunId_;
     daemons_[number]->membershipStable = true;
     daemons_[number]->known.assign(settings.daemons, true);
     daemons_[number]->suspected.assign(settings.daemons, false);
@@ -91,11 +90,11 @@
     return;
   }
   const std::uint64_t number = ++detections_[daemon][other];
-  const auto later = [this, daemon, other, number, run = daemons_[daemon]->run](Moment moment, bool known,
-                                                                                bool suspected) {
+  const auto later = [this, daemon, other, number, runId = daemons_[daemon]->runId](Moment moment, bool known,
+                                                                                    bool suspected) {
     at(moment, [=] {
       if (detections_[daemon][other] == number && daemons_[daemon] != nullptr &&
-          daemons_[daemon]->run == run) {
+          daemons_[daemon]->runId == runId) {
         daemons_[daemon]->known[other] = known;
         daemons_[daemon]->suspected[other] = suspected;
         applyMembership(daemon);
@@ -125,7 +124,7 @@
 void QuotaFleet::start(std::size_t number) {
   daemons_[number] = std::make_unique<Daemon>(addressOf(number), settings_, random_);
   Daemon& daemon = *daemons_[number];
-  daemon.run = ++runs_;
+  daemon.runId = ++lastRunId_;
   daemon.known.assign(daemons_.size(), false);
   daemon.known[number] = true;
   daemon.suspected.assign(daemons_.size(), false);
@@ -136,8 +135,8 @@
       scheduleDetection(other, number, true);
     }
   }
-  at(now_ + kStabilizationTime, [this, number, run = daemon.run] {
-    if (daemons_[number] != nullptr && daemons_[number]->run == run) {
+  at(now_ + kStabilizationTime, [this, number, runId = daemon.runId] {
+    if (daemons_[number] != nullptr && daemons_[number]->runId == runId) {
       daemons_[number]->membershipStable = true;
       applyMembership(number);
     }
@@ -217,8 +216,8 @@
     return;
   }
   at(now_ + drawBetween(0, 300),
-     [this, tenant, daemon, token = std::get<Token>(decision), run = daemons_[daemon]->run] {
-       if (daemons_[daemon] != nullptr && daemons_[daemon]->run == run) {
+     [this, tenant, daemon, token = std::get<Token>(decision), runId = daemons_[daemon]->runId] {
+       if (daemons_[daemon] != nullptr && daemons_[daemon]->runId == runId) {
          daemons_[daemon]->client.release(tenant, token, now_);
          sendDue(daemon);
        }
@@ -263,8 +262,8 @@
                                                    grant(daemon, request.tenantRequests), now_));
         continue;
       }
-      send(number, numberOf(request.server), [this, number, run = daemon.run, request](Daemon& receiver) {
-        answer(numberOf(receiver.self), number, run, request);
+      send(number, numberOf(request.server), [this, number, runId = daemon.runId, request](Daemon& receiver) {
+        answer(numberOf(receiver.self), number, runId, request);
       });
     }
   }
@@ -275,18 +274,18 @@
 }
 
 void QuotaFleet::sendProbe(std::size_t number, const Endpoint& other) {
-  send(number, numberOf(other), [this, number, run = daemons_[number]->run, other](Daemon& receiver) {
-    answer(numberOf(receiver.self), number, run, OutgoingTokenRequest{other, 0, {}});
+  send(number, numberOf(other), [this, number, runId = daemons_[number]->runId, other](Daemon& receiver) {
+    answer(numberOf(receiver.self), number, runId, OutgoingTokenRequest{other, 0, {}});
   });
 }
 
-void QuotaFleet::answer(std::size_t number, std::size_t requester, std::uint64_t requesterRun,
+void QuotaFleet::answer(std::size_t number, std::size_t requester, std::uint64_t requesterRunId,
                         const OutgoingTokenRequest& request) {
   Daemon& daemon = *daemons_[number];
   daemon.selector.onReceived(addressOf(requester), now_);
   std::vector<TenantGrant> grants;
   if (!request.tenantRequests.empty()) {
-    if (!daemon.server.acceptFrame(addressOf(requester), requesterRun, request.number, now_)) {
+    if (!daemon.server.acceptFrame(addressOf(requester), requesterRunId, request.number, now_)) {
       return;
     }
     grants = grant(daemon, request.tenantRequests);
@@ -294,8 +293,8 @@
       return;
     }
   }
-  send(number, requester, [this, number, requester, requesterRun, request, grants](Daemon& sender) {
-    if (sender.run == requesterRun) {
+  send(number, requester, [this, number, requester, requesterRunId, request, grants](Daemon& sender) {
+    if (sender.runId == requesterRunId) {
       completeAll(requester, sender.client.onGrants(addressOf(number), request.number, grants, now_));
       sendDue(requester);
     }
@@ -326,8 +325,8 @@
   if (next == kNever) {
     return;
   }
-  at(next, [this, number, run = daemons_[number]->run] {
-    if (daemons_[number] != nullptr && daemons_[number]->run == run &&
+  at(next, [this, number, runId = daemons_[number]->runId] {
+    if (daemons_[number] != nullptr && daemons_[number]->runId == runId &&
         daemons_[number]->client.nextDueAt() <= now_) {
       completeAll(number, daemons_[number]->client.onTimer(now_));
       sendDue(number);
--- a/tests/serving/support/quota_fleet.h
+++ b/tests/serving/support/quota_fleet.h
@@ -84,7 +84,7 @@
     QuotaClient client;
     QuotaServer server;
     FleetVisibility visibility;
-    std::uint64_t run = 0;
+    std::uint64_t runId = 0;
     bool membershipStable = false;
     std::vector<bool> known;
     std::vector<bool> suspected;
@@ -115,7 +115,7 @@
   void completeAll(std::size_t daemon, const std::vector<TokenDecision>& decisions);
   void sendDue(std::size_t daemon);
   void sendProbe(std::size_t daemon, const Endpoint& other);
-  void answer(std::size_t daemon, std::size_t requester, std::uint64_t requesterRun,
+  void answer(std::size_t daemon, std::size_t requester, std::uint64_t requesterRunId,
               const OutgoingTokenRequest& request);
   std::vector<TenantGrant> grant(Daemon& daemon, const std::vector<TenantTokenRequest>& tenantRequests);
   void armTimer(std::size_t daemon);
@@ -130,7 +130,7 @@
   std::priority_queue<Event> queue_;
   std::vector<std::unique_ptr<Daemon>> daemons_;
   std::vector<std::size_t> sides_;
-  std::uint64_t runs_ = 0;
+  std::uint64_t lastRunId_ = 0;
   /// Number of the last `scheduleDetection` per pair of daemons; scheduled changes of earlier ones are void.
   std::vector<std::vector<std::uint64_t>> detections_;
   std::map<std::string, TenantLimit> limits_;
