--- a/src/coordination/serving/admission.cpp
+++ b/src/coordination/serving/admission.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// A request is refused when its answer is expected after this multiple of the target latency.
+/// A request is refused if its expected answer time exceeds this multiple of the target latency.
 constexpr double kPatience = 1.5;
-/// A refused caller is told to come back no later than after this and half as much.
+/// Maximum retry delay, before the random addition of up to half as much.
 constexpr Duration kLongestRetryAfter = std::chrono::seconds(1);
-/// For services without a usable leaf.
+/// Stands for the answer time of a service without a usable leaf.
 constexpr Duration kUnreachable = std::chrono::seconds(60);
 
 Duration expectedPartTime(const std::string& service, const Route& route, QueryContext& context, Moment now) {
@@ -28,7 +28,7 @@
   return best;
 }
 
-/// How long until a leaf of the service may be sent to, as far as this daemon knows; zero when one may now.
+/// Time until a leaf of the service can be tried, as far as this daemon knows; zero if one can be used now.
 Duration timeUntilServable(const std::string& service, const ServingView& view, QueryContext& context,
                            Moment now) {
   const auto listed = view.leafs->find(service);
@@ -51,7 +51,7 @@
   return soonest;
 }
 
-/// The one of `times` by which enough parts of an answer on the route are there.
+/// The time within which enough shards for an answer on the route are ready, from the time of each shard.
 Duration whenEnough(const Route& route, std::vector<Duration>& times) {
   std::size_t needed = 1;
   if (const auto* gather = std::get_if<GatherTarget>(&route.target)) {
@@ -63,7 +63,7 @@
   return *place;
 }
 
-/// Applies `timeOf` to each service of the route.
+/// The result of `timeOf` for each service of the route.
 template <typename TimeOf>
 std::vector<Duration> timesOfServices(const Route& route, TimeOf timeOf) {
   std::vector<Duration> times;
@@ -80,7 +80,7 @@
   return times;
 }
 
-/// Later by up to half, so that callers that were refused together do not come back together.
+/// Adds a random delay of up to half, so that callers that were refused together do not retry together.
 Duration spread(Duration retryAfter, RandomEngine& random) {
   const auto half = static_cast<std::size_t>(retryAfter.count() / 2 + 1);
   return retryAfter + Duration(static_cast<std::int64_t>(drawBelow(half, random)));
--- a/src/coordination/serving/admission.h
+++ b/src/coordination/serving/admission.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Refuses at once what could not be answered, or not in time, so that the work that is taken on is worth
-/// doing and callers are free to try elsewhere.
+/// Admission control: refuses requests that cannot be answered, or not in time, before any work is done for
+/// them.
 
 #include <optional>
 
@@ -10,19 +10,17 @@
 
 namespace oakpier::serving {
 
-/// The time until enough leafs are expected to have answered a request to the route; the shards that an
-/// answer may lack do not count.
+/// Expected time until enough shards of the route have answered; the slowest shards that an answer may omit
+/// do not count.
 Duration expectedAnswerTime(const Route& route, QueryContext& context, Moment now);
 
-/// Set when the answer is expected so late that the caller is served better by coming back. It waits for
-/// the time by which the answer would be late.
+/// Set if the expected answer time exceeds the target latency by far. The retry delay is the time by which
+/// the answer would miss the target.
 std::optional<Refusal> refuseWhenBusy(const Route& route, QueryContext& context, Moment now);
 
-/// Set when it is known that no success can come: fewer shards than an answer needs have a leaf that takes
-/// work and can be reached. Leafs of shards that are left to other daemons count as reachable. The caller is
-/// told to come back when enough leafs are tried again. Guards against work for answers that cannot become
-/// whole: in a zone cut off from 26 of its 90 shards requests were held for 600 to 1,200 ms before (log of
-/// one play).
+/// Set if the request cannot succeed: fewer shards than an answer needs have a reachable leaf that takes
+/// work. Leafs of shards that are delegated to other daemons count as reachable. The retry delay ends when
+/// enough leafs are tried again.
 std::optional<Refusal> refuseWhenUnservable(const Route& route, const ServingView& view,
                                             QueryContext& context, Moment now);
 
--- a/src/coordination/serving/extra_send_budget.h
+++ b/src/coordination/serving/extra_send_budget.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Bounds hedges and retries to a service as a share of its requests, so that the sum over all daemons stays
-/// within the operator's bound, also after restarts: what the process before may have spent lately is
-/// unknown, so a new one has nothing saved until the operator's window has passed once, and then all that may
-/// be saved.
+/// Token bucket for extra attempts (hedges and retries) to a service. Requests add tokens, extra attempts
+/// take them. The sum over all daemons stays within the operator's limit, also after restarts: what the
+/// previous process spent is unknown, so a new process starts with an empty bucket, which is filled once the
+/// operator's window has passed.
 
 #include <algorithm>
 #include <cstddef>
@@ -17,36 +17,36 @@
 
 namespace oakpier::serving {
 
-/// What the operator allows all daemons together for one service.
+/// The operator's limit for one service and all daemons together.
 struct OperatorExtraSends {
-  /// Extra sends in a window as a share of the requests in it.
+  /// Extra attempts in a window as a share of the requests in it.
   double ratio = 0.2;
-  /// Extra sends in a window beyond that share.
+  /// Extra attempts in a window beyond that share.
   double slack = 50;
   Duration window = std::chrono::seconds(10);
 };
 
-/// What one daemon may use of that.
+/// One daemon's part of the operator's limit.
 struct ExtraSendBounds {
-  /// Extra sends earned by one request.
+  /// Tokens added by one request.
   double ratio = 0.15;
-  /// Extra sends that one daemon may save up for a service. Below 1 an extra send is left to chance.
+  /// Capacity of the bucket, in extra attempts. Below 1, an extra attempt is allowed at random.
   double saved = 3.0;
-  /// The operator counts extra sends in spans of this length.
+  /// Length of the window in which the operator counts extra attempts.
   Duration window = std::chrono::seconds(10);
-  /// Set where services move between daemons: what a daemon may use of `saved` in its first window with a
-  /// service, as the daemon before it may have used the rest.
+  /// Set if services move between daemons: the tokens that a daemon starts with when it takes over a service.
+  /// The previous owner may have used the rest in the current window.
   std::optional<double> savedWhenNew;
 };
 
-/// One daemon's share of the operator's bound, from the largest number of daemons that it has known: one that
-/// is cut off from the others must not take their shares.
+/// Computes one daemon's share of the operator's limit from the largest number of daemons known so far, so
+/// that a daemon on one side of a network partition does not use the others' shares.
 class ExtraSendShare {
  public:
-  /// Who has a service's budget: every daemon, or the owner of the moment.
+  /// Which daemons have a budget for a service: all of them, or only its current owner.
   enum class Holder { kEveryDaemon, kOwner };
 
-  /// `assumedDaemons`: how many share the bound at least, until more are known.
+  /// `assumedDaemons`: minimum number of daemons that the limit is divided among.
   ExtraSendShare(const OperatorExtraSends& total, std::size_t assumedDaemons,
                  Holder holder = Holder::kEveryDaemon)
       : total_(total), mostDaemons_(std::max<std::size_t>(1, assumedDaemons)), holder_(holder) {}
@@ -56,7 +56,7 @@
 
   ExtraSendBounds bounds() const {
     const double each = total_.slack / static_cast<double>(mostDaemons_);
-    // Chance adds its own spread to the sum, so that less of the bound may be planned.
+    // Random decisions add variance to the sum over all daemons, so a larger margin is kept.
     const double used = each * kUsedShare < 1.0 ? kUsedShareByChance : kUsedShare;
     ExtraSendBounds bounds{total_.ratio * used, each * used, total_.window, std::nullopt};
     if (holder_ == Holder::kOwner) {
@@ -66,9 +66,10 @@
   }
 
  private:
-  /// Share of the operator's bound that is planned.
+  /// Share of the operator's limit that is used; the rest is a safety margin.
   static constexpr double kUsedShare = 0.9;
   static constexpr double kUsedShareByChance = 0.75;
+  /// Share of the capacity that a new owner of a service starts with.
   static constexpr double kShareWhenNew = 0.2;
 
   OperatorExtraSends total_;
@@ -76,14 +77,15 @@
   Holder holder_;
 };
 
-/// One service's budget at one daemon. Not thread-safe.
+/// The budget of one service at one daemon. Not thread-safe.
 class ExtraSendBudget {
  public:
-  /// One request came.
+  /// Adds the tokens of one request.
   void earn(const ExtraSendBounds& bounds) { tokens_ = std::min(bounds.saved, tokens_ + bounds.ratio); }
 
-  /// Takes one extra send; false when none is left. A daemon that cannot save up a whole one draws with the
-  /// odds of what it has, which is used up either way: then the mean of all draws is what was saved.
+  /// Takes one token for an extra attempt; false if there is none. If the capacity is below one token, the
+  /// fraction in the bucket is the probability of success and is used up either way, so that the expected
+  /// number of extra attempts equals the tokens spent.
   bool spend(const ExtraSendBounds& bounds, RandomEngine& random) {
     if (tokens_ >= 1.0) {
       tokens_ -= 1.0;
@@ -97,10 +99,11 @@
     return std::bernoulli_distribution(odds)(random);
   }
 
-  /// An extra send that was paid for did not reach a leaf.
+  /// Returns the token of an extra attempt that did not reach a leaf.
   void giveBack(const ExtraSendBounds& bounds) { tokens_ = std::min(bounds.saved, tokens_ + 1.0); }
 
-  /// Called before each use. `processStartedAt`: what an earlier process used is unknown.
+  /// Must be called before each use. Fills the bucket once after a window has passed since the process
+  /// started and, with `savedWhenNew`, since the daemon took over the service.
   void refresh(const ExtraSendBounds& bounds, Moment processStartedAt, Moment now) {
     const bool windowPassed = now - processStartedAt >= bounds.window;
     const bool lapsed = !held_ && now - usedAt_ >= bounds.window;
@@ -114,7 +117,8 @@
       tokens_ = bounds.saved;
     }
   }
-  /// Says whether the service is this daemon's own, so that having it counts from now on, used or not.
+  /// Sets whether this daemon owns the service. Its first window then starts now rather than at the first
+  /// use, and does not lapse while the service is idle.
   void setHeld(bool held, const ExtraSendBounds& bounds, Moment processStartedAt, Moment now) {
     if (held && !held_ && bounds.savedWhenNew) {
       take(bounds, now - processStartedAt >= bounds.window, now);
@@ -122,7 +126,7 @@
     held_ = held;
   }
   double tokens() const { return tokens_; }
-  /// How full the budget is, from 0 to 1.
+  /// Tokens as a share of the capacity, from 0 to 1.
   double fill(const ExtraSendBounds& bounds) const { return std::clamp(tokens_ / bounds.saved, 0.0, 1.0); }
 
  private:
@@ -135,7 +139,8 @@
   double tokens_ = 0.0;
   bool filled_ = false;
   bool held_ = false;
-  /// When this daemon began to serve the service, as far as it was not idle for a window since.
+  /// Start of the daemon's first window with the service. Reset if it uses the service again after an idle
+  /// window without owning it.
   Moment takenAt_{};
   Moment usedAt_{};
 };
@@ -143,7 +148,7 @@
 /// The budgets of all services.
 class ExtraSendBudgets {
  public:
-  /// `random` outlives the budgets.
+  /// `random` must outlive the budgets.
   ExtraSendBudgets(const ExtraSendBounds& bounds, Moment startedAt, RandomEngine& random)
       : bounds_(bounds), startedAt_(startedAt), random_(random) {}
 
@@ -153,7 +158,7 @@
     return budgetOf(service, now).spend(bounds_, random_);
   }
   void giveBack(const std::string& service, Moment now) { budgetOf(service, now).giveBack(bounds_); }
-  /// The services whose owner this daemon is, all others not.
+  /// Sets the services that this daemon owns; all others are no longer owned.
   void setHeld(const std::unordered_set<std::string>& services, Moment now) {
     for (const std::string& service : services) {
       budgets_.try_emplace(service);
--- a/src/coordination/serving/leaf_assignment.cpp
+++ b/src/coordination/serving/leaf_assignment.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// How many daemons may send to a leaf of the service.
+/// Number of daemons that may send to a leaf of the service.
 std::size_t sendersTo(const std::string& service, const SharingDaemons& daemons, const ShardOwners& owners) {
   return owners.owned(service) ? ownersAtOnce(daemons.mostZones) : daemons.mostPlanned;
 }
--- a/src/coordination/serving/leaf_assignment.h
+++ b/src/coordination/serving/leaf_assignment.h
@@ -1,10 +1,11 @@
 #pragma once
 
-/// Which leafs this daemon uses, with how many connections, and which it leaves to shards' owners.
+/// Selects the leafs that this daemon connects to and the number of connections to each. Leafs of services
+/// with owners are used only by the owners.
 ///
-/// Invariants: a draining or evacuated leaf is not assigned; of a service that is left to owners only its
-/// owners use leafs; the connections of all daemons together fit what a leaf accepts, while member tables are
-/// equal.
+/// Invariants: draining and evacuated leafs are never assigned; for a service with owners, only its owners
+/// use leafs; while all daemons have the same member table, their connections to a leaf do not exceed the
+/// leaf's limit.
 
 #include <cstddef>
 #include <string>
@@ -17,30 +18,28 @@
 
 namespace oakpier::serving {
 
-/// How many others use the same leafs.
+/// Number of daemons and zones that share the leafs.
 struct SharingDaemons {
-  /// Daemons that connections are planned for; more than there are, as some may come.
+  /// Daemons that connections are planned for. Higher than the current number, to allow for growth.
   std::size_t planned = 1;
   std::size_t zones = 1;
-  /// The most daemons and zones that were ever known: some may only be out of reach and still send. Until any
-  /// are known, more than there are, so that this daemon takes the least share of what cold leafs bear.
+  /// Highest numbers seen so far, since daemons that are currently unreachable may still send. The defaults,
+  /// used until any daemon is known, are high, so that this daemon sends little to cold leafs.
   std::size_t mostPlanned = 1000;
   std::size_t mostZones = 10;
-  /// What the operator tolerates at cold leafs.
   WarmupTolerance warmup = {};
 };
 
 struct LeafAssignment {
-  /// The leafs that this daemon uses.
   LeafsByService leafs;
   ConnectionShares shares;
-  /// For services whose cold leafs bear only so much.
+  /// For services with a request limit for cold leafs.
   WarmupAllowances warmups;
-  /// Services that are left to owners and whose first owner this daemon is.
+  /// Services with owners whose first owner is this daemon.
   std::unordered_set<std::string> firstOwned;
 };
 
-/// Tells `owners` which services are left to them.
+/// Also updates the set of services that have owners in `owners`.
 LeafAssignment assignLeafs(const ServingView& view, const SharingDaemons& daemons, const Endpoint& self,
                            ShardOwners& owners);
 
--- a/src/coordination/serving/leaf_outcome.h
+++ b/src/coordination/serving/leaf_outcome.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// How one exchange with a leaf ended.
+/// Outcome of one exchange with a leaf.
 
 #include <memory>
 #include <optional>
@@ -11,48 +11,48 @@
 
 namespace oakpier::serving {
 
-/// What a leaf tells of its load with an answer.
+/// Load that a leaf reports with an answer.
 struct ReportedLoad {
   unsigned running = 0;
   unsigned waiting = 0;
   unsigned slots = 0;
-  /// How long work takes at the leaf at present, in hundredths of what is usual there.
+  /// Current service time at the leaf in percent of its usual service time.
   unsigned workTimePercent = 100;
 };
 
 struct LeafOutcome {
   enum class Kind {
-    /// A whole, signed success that belongs to the request.
+    /// A complete, signed success response to the request.
     kAnswered,
-    /// A whole, signed failure that the leaf itself gave; the request has run.
+    /// A complete, signed error response of the leaf itself; the request was executed.
     kLeafFailed,
-    /// The leaf says that it did not run the request.
+    /// The leaf reports that it did not execute the request.
     kNotExecuted,
-    /// Another leaf has the address now; it did not run the request.
+    /// Another leaf has the address now and did not execute the request.
     kWrongInstance,
-    /// The request was sent, whole or in part, and no usable answer came; it may have run.
+    /// The request was sent at least in part and got no usable response; it may have been executed.
     kNoAnswer,
-    /// As kNoAnswer, and the leaf's process has ended with the request on it.
+    /// Like kNoAnswer, and the leaf's process terminated while the request was there.
     kLeafEnded,
-    /// No byte of the request was written, as the leaf could not be reached.
+    /// The leaf was unreachable; no byte of the request was written.
     kNotSent,
-    /// No byte of the request was written: what was left of its time could no longer hold the leaf's usual
-    /// work. Says nothing of the leaf.
+    /// Dropped before a byte was written, as the time left was shorter than the leaf usually needs. Does not
+    /// count as a failure of the leaf.
     kExpired,
-    /// The query no longer wanted the answer; the request was taken back or cut off.
+    /// Cancelled by the query: dropped before the send, or aborted after it.
     kWithdrawn,
   };
 
   Kind kind = Kind::kNoAnswer;
   /// Set for kAnswered and kLeafFailed.
   std::shared_ptr<const HttpReply> reply;
-  /// The leaf's signature of the answer.
+  /// The leaf's signature over the answer.
   std::string signature;
   std::optional<ReportedLoad> load;
-  /// How much longer the leaf is cold, if it told.
+  /// Remaining warm-up time, if the leaf reported it.
   std::optional<Duration> warmupLeft;
-  /// The answer came by way of a merging daemon: it lacks records that earlier answers of the same work rule
-  /// out, so none of those may be replaced by another leaf's answer.
+  /// The answer came from a merging daemon. It omits records that rank below those of earlier answers of the
+  /// same merge, so none of these may be replaced by another leaf's answer.
   bool merged = false;
 };
 
--- a/src/coordination/serving/leaf_selection.cpp
+++ b/src/coordination/serving/leaf_selection.cpp
@@ -8,11 +8,12 @@
 
 constexpr Duration kOtherZonePenalty = std::chrono::milliseconds(12);
 constexpr Duration kFurtherZonePenalty = std::chrono::milliseconds(18);
-/// A stalled leaf is expected to stay silent at least this much longer.
+/// Added for a leaf with an overdue answer.
 constexpr Duration kStallPenalty = std::chrono::milliseconds(100);
 constexpr Duration kEjectedPenalty = std::chrono::seconds(10);
 constexpr double kWarmupFactor = 1.6;
-/// Breaks ties, so that daemons that know the same do not all choose the same leaf.
+/// Upper bound of the random tie-breaker. Without it, daemons with the same estimates would all select the
+/// same leaf.
 constexpr std::size_t kTieBreakMicroseconds = 1500;
 
 Duration zonePenalty(const std::string& zone, const SelectionRequest& request) {
@@ -22,7 +23,7 @@
   return zone == request.preferredZone ? kOtherZonePenalty : kFurtherZonePenalty;
 }
 
-/// A cold leaf may get one more request from this daemon.
+/// Whether the limit for cold leafs allows one more request from this daemon to the leaf.
 bool bearsOneMore(LeafStatus& leaf, const WarmupAllowance* allowance, RandomEngine& random, Moment now) {
   if (allowance == nullptr || !leaf.warmingUp(now)) {
     return true;
--- a/src/coordination/serving/leaf_selection.h
+++ b/src/coordination/serving/leaf_selection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Chooses the leaf that is expected to answer a request first.
+/// Selects the leaf with the lowest expected latency for a request.
 
 #include <memory>
 #include <string>
@@ -13,40 +13,40 @@
 
 namespace oakpier::serving {
 
-/// What an answer of one kind of request needs at an ordinary leaf.
+/// Time that a leaf of average speed needs to answer a request of one route.
 struct AnswerTime {
-  /// Work and the ways there and back.
+  /// Service time and network round trip, without queueing.
   Duration withoutQueue{};
-  /// With this much time left a request may go to any leaf.
+  /// With this much time left, the request may be sent to any leaf.
   Duration alwaysWorthTrying{};
 };
 
 struct SelectionRequest {
-  /// Lives of leafs that were already tried for the request.
+  /// Leafs that the request was already sent to; they are not selected again.
   const std::vector<LeafLife>& triedLeafs;
-  /// The usual latency of this kind of request.
+  /// Median latency of requests of this route.
   Duration typicalLatency;
-  /// The zone of this daemon; leafs elsewhere cost more to reach.
+  /// The zone of this daemon. Leafs of other zones get a latency penalty.
   const std::string& ownZone;
-  /// The other zone that costs least; may be empty.
+  /// The other zone with the lowest penalty; may be empty.
   std::string_view preferredZone = {};
-  /// Until the leaf's deadline; leafs that usually need longer are left out.
+  /// Time until the leaf's deadline. Leafs that usually need longer are skipped.
   Duration timeLeft = Duration::max();
   AnswerTime answerTime = {};
-  /// What this daemon may send to a cold leaf; null when that is not bounded.
+  /// Limit on requests to a cold leaf; null if there is none.
   const WarmupAllowance* warmup = nullptr;
 };
 
-/// The least time that the leaf usually needs for an answer, its queue aside.
+/// Minimum time in which the leaf usually answers, without queueing.
 Duration leastAnswerTime(const LeafStatus& leaf, const AnswerTime& time);
 
-/// The time to an answer that the leaf's speed and queue let expect.
+/// Expected latency from the leaf's speed and queue length.
 Duration queueingLatency(const LeafStatus& leaf, Duration typicalLatency, Moment now);
 
-/// The same, with penalties for what makes an answer doubtful or costly.
+/// `queueingLatency` plus penalties for other zones, overdue answers and ejected leafs.
 Duration expectedLatency(const LeafStatus& leaf, const SelectionRequest& request, Moment now);
 
-/// Null when no usable leaf is left.
+/// Null if no leaf is eligible.
 std::shared_ptr<LeafStatus> selectLeaf(const LeafRegistry::Leafs& leafs, const SelectionRequest& request,
                                        RandomEngine& random, Moment now);
 
--- a/src/coordination/serving/leaf_status.cpp
+++ b/src/coordination/serving/leaf_status.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-/// Weight of the newest latency in the smoothed ratio.
+/// Weight of the newest sample in the moving average.
 constexpr double kSlownessGain = 0.1;
 constexpr double kSlownessFloor = 0.5;
 constexpr double kSlownessCeiling = 20.0;
-/// Told load is believed for this long.
+/// Reported load is ignored after this time.
 constexpr Duration kLoadLifetime = std::chrono::milliseconds(150);
-/// A leaf that fails this often in a row is avoided.
+/// Consecutive failures before a leaf is ejected.
 constexpr unsigned kFailuresBeforeEjection = 3;
-/// A leaf that could not be reached this often in a row counts as unreachable. Once may be a connection that
-/// the leaf resets, as it has too many.
+/// Consecutive failed attempts to reach a leaf before it counts as unreachable. A single one may be a
+/// connection that the leaf reset because it has too many.
 constexpr unsigned kLostBeforeUnreachable = 2;
-/// A leaf that was silent for this long when a request was taken back counts as unreachable.
+/// A cancelled request counts as a failed attempt to reach the leaf if the leaf had not responded for this
+/// multiple of the expected latency plus `kSilenceFloor`.
 constexpr int kSilenceFactor = 3;
 constexpr Duration kSilenceFloor = std::chrono::milliseconds(300);
-/// The operator counts requests to cold leafs in spans of this length.
+/// Interval over which the operator counts requests to cold leafs.
 constexpr Duration kColdSpan = std::chrono::seconds(1);
 constexpr Duration kShortestEjection = std::chrono::milliseconds(400);
 constexpr unsigned kLongestEjectionFactor = 8;
--- a/src/coordination/serving/leaf_status.h
+++ b/src/coordination/serving/leaf_status.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What one daemon knows first-hand of one life of a leaf: requests in progress, latencies, failures and told
-/// load. A leaf that starts again is a new leaf here.
+/// What this daemon has observed of one incarnation of a leaf: requests in progress, latencies, failures and
+/// reported load. A restarted leaf is treated as a new leaf.
 
 #include <deque>
 #include <memory>
@@ -23,39 +23,41 @@
   LeafStatus(LeafEntry entry, Moment now);
 
   const LeafEntry& entry() const { return entry_; }
-  /// Takes over what the directory now says of the same life.
+  /// Replaces the directory entry by a newer one of the same incarnation.
   void update(const LeafEntry& entry, Moment now);
-  /// The directory no longer lists it, or it answered as another instance.
+  /// The directory no longer lists the leaf, or another instance answered at its address.
   void markGone() { gone_ = true; }
   bool usable() const { return !gone_ && entry_.takesWork(); }
 
-  /// `expected`: the latency that most answers to this kind of request stay below.
+  /// `expected`: the latency that most answers to requests of this route stay below.
   void onStarted(std::uint64_t exchange, Duration expected, Moment now);
   void onFinished(std::uint64_t exchange, LeafOutcome::Kind kind, Moment now);
   void onLoad(const ReportedLoad& load, Moment now);
 
-  /// Whether a connection to it could be opened.
+  /// Reports whether a connection to the leaf could be opened.
   void onReachability(bool reachable, Moment now);
 
   std::size_t inProgress() const { return inProgress_.size(); }
-  /// Requests at the leaf as far as is known: own ones, or told ones while those are fresh.
+  /// Estimated number of requests at the leaf: the maximum of this daemon's own and those that the leaf
+  /// reported, the latter weighted down as the report ages.
   double queueLength(Moment now) const;
-  /// How long the leaf has been overdue with an answer; zero when it is not.
+  /// How long the leaf's answer to the most overdue request is overdue; zero if none is.
   Duration stalledFor(Moment now) const;
   bool ejected(Moment now) const { return now < ejectedUntil_; }
-  /// No connection to it could be opened several times in a row, or it was silent; nothing is sent until a
-  /// connection stands or it is tried again.
+  /// Several attempts in a row to reach the leaf failed. Nothing is sent to it until a connection is
+  /// established or `retryAt` has passed.
   bool unreachable(Moment now) const;
-  /// When a leaf that is unreachable is tried again.
+  /// When an unreachable leaf is tried again.
   Moment retryAt() const { return ejectedUntil_; }
   bool warmingUp(Moment now) const { return now < warmUntil_; }
-  /// The leaf says how much longer it is cold.
+  /// The leaf reported its remaining warm-up time.
   void onWarmup(Duration left, Moment now) { warmUntil_ = now + left; }
-  /// Requests that were sent to it in the last second while it was cold.
+  /// Number of requests sent to the cold leaf within the last second.
   std::size_t sentWhileCold(Moment now) const;
-  /// Draws once a second whether a request may be sent to it while it is cold.
+  /// Whether a request may be sent to the cold leaf: decided at random with the probability `odds` at most
+  /// once a second, and false on every other call.
   bool drawWhileCold(double odds, RandomEngine& random, Moment now);
-  /// Smoothed ratio of its latencies to those expected of the kind of request; 1 is ordinary.
+  /// Moving average of the ratio of observed to expected latency; 1 means as expected.
   double slowness() const { return slowness_; }
 
  private:
@@ -69,31 +71,31 @@
   LeafEntry entry_;
   bool gone_ = false;
   Moment warmUntil_;
-  /// When requests were sent while it was cold; those of the last second are kept.
+  /// Send times of the requests within the last second while the leaf was cold.
   std::deque<Moment> coldSends_;
   std::optional<Moment> coldDrawAt_;
   std::vector<Exchange> inProgress_;
   Moment lastAnswerAt_{};
   double slowness_ = 1.0;
   unsigned consecutiveFailures_ = 0;
-  /// Attempts in a row to reach the leaf that brought no sign of it.
+  /// Consecutive attempts without a connection or a response.
   unsigned lostInRow_ = 0;
   Moment ejectedUntil_{};
   ReportedLoad load_;
   Moment loadAt_{};
 };
 
-/// The leafs of every service, kept in step with the directory. Not thread-safe.
+/// The leafs of every service, synchronized with the directory. Not thread-safe.
 class LeafRegistry {
  public:
   using Leafs = std::vector<std::shared_ptr<LeafStatus>>;
 
-  /// Lives of leafs that are no longer listed are marked as gone and forgotten.
+  /// Marks incarnations that are no longer listed as removed and drops them.
   void reconcile(const LeafsByService& directory, Moment now);
-  /// Adds the leafs of a service that has none yet.
+  /// Adds the leafs of a service; does nothing if the service already has leafs.
   void add(const std::string& service, const std::vector<LeafEntry>& entries, Moment now);
   const Leafs& leafsOf(const std::string& service) const;
-  /// Whether a connection to this life of the leaf could be opened.
+  /// Reports whether a connection to this incarnation of the leaf could be opened.
   void onReachability(const LeafEntry& leaf, bool reachable, Moment now);
 
  private:
--- a/src/coordination/serving/leaf_subset.cpp
+++ b/src/coordination/serving/leaf_subset.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// More connections than this to one leaf only queue there.
+/// Requests on more connections than this to one leaf would only queue there.
 constexpr std::size_t kMostConnections = 6;
-/// Share of a leaf's connections that is planned when only some daemons use it. The number that hashing
-/// gives a leaf varies, so the rest is kept for that.
+/// Share of a leaf's connections that is used when each daemon has only a subset of the leafs. The rest is
+/// kept for the variance of the number of daemons that hashing assigns to a leaf.
 constexpr double kPlannedShare = 0.6;
-/// Fewer leafs than this leave nothing to hedge to.
+/// With fewer leafs there would be no other one to hedge to.
 constexpr std::size_t kFewestLeafs = 2;
 
 }  // namespace
--- a/src/coordination/serving/leaf_subset.h
+++ b/src/coordination/serving/leaf_subset.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Divides the leafs of a service among the daemons, so that no leaf gets more connections than it accepts.
+/// Subsetting: assigns each daemon a subset of a service's leafs, so that no leaf gets more connections than
+/// it accepts.
 
 #include <cstddef>
 #include <string>
@@ -12,19 +13,20 @@
 namespace oakpier::serving {
 
 struct ConnectionShare {
-  /// Leafs of the service that this daemon uses.
+  /// Number of the service's leafs that this daemon connects to.
   std::size_t leafs = 0;
-  /// Connections that it may hold to each of them.
+  /// Maximum number of connections to each of them.
   std::size_t connections = 1;
 };
 
 /// By service.
 using ConnectionShares = std::unordered_map<std::string, ConnectionShare>;
 
-/// `maximumConnections`: what one leaf accepts from all daemons together.
+/// `maximumConnections`: limit of one leaf for the connections of all daemons together.
 ConnectionShare shareOf(std::size_t leafs, std::size_t maximumConnections, std::size_t daemons);
 
-/// The `count` leafs that rendezvous hashing gives the daemon; draining and evacuated ones do not count.
+/// The `count` leafs that rank highest for the daemon by rendezvous hashing; draining and evacuated leafs are
+/// left out.
 std::vector<LeafEntry> chooseSubset(const std::vector<LeafEntry>& leafs, std::size_t count,
                                     const Endpoint& daemon);
 
--- a/src/coordination/serving/part_exchange.cpp
+++ b/src/coordination/serving/part_exchange.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// A hedge that could not be sent is tried again after this.
+/// Delay before a hedge that could not be sent is tried again.
 constexpr Duration kHedgeRetry = std::chrono::milliseconds(10);
-/// A hedge is never sent sooner than this after the first send.
+/// Minimum delay of a hedge after the previous send.
 constexpr Duration kShortestHedgeDelay = std::chrono::milliseconds(3);
 constexpr Duration kHedgeMargin = std::chrono::milliseconds(5);
-/// Leafs that turn a request away do not use up its attempts, but no more than this many are asked.
+/// Limit on all sends of one part. Leafs that reject a request do not count against the route's `attempts`.
 constexpr std::size_t kMostSends = 6;
 
 }  // namespace
@@ -76,7 +76,7 @@
   if (times_.usefulUntil == kNever) {
     return early;
   }
-  // The latest moment from which the other leaf can still be expected to answer in time.
+  // The latest time at which another leaf can still be expected to answer in time.
   const Duration late = times_.usefulUntil - now - latency.high() - kHedgeMargin;
   if (late <= early) {
     return std::max(latency.typical() * 3 / 2, late);
@@ -211,7 +211,7 @@
   renewed_ = true;
   awaitsRenewal_ = false;
   times_.leafDeadline = std::min(times_.lastDeadline, now + route_.targetLatency);
-  // A leaf that was asked before may be asked again once nothing of it is out.
+  // Leafs without a pending exchange may be tried again.
   triedLeafs_.clear();
   for (const Attempt& attempt : attempts_) {
     if (!attempt.finished) {
@@ -259,7 +259,7 @@
 }
 
 bool PartExchange::mayHaveArrived() const {
-  // One that still waits to be written may arrive as well.
+  // A request that is still waiting to be written may arrive, too.
   return std::any_of(attempts_.begin(), attempts_.end(),
                      [](const Attempt& attempt) { return attempt.written || !attempt.finished; });
 }
--- a/src/coordination/serving/part_exchange.h
+++ b/src/coordination/serving/part_exchange.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// A part of a query that this daemon sends to leafs itself, hedges and retries.
+/// A part of a query that this daemon sends to leafs itself, with hedges and retries.
 ///
-/// Invariants: at most `attempts` leafs get the request; a request that is not repeatable goes to a second
-/// leaf only after every earlier one is known not to have run it; each send after the first is paid for from
-/// the service's budget; nothing is sent to a leaf that usually takes longer than what is left of the time;
-/// after the leafs' deadline an unanswered part gets time anew at most once; while the request's caution
-/// holds, nothing is sent after the first.
+/// Invariants: at most `attempts` leafs can have executed the request; a request that is not repeatable is
+/// sent to another leaf only after every earlier one is known not to have executed it; every send after one
+/// that may have arrived is paid for from the service's budget; nothing is sent to a leaf that usually takes
+/// longer than the time left; an unanswered part is retried at most once after the leafs' deadline; nothing
+/// is sent after the first send while the request's `SendCaution` holds.
 
 #include <optional>
 #include <string>
@@ -21,7 +21,7 @@
 
 class PartExchange : public QueryPart {
  public:
-  /// `trace` and `caution` outlive the part.
+  /// `trace` and `caution` must outlive the part.
   PartExchange(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
                SendCaution& caution);
 
@@ -35,7 +35,7 @@
   bool anythingOut() const override { return anyOut(); }
   bool mayHaveRun() const override;
   LossCause lossCause() const override;
-  /// A leaf may have seen the request, if only to turn it away.
+  /// Whether a leaf may have received the request, even if it did not execute it.
   bool mayHaveArrived() const;
   std::size_t sendCount() const { return attempts_.size(); }
 
@@ -46,26 +46,25 @@
     Moment startedAt{};
     bool written = false;
     bool finished = false;
-    /// The leaf said, or it is certain, that the request did not run there.
+    /// The leaf cannot have executed the request.
     bool knownNotRun = false;
-    /// An extra send was spent on it.
+    /// Paid for from the budget of extra attempts.
     bool paid = false;
   };
 
   bool send(Decision decision, bool paid, Moment now, QueryActions& actions);
-  /// Early while the budget is full, later the less is left of it.
+  /// Short while the budget is full, and longer the less is left of it.
   Duration hedgeDelay(const RouteLatency& latency, Moment now);
   bool mayTryAgain() const;
-  /// Sends again if that is allowed, and pays for it.
+  /// Sends again if allowed. Takes the send from the budget if an earlier one may have arrived.
   bool sendAgain(Decision decision, Moment now, QueryActions& actions);
   void concludeIfExhausted(Moment now, QueryActions& actions);
   bool anyOut() const;
-  /// Held back by the request's caution. In a trial another leaf may still take the place of one that can't
-  /// be reached.
+  /// Whether `caution_` forbids further sends. A trial may still go to another leaf if the first one
+  /// is unreachable.
   bool mustWait() const { return caution_.holds() && (!caution_.oneLeafFirst() || mayHaveArrived()); }
-  /// The part may be sent once more after the leafs' deadline.
   bool renewable() const;
-  /// Sends once more, with one target latency of time anew.
+  /// Late retry: sends once more after the leafs' deadline, with a new deadline one target latency away.
   void renew(Moment now, QueryActions& actions);
   std::size_t countedAttempts() const;
   Attempt* find(ExchangeId exchange);
@@ -80,9 +79,9 @@
   std::vector<LeafLife> triedLeafs_;
   Moment hedgeAt_ = kNever;
   bool renewed_ = false;
-  /// The last extra send that was wanted could not be paid for.
+  /// The last extra attempt was denied by the budget.
   bool extraSendDenied_ = false;
-  /// How the last exchange that brought no answer ended.
+  /// Outcome of the last exchange that ended without an answer.
   std::optional<LeafOutcome::Kind> lastFailure_;
 };
 
--- a/src/coordination/serving/query.cpp
+++ b/src/coordination/serving/query.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Statuses from this on are failures.
+/// HTTP status codes from this one on are errors.
 constexpr unsigned kFirstFailure = 400;
 
 }  // namespace
@@ -31,7 +31,8 @@
   const auto share = Duration(static_cast<std::int64_t>(target * context.policy.answerMarginShare));
   answerBy_ = receivedAt + route.targetLatency - context.policy.answerMargin - share;
   leafDeadline_ = deadline_;
-  // A trial has the caller's whole time: one that ends before the leaf does tells nothing.
+  // A trial gets the caller's full deadline: if it timed out before the leaf answers or crashes, it would
+  // prove nothing.
   if (isGather() && !isTrial()) {
     const auto useful = Duration(static_cast<std::int64_t>(target * context.policy.usefulFactor));
     leafDeadline_ = std::min(deadline_, receivedAt + useful);
--- a/src/coordination/serving/query.h
+++ b/src/coordination/serving/query.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// One caller's request from start to final answer: to one leaf, or to every shard of a service.
+/// One caller's request from arrival to final answer, sent either to one service or to every shard of a route
+/// (scatter-gather).
 ///
-/// Invariants: exactly one answer; all parts come from the configuration the query started with; "did not
-/// run" is said only when no leaf may have run it.
+/// Invariants: a query gives exactly one answer; all its parts use the configuration that it started with; it
+/// reports "not executed" only if no leaf can have executed the request.
 
 #include <cstddef>
 #include <memory>
@@ -21,33 +22,34 @@
 class Query {
  public:
   enum class Start {
-    /// To all services at once.
+    /// Sends to all services at once.
     kAll,
-    /// To one leaf, and on to the others once that has answered: leafs have ended under the request before.
+    /// Trial: sends to one leaf, and to the others once that leaf has answered. Used for requests that may
+    /// crash leafs.
     kOneLeafFirst,
   };
 
-  /// `route` belongs to `view`, which the query keeps alive. `deadline` is the caller's.
+  /// `route` must belong to `view`, which the query keeps alive. `deadline` is the caller's deadline.
   Query(std::shared_ptr<const ServingView> view, const Route& route, QueryContext& context, Moment receivedAt,
         Moment deadline, Start start = Start::kAll);
 
   QueryActions start(Moment now);
   void onWritten(ExchangeId exchange);
   QueryActions onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now);
-  /// Takes all outcomes in before anything is decided: answers that were merged together belong together.
+  /// Applies all outcomes before deciding anything. Answers that were merged together must be delivered in
+  /// one call.
   QueryActions onOutcomes(const std::vector<ExchangeOutcome>& outcomes, Moment now);
   QueryActions onTime(Moment now);
-  /// The caller has left; nothing more is sent.
+  /// The caller disconnected: cancels all pending exchanges and sends nothing more.
   QueryActions onCallerGone();
 
-  /// When `onTime` is due.
+  /// When `onTime` must be called next.
   Moment nextDecisionAt() const;
-  /// Leafs may work on their requests until then. Later answers of shards would be of little worth to the
-  /// caller, and the work would keep the leafs from newer requests.
+  /// Deadline of the requests to leafs. For a scatter-gather query it is earlier than the caller's deadline:
+  /// later answers have little value and delay newer requests at the leafs.
   Moment leafDeadline() const { return leafDeadline_; }
-  /// The query ends then at the latest.
   Moment deadline() const { return deadline_; }
-  /// A gather query answers with what is in from then on.
+  /// From this time on a scatter-gather query answers as soon as enough shards have answered.
   Moment answerBy() const { return answerBy_; }
   bool finished() const { return finished_; }
   const Route& route() const { return route_; }
@@ -55,51 +57,50 @@
   const SourcePosition& sourcePosition() const { return view_->position; }
   Moment receivedAt() const { return receivedAt_; }
   const RequestTrace& trace() const { return *trace_; }
-  /// What the caller has lost with this final answer, given at `now`.
+  /// How much `answer`, given at `now`, falls short of a complete answer in time, by cause.
   Loss lossOf(const FinalAnswer& answer, Moment now) const;
-  /// Leafs whose process ended under this query.
+  /// Leafs whose process terminated before it answered this query.
   std::size_t endedLeafs() const { return caution_->endedLeafs(); }
-  /// It goes to one leaf first.
   bool isTrial() const { return caution_->oneLeafFirst(); }
-  /// Shards without an answer.
+  /// Services that have not answered.
   std::vector<std::string> missingServices() const;
 
  private:
   bool isGather() const { return gather_ != nullptr; }
   std::string chooseService() const;
   std::unique_ptr<QueryPart> newPart(const std::string& service);
-  /// How many parts are in which state; kept in step, as a query may have hundreds of parts.
+  /// Number of parts by state, updated incrementally since a query may have hundreds of parts.
   struct Tally {
     std::ptrdiff_t answered = 0;
     std::ptrdiff_t settled = 0;
-    /// No further answer of these can come within the target latency.
+    /// Parts that cannot get an answer within the target latency any more, or have one.
     std::ptrdiff_t settledInTime = 0;
   };
-  /// Lets the part do something, and takes over what it sends and what becomes of it.
+  /// Runs `step` on the part, then updates the counts and registers the exchanges that it started.
   template <typename Step>
   void advance(QueryPart& part, QueryActions& actions, Step step);
-  /// `change`: 1 to count the part in its present state, -1 to take it out.
+  /// Adds `change` (1 or -1) to the counts that the part's current state belongs to.
   void count(const QueryPart& part, std::ptrdiff_t change);
   std::size_t answeredParts() const { return static_cast<std::size_t>(tally_.answered); }
   bool allSettled() const { return static_cast<std::size_t>(tally_.settled) == parts_.size(); }
   bool allSettledInTime() const { return static_cast<std::size_t>(tally_.settledInTime) == parts_.size(); }
   bool mayHaveRun() const;
   bool enoughParts() const;
-  /// Whether a success is still possible if all open parts are answered. Where it is not, the query ends:
-  /// with a zone cut off from 26 of its 90 shards after 240 ms in place of 600 to 1,200 (log of one play).
+  /// Whether the query would succeed if all open parts were answered. If not, it ends without waiting for its
+  /// deadline.
   bool enoughPartsLeft() const;
-  /// Answers if the time or the parts that are in decide it.
+  /// Finishes the query if the time and the states of its parts allow it.
   void decide(Moment now, QueryActions& actions);
   void decideGather(Moment now, QueryActions& actions);
   void decideSingle(Moment now, QueryActions& actions);
-  /// Lets the parts go on that were held back.
+  /// Resumes suspended parts.
   void release(Moment now, QueryActions& actions);
-  /// Nothing may be sent until a leaf answers, and no answer can come any more.
+  /// Nothing may be sent before a leaf answers, and no exchange is pending that could bring an answer.
   bool stuck() const;
   void finish(FinalAnswer answer, QueryActions& actions);
   void finishWithoutAnswer(Moment now, QueryActions& actions);
   MergedAnswer merge() const;
-  /// Adds `lost` in equal shares for the parts without an answer.
+  /// Divides `lost` equally among the causes of the unanswered parts.
   void addMissing(double lost, Loss& loss) const;
 
   std::shared_ptr<const ServingView> view_;
@@ -109,17 +110,15 @@
   Moment receivedAt_;
   Moment deadline_;
   Moment leafDeadline_;
-  /// From then on a gather query answers as soon as enough shards are in.
   Moment answerBy_;
-  /// Has its own place, as the parts refer to it.
+  // Both are on the heap, as the parts hold references to them and the query may be moved.
   std::unique_ptr<RequestTrace> trace_ = std::make_unique<RequestTrace>();
-  /// The same.
   std::unique_ptr<SendCaution> caution_;
   std::vector<std::unique_ptr<QueryPart>> parts_;
-  /// The part of each exchange.
+  /// The part that each exchange belongs to.
   std::unordered_map<ExchangeId, QueryPart*> exchanges_;
   Tally tally_;
-  /// The one that was last answered.
+  /// The part that was answered last.
   const QueryPart* lastAnswered_ = nullptr;
   bool answerDue_ = false;
   bool finished_ = false;
--- a/src/coordination/serving/query_actions.h
+++ b/src/coordination/serving/query_actions.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What a query asks of its surroundings.
+/// Actions that a query requests from its caller, which does the I/O.
 
 #include <cstdint>
 #include <memory>
@@ -16,54 +16,53 @@
 
 namespace oakpier::serving {
 
-/// Identifies one send to one leaf, unique within the daemon process.
+/// Identifies one send to one leaf; unique within the daemon process.
 using ExchangeId = std::uint64_t;
 
-/// How one exchange of a query ended.
 struct ExchangeOutcome {
   ExchangeId exchange = 0;
   LeafOutcome outcome;
 };
 
-/// Send the request to this leaf.
+/// Send the request to a leaf.
 struct SendAction {
   ExchangeId exchange = 0;
   std::shared_ptr<LeafStatus> leaf;
-  /// The daemon by way of which the request goes; none where it goes directly.
+  /// The daemon that forwards the request to the leaf and merges answers; not set when it is sent directly.
   std::optional<Endpoint> merger;
-  /// The leaf may work on the request until then.
+  /// The leaf's deadline for the request.
   Moment deadline{};
-  /// With less time than this left the request is not sent any more.
+  /// The request is dropped unsent if less than this is left until `deadline`.
   Duration leastTime{};
 };
 
-/// Leave one shard to its owner.
+/// Delegate the request for one shard to the daemon that owns the shard.
 struct RelayAction {
   ExchangeId exchange = 0;
   Endpoint owner;
   std::string service;
-  /// The most leafs that the owner may send to.
+  /// Maximum number of leafs that the owner may send to.
   unsigned attempts = 1;
 };
 
-/// The leaf's answer, passed on unchanged.
+/// The leaf's answer, forwarded unchanged.
 struct ForwardedAnswer {
   std::shared_ptr<const HttpReply> reply;
 };
 
-/// The greatest records of the shards that answered.
+/// The top records of all shards that answered.
 struct MergedAnswer {
   std::vector<std::string> signatures;
   std::size_t missingShards = 0;
   std::string records;
 };
 
-/// The request did not run and never will.
+/// The request was not and will not be executed.
 struct Refusal {
   Duration retryAfter{};
 };
 
-/// The request may have run; there is no answer.
+/// No answer; the request may have been executed.
 struct Failure {
   bool timedOut = false;
 };
@@ -73,9 +72,9 @@
 struct QueryActions {
   std::vector<SendAction> sends;
   std::vector<RelayAction> relays;
-  /// Exchanges whose outcome no longer matters to the query.
+  /// Exchanges to cancel: the query no longer needs their outcome.
   std::vector<ExchangeId> abandons;
-  /// Set once, with the last actions of the query.
+  /// Set exactly once, in the last actions of the query.
   std::optional<FinalAnswer> answer;
 };
 
--- a/src/coordination/serving/query_part.h
+++ b/src/coordination/serving/query_part.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One part of a query: the same request to one service, until an answer is in or nothing is left to try.
-/// A part is either sent to leafs by this daemon or left to the daemon that owns the shard.
+/// One part of a query: the subrequest to one service, until it is answered or all attempts are used up. This
+/// daemon either sends a part to leafs itself or delegates it to the daemon that owns the shard.
 
 #include <string>
 #include <utility>
@@ -11,14 +11,13 @@
 
 namespace oakpier::serving {
 
-/// Until when what can be done for a part.
 struct PartTimes {
-  /// An answer that could only come later is not worth an extra send.
+  /// No hedge is sent after this time, as its answer would be late.
   Moment usefulUntil = kNever;
-  /// Leafs may work on the request until then.
+  /// Deadline of the requests to leafs.
   Moment leafDeadline = kNever;
-  /// A query that still lacks too many shards at `leafDeadline` waits on until then: its open parts may be
-  /// sent once more, with one target latency for the leaf. Not before `leafDeadline`.
+  /// A query that lacks too many shards at `leafDeadline` continues until this time, and its open parts may
+  /// be retried once more with one target latency for the leaf. Not earlier than `leafDeadline`.
   Moment lastDeadline = kNever;
 };
 
@@ -30,36 +29,36 @@
   virtual ~QueryPart() = default;
 
   virtual void start(Moment now, const PartTimes& times, QueryActions& actions) = 0;
-  /// The first byte of the request is about to go to a leaf.
+  /// Called before the first byte of the request is written to a leaf's connection.
   virtual void onWritten(ExchangeId exchange) = 0;
   virtual void onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now,
                          QueryActions& actions) = 0;
   virtual void onTime(Moment now, QueryActions& actions) = 0;
-  /// The request may go to further leafs again: what was held back is done now.
+  /// The request may be sent to further leafs again: resumes a suspended part.
   virtual void onReleased(Moment now, QueryActions& actions) = 0;
-  /// Starts later, with `onReleased`.
+  /// Suspends the part before its first send; `onReleased` starts it.
   void holdBack(const PartTimes& times) {
     times_ = times;
     heldBack_ = true;
   }
-  /// Abandons what is still out.
+  /// Cancels all pending exchanges.
   virtual void close(QueryActions& actions) = 0;
-  /// When `onTime` has something to decide; `kNever` when nothing is due.
+  /// When `onTime` must be called next; `kNever` if not at all.
   virtual Moment nextDecisionAt() const = 0;
-  /// Something may still come of what was sent.
+  /// Whether an exchange is pending.
   virtual bool anythingOut() const = 0;
-  /// A leaf may have begun to work on the request.
+  /// Whether a leaf may have executed the request.
   virtual bool mayHaveRun() const = 0;
-  /// Why there is no answer yet, or why it came late.
+  /// Why the part has no answer, or why its answer was late.
   virtual LossCause lossCause() const = 0;
 
   State state() const { return state_; }
-  /// Nothing more can come within the target latency.
+  /// Whether the part is answered, or cannot be answered within the target latency any more.
   bool settledInTime() const { return state_ != State::kOpen || awaitsRenewal_; }
-  /// The answer, or when exhausted the leaf's own failure if there was one.
+  /// The answer, or for an exhausted part the error response of a leaf, if any.
   const LeafOutcome& outcome() const { return outcome_; }
   const std::string& service() const { return service_; }
-  /// Open with nothing out, and nothing may be sent for now.
+  /// Open, without a pending exchange, and not allowed to send at present.
   bool heldBack() const { return state_ == State::kOpen && heldBack_; }
 
  protected:
@@ -67,7 +66,7 @@
   State state_ = State::kOpen;
   PartTimes times_;
   bool heldBack_ = false;
-  /// Open only because it may be sent once more after the leafs' deadline.
+  /// Open only for a late retry, after the leafs' deadline.
   bool awaitsRenewal_ = false;
   LeafOutcome outcome_;
 };
--- a/src/coordination/serving/query_policy.h
+++ b/src/coordination/serving/query_policy.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// How long queries wait before they hedge, answer with what there is, or give up; and what they share.
+/// Time limits of queries, and the state that queries share.
 
 #include <algorithm>
 #include <memory>
@@ -18,20 +18,21 @@
 namespace oakpier::serving {
 
 struct QueryPolicy {
-  /// Kept free before the target latency for the way back to the caller and for merging.
+  /// Reserved before the target latency for merging and for the response to reach the caller: a fixed time
+  /// plus a share of the target latency.
   Duration answerMargin = std::chrono::milliseconds(9);
   double answerMarginShare = 0.08;
-  /// Leafs may work on shards' answers for this multiple of the target latency. A leaf drops a request that
-  /// is still queued by then, so that an overloaded leaf spends its time on requests that can be answered in
+  /// Deadline of scatter-gather requests at leafs, as a multiple of the target latency. A leaf drops requests
+  /// that are still queued by then, so that an overloaded leaf works only on requests that can be answered in
   /// time.
   double usefulFactor = 1.0;
-  /// A refused caller is told to come back after this.
+  /// Minimum Retry-After of a rejected request.
   Duration retryAfter = std::chrono::milliseconds(150);
-  /// Kept free before the caller's deadline, so that the final answer reaches it.
+  /// Reserved before the caller's deadline for the final answer to reach it.
   Duration deadlineMargin = std::chrono::milliseconds(15);
 };
 
-/// Latencies of leaf requests of one route.
+/// Latency estimates for the leaf requests of one route.
 class RouteLatency {
  public:
   explicit RouteLatency(Duration targetLatency) : targetLatency_(targetLatency) {}
@@ -42,13 +43,14 @@
     high_.record(latency, now);
   }
   Duration typical() const { return typical_.estimate().value_or(targetLatency_ / 5); }
-  /// Work and ways alone: the quickest quarter of answers met no queue.
+  /// Service time and network round trip without queueing, estimated by the first quartile of latencies.
   Duration withoutQueue() const { return quick_.estimate().value_or(targetLatency_ / 5); }
-  /// With this much time left a request may be sent to any leaf, however slow it was: what is known of it may
-  /// be out of date. Half of the target latency, so that a first send always may.
+  /// With this much time left, a request may be sent to any leaf, however slow its recent answers, since that
+  /// estimate may be outdated. Half the target latency, so that the first send is always allowed.
   Duration alwaysWorthTrying() const { return targetLatency_ / 2; }
-  /// Most answers of healthy leafs are in by then. The high quantile alone is not enough: when more than its
-  /// rest of the leafs pause or are slow, it tells of those.
+  /// Latency that most answers of healthy leafs stay below: the 95th percentile, capped at a multiple of the
+  /// median. Without the cap, it would rise to the latency of slow leafs once they give more than 5 % of the
+  /// answers.
   Duration high() const { return std::min(high_.estimate().value_or(targetLatency_ / 3), typical() * 5 / 2); }
 
  private:
@@ -61,12 +63,12 @@
 class ShardOwners;
 class ZoneMergers;
 
-/// Numbers exchanges, so that no two of a process are alike.
+/// Source of exchange ids that are unique within the process.
 struct ExchangeNumbers {
   std::uint64_t next = 1;
 };
 
-/// What the queries of one request thread share. Not thread-safe.
+/// State shared by the queries of one request thread. Not thread-safe.
 struct QueryContext {
   LeafRegistry& leafs;
   ExtraSendBudgets& budgets;
@@ -74,18 +76,18 @@
   QueryPolicy policy;
   std::string ownZone;
   ExchangeNumbers& exchanges;
-  /// Null when every daemon sends to all leafs itself.
+  /// Null if no shard has an owner, so that every daemon sends to all leafs itself.
   ShardOwners* owners = nullptr;
   std::unordered_map<std::string, RouteLatency> latencies;
-  /// Null when nothing is merged in other zones.
+  /// Null if answers are not merged in other zones.
   ZoneMergers* mergers = nullptr;
-  /// Of the other zones the one that is chosen from first, while a query starts.
+  /// The zone preferred after `ownZone`; drawn anew when a query starts.
   std::string preferredZone = {};
   WarmupAllowances warmups = {};
-  /// Null where nothing is known of requests that end leafs.
+  /// Null if requests that crash leafs are not tracked.
   const RequestQuarantine* quarantine = nullptr;
 
-  /// Null when what cold leafs of the service get is not bounded.
+  /// Null if the request rate to cold leafs of the service is not limited.
   const WarmupAllowance* warmupOf(const std::string& service) const {
     const auto found = warmups.find(service);
     return found == warmups.end() ? nullptr : &found->second;
--- a/src/coordination/serving/request_quarantine.cpp
+++ b/src/coordination/serving/request_quarantine.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Pauses between trials grow no further after this many.
+/// Number of trials after which the interval between them stops growing.
 constexpr std::uint32_t kMostPauseSteps = 8;
 constexpr int kPauseFactor = 4;
 
-/// True when the hash is new to the record.
+/// Returns whether the hash was added.
 bool addEndedLeaf(std::uint64_t instance, std::vector<std::uint64_t>& endedLeafs) {
   const auto place = std::lower_bound(endedLeafs.begin(), endedLeafs.end(), instance);
   if (place != endedLeafs.end() && *place == instance) {
@@ -89,7 +89,7 @@
   const bool condemnedBefore = triedAndEnded(entry.record);
   const bool added = addEndedLeaf(instance, entry.record.endedLeafs);
   entry.record.lastEndedAt = now;
-  // Further ends within one attempt change no daemon's judgement.
+  // Peers are notified only of an added leaf or a changed verdict; further crashes do not matter to them.
   entry.changed = entry.changed || added || triedAndEnded(entry.record) != condemnedBefore;
 }
 
--- a/src/coordination/serving/request_quarantine.h
+++ b/src/coordination/serving/request_quarantine.h
@@ -1,17 +1,18 @@
 #pragma once
 
-/// Which requests end the leafs that run them, as this daemon and the others have seen it.
+/// Quarantine for requests that crash the leafs that execute them, from the crashes that this daemon and its
+/// peers have seen.
 ///
-/// Evidence counts for a request by its fingerprint, since each attempt has a new id. A leaf's process that
-/// ends accuses all requests that ran there, the innocent ones too; an answer from any leaf clears a request.
-/// After two leafs have ended under a request and none has answered, its next attempt is a *trial*: it goes
-/// to a single leaf, while no other leaf has ended lately. A trial that ends its leaf, the third at least,
-/// condemns the request: it is rejected everywhere until the quarantine is over, and then tried once again.
+/// Requests are identified by fingerprint, since each attempt has a new id. A crash counts against every
+/// unanswered request at the leaf; an answer from any leaf clears a request. After two crashes without an
+/// answer, the next attempt is a *trial*: it is sent to a single leaf, at a time without other crashes. If
+/// the trial crashes its leaf and at least three leafs have crashed in all, the request is quarantined: all
+/// daemons refuse it until the quarantine expires, and then allow another trial.
 ///
-/// Invariants: a request that a leaf has answered is not condemned by earlier evidence; trials of a request
-/// become rarer with each that brings no answer; records of daemons merge to the same in any order.
+/// Invariants: crashes before an answer never quarantine the request; the interval between trials grows with
+/// each trial that ends without an answer; merging the records of daemons is commutative.
 ///
-/// Bounds: `kMostRecords` records, the oldest evidence is dropped first.
+/// Holds at most `kMostRecords` records; the one with the oldest crash is dropped first.
 
 #include <cstdint>
 #include <optional>
@@ -24,29 +25,31 @@
 namespace oakpier::serving {
 
 struct QuarantineSettings {
-  /// How long a condemned request is rejected before it is tried again. A leaf an hour is what a request that
-  /// still ends leafs may cost; a repaired service takes its callers back within the hour.
+  /// How long a request is refused before the next trial. Bounds both the rate of crashes by a request that
+  /// still crashes leafs and the time until a repaired service accepts the request again.
   Duration quarantine = std::chrono::hours(1);
-  /// What is known of a request is forgotten this long after the last leaf that ended under it.
+  /// A record is dropped this long after the last crash.
   Duration memory = std::chrono::hours(24);
-  /// Evidence against a request that was never tried is forgotten sooner.
+  /// A record without a trial is dropped this long after the last crash.
   Duration suspicion = std::chrono::minutes(10);
-  /// No trial begins until no leaf has ended for this long, so that a trial's leaf does not end by another
-  /// request. The ends of one wave came within 170 ms (logs of one wave).
+  /// A trial starts only after this long without a crash, so that another request is unlikely to crash the
+  /// trial's leaf. Must exceed the time between the crashes that one request causes.
   Duration calm = std::chrono::milliseconds(300);
-  /// After a trial without an answer and without an ended leaf the next may begin after this, and after four
-  /// times as long with each further one. As long as a trial may take.
+  /// Minimum interval between the first trial and the second, if the first brought neither an answer nor a
+  /// crash. It grows by a factor of 4 with each further trial. Must not be shorter than a trial may take.
   Duration firstTrialPause = std::chrono::seconds(2);
 };
 
-/// What is known of one request. Moments are those of the daemon that holds the record.
+/// Evidence against one request. Times are on the clock of the daemon that holds the record.
 struct QuarantineRecord {
   RequestFingerprint fingerprint;
-  /// Raised by an answer. A record with a higher epoch replaces one with a lower.
+  /// Incremented by an answer. When records are merged, the higher epoch replaces the lower.
   std::uint32_t epoch = 0;
-  /// Hashes of the instances that ended under it, rising; of more than `kMostEndedLeafs` some are kept.
+  /// Hashes of the leaf incarnations that crashed under the request, in ascending order; at most
+  /// `kMostEndedLeafs` are kept.
   std::vector<std::uint64_t> endedLeafs;
   std::uint32_t trials = 0;
+  /// Time of the last crash, or of the answer that cleared the record.
   Moment lastEndedAt{};
   Moment lastTrialAt{};
 };
@@ -54,46 +57,46 @@
 class RequestQuarantine {
  public:
   enum class Verdict {
-    /// Nothing speaks against it.
+    /// Send it as usual.
     kOrdinary,
-    /// It may go to one leaf first. Call `onTrial` when it does.
+    /// Send it to one leaf first, and call `onTrial` then.
     kTrial,
-    /// It may not be tried yet; it has not run.
+    /// Refuse it for now: a trial is due after `retryAfter`.
     kNotYet,
-    /// Leafs end under it.
+    /// Refuse it: it crashes leafs.
     kCondemned,
   };
   struct Judgement {
     Verdict verdict = Verdict::kOrdinary;
-    /// For kNotYet: when it may be tried.
+    /// For kNotYet: the time until a trial is allowed.
     Duration retryAfter{};
   };
   static constexpr std::size_t kMostRecords = 1024;
   static constexpr std::size_t kMostEndedLeafs = 4;
-  /// Leafs that must have ended under a request before it is tried, and before it is condemned.
+  /// Number of crashed leafs before the next attempt becomes a trial, and before the request is quarantined.
   static constexpr std::size_t kEndedBeforeTrial = 2;
   static constexpr std::size_t kEndedBeforeCondemned = 3;
 
   explicit RequestQuarantine(const QuarantineSettings& settings = {}) : settings_(settings) {}
 
   Judgement judge(const RequestFingerprint& fingerprint, Moment now) const;
-  /// A leaf's process has ended while the request ran there, unanswered so far.
+  /// A leaf crashed before it answered the request. `instance`: hash of the leaf's incarnation.
   void onLeafEnded(const RequestFingerprint& fingerprint, std::uint64_t instance, Moment now);
   void onTrial(const RequestFingerprint& fingerprint, Moment now);
-  /// A leaf has answered the request.
+  /// A leaf answered the request.
   void onAnswered(const RequestFingerprint& fingerprint, Moment now);
-  /// Takes over what another daemon knows; its moments must have been made those of this daemon.
+  /// Merges a peer's record, whose times must have been converted to this daemon's clock.
   void merge(const QuarantineRecord& record);
 
-  /// Records that have changed since the last call, to be told to others.
+  /// Records that changed since the last call, to be sent to peers.
   std::vector<QuarantineRecord> takeChanged();
-  /// At most `count` records, those with the newest evidence.
+  /// At most `count` records, those with the latest crash or answer.
   std::vector<QuarantineRecord> newest(std::size_t count) const;
-  /// Drops what is too old.
+  /// Drops expired records.
   void forgetOld(Moment now);
   bool empty() const { return records_.empty(); }
   std::size_t size() const { return records_.size(); }
-  /// Requests that are rejected at present.
+  /// Number of requests in quarantine.
   std::size_t condemned(Moment now) const;
 
  private:
@@ -102,7 +105,7 @@
     bool changed = false;
   };
 
-  /// A trial has ended its leaf, and enough leafs have ended in all.
+  /// Whether the last trial was followed by a crash, and enough leafs have crashed in all.
   static bool triedAndEnded(const QuarantineRecord& record);
   Duration pauseAfter(std::uint32_t trials) const;
   bool old(const QuarantineRecord& record, Moment now) const;
@@ -111,7 +114,7 @@
 
   QuarantineSettings settings_;
   std::unordered_map<RequestFingerprint, Entry, RequestFingerprintHash> records_;
-  /// Under any request.
+  /// Time of the last crash under any request.
   Moment lastEndedAt_{};
 };
 
--- a/src/coordination/serving/request_record.h
+++ b/src/coordination/serving/request_record.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What is known of one request while it is sent to leafs; shared by all its sends from one daemon.
+/// State of one request that all its exchanges at one daemon share.
 
 #include "state/serving/request_fingerprint.h"
 
@@ -9,7 +9,7 @@
 /// Not thread-safe.
 struct RequestRecord {
   RequestFingerprint fingerprint;
-  /// A leaf has run it to a good end.
+  /// A leaf has answered the request successfully.
   bool answered = false;
 };
 
--- a/src/coordination/serving/request_trace.h
+++ b/src/coordination/serving/request_trace.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The decisions taken for one request, kept until it ends, so that a request that ended badly can be
-/// explained and an ordinary one costs little.
+/// Trace of the decisions for one request, kept in memory until the request ends and logged only then if
+/// needed.
 
 #include <memory>
 #include <optional>
@@ -19,31 +19,31 @@
   kSend,
   kHedge,
   kRetry,
-  /// Sent once more after the leafs' deadline, as too few shards were in.
+  /// Retried after the leafs' deadline, as too few shards had answered.
   kRenew,
-  /// No usable leaf was left.
+  /// No leaf was eligible.
   kNoLeaf,
-  /// A further send would have been made, but the budget of extra sends was used up.
+  /// An extra attempt was denied, as the retry budget was empty.
   kBudgetEmpty,
   kOutcome,
-  /// Left to the daemon that owns the shard.
+  /// Delegated to the daemon that owns the shard.
   kDelegate,
-  /// What the owner said of it.
+  /// The owner reported a result.
   kOwnerOutcome,
-  /// The owner was not heard any more, so that the part was given up.
+  /// The owner became unresponsive, and the delegation was given up.
   kOwnerSilent,
-  /// Nothing more is sent until a leaf answers, as leafs have ended under the request.
+  /// The part was suspended until a leaf answers, as leafs have crashed under the request.
   kHeldBack,
 };
 
 struct TraceEvent {
   Moment at;
   Decision decision = Decision::kSend;
-  /// Of the part that decided; lives as long as the request.
+  /// Service of the part; valid as long as the request.
   std::string_view service;
-  /// Null for kNoLeaf, kBudgetEmpty and what concerns owners.
+  /// Null if the event does not concern a leaf.
   std::shared_ptr<const LeafStatus> leaf;
-  /// What the choice rested on: requests at the leaf, its smoothed slowness, how long it was overdue.
+  /// The leaf's status that the selection was based on.
   double queueLength = 0;
   double slowness = 0;
   Duration stalledFor{};
@@ -53,7 +53,7 @@
   std::optional<Endpoint> owner;
 };
 
-/// Not thread-safe. Keeps the first events of a request up to a bound.
+/// Keeps the first `kMostEvents` events of a request. Not thread-safe.
 class RequestTrace {
  public:
   void add(TraceEvent event) {
--- a/src/coordination/serving/send_caution.h
+++ b/src/coordination/serving/send_caution.h
@@ -1,12 +1,9 @@
 #pragma once
 
-/// Whether one request may be sent to further leafs, beyond the first of each service.
+/// Limits the damage of a request that crashes the leafs that execute it (a "query of death").
 ///
-/// A request may itself be what ends the leafs that run it. Two leafs that end under it before any has
-/// answered are the sign: from then on nothing more is sent of it until a leaf answers. With the first sends
-/// to 20 shards out, such a request ends the leafs that have begun it, and not also the shards' other leafs:
-/// on the checked day of such requests 429 leafs ended in 10 s before, and 43 with this and the quarantine
-/// (one seed; 29 to 50 with five others).
+/// Once two leafs have crashed under a request and none has answered it, no hedge or retry is sent until a
+/// leaf answers. The crashes are then limited to the leafs that already have the request.
 
 #include <cstddef>
 
@@ -14,10 +11,10 @@
 
 namespace oakpier::serving {
 
-/// Not thread-safe. Shared by the parts of one request at one daemon.
+/// Shared by the parts of one request at one daemon. Not thread-safe.
 class SendCaution {
  public:
-  /// With `oneLeafFirst` nothing goes beyond one leaf until that has answered.
+  /// With `oneLeafFirst` (a trial) only one leaf gets the request until it has answered.
   explicit SendCaution(bool oneLeafFirst = false) : oneLeafFirst_(oneLeafFirst) {}
 
   void onOutcome(LeafOutcome::Kind kind) {
@@ -26,21 +23,19 @@
   }
   void onHedge() { ++hedges_; }
   bool oneLeafFirst() const { return oneLeafFirst_; }
-  /// A hedge is for a leaf that is slower than others. While no leaf has answered, the request itself may be
-  /// what takes them long, and ends them a moment later: a few hedges find out.
+  /// While no leaf has answered, all of them may be slow because of the request itself and crash soon, so
+  /// only a few hedges are allowed.
   bool mayHedge() const { return !holds() && (answered_ || hedges_ < kMostHedgesUnanswered); }
-  /// Nothing more may be sent for now.
+  /// Whether further sends are forbidden for now.
   bool holds() const { return !answered_ && (oneLeafFirst_ || ended_ >= kMostEnded); }
   std::size_t endedLeafs() const { return ended_; }
 
  private:
-  /// One may be a leaf's own end. With two the chance that both ended by themselves under one request is
-  /// small, and an innocent one only waits until any of its leafs answers.
+  /// One crash may have another cause; two under the same request hardly have. A harmless request only waits
+  /// until any of its leafs answers.
   static constexpr std::size_t kMostEnded = 2;
 
-  /// Of the leafs that are asked in place of as many slow ones, the quickest answers within some
-  /// milliseconds; that all of them are slow, too, is unlikely. On two deployments no cost was seen, on a
-  /// third 0.004 of the worth of days with trouble (error 0.002; 39 paired plays each).
+  /// If the request is harmless, one of this many hedges is very likely to be answered soon.
   static constexpr std::size_t kMostHedgesUnanswered = 4;
 
   bool oneLeafFirst_;
--- a/src/coordination/serving/warmup_allowance.h
+++ b/src/coordination/serving/warmup_allowance.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// How many requests this daemon may send to a cold leaf. The operator bounds what all daemons together send
-/// to it in a second; a leaf that gets well more falls over.
+/// Limits the rate of requests from this daemon to a cold leaf, so that all daemons together stay within the
+/// operator's limit. A leaf that is still warming up fails under a much higher rate.
 
 #include <algorithm>
 #include <cmath>
@@ -11,35 +11,36 @@
 
 namespace oakpier::serving {
 
-/// What the operator tolerates beyond a service's own rate for cold leafs.
+/// The operator's limit for cold leafs, relative to the service's warm-up rate.
 struct WarmupTolerance {
-  /// Multiple of the rate.
+  /// Multiple of the warm-up rate.
   double factor = 1.0;
-  /// Requests in a second beyond that.
+  /// Requests per second beyond that.
   double slack = 0.0;
 };
 
-/// What one daemon may send to one cold leaf.
+/// Limit of one daemon for one cold leaf.
 struct WarmupAllowance {
-  /// Requests in any second; below 1 the odds of one request, drawn once a second.
+  /// Requests in any one-second interval; below 1, the probability of one request, drawn once a second.
   double perSecond = 0.0;
 };
 
-/// By service; a service without an entry has no bound.
+/// By service; a service without an entry has no limit.
 using WarmupAllowances = std::unordered_map<std::string, WarmupAllowance>;
 
-/// `ratePerSecond`: what a cold leaf of the service bears. `senders`: daemons that may send to it.
+/// `ratePerSecond`: the service's warm-up rate for one leaf. `senders`: number of daemons that may send to
+/// it.
 inline WarmupAllowance warmupAllowance(double ratePerSecond, const WarmupTolerance& tolerance,
                                        std::size_t senders) {
   const double bound = ratePerSecond * tolerance.factor + tolerance.slack;
   const double sharers = static_cast<double>(std::max<std::size_t>(1, senders));
-  // Half of the bound: requests of a second may arrive in the next, beside its own.
+  // Half of the limit, since requests sent in one second may arrive in the next one, together with its own.
   const double planned = bound / 2;
   if (planned >= sharers) {
     return {planned / sharers};
   }
-  // By chance the sum of a second varies by the root of its mean. With the mean this many deviations below
-  // the bound, generated fleets of up to 1,000 daemons stay within it.
+  // With random sends, the standard deviation of the total per second is the square root of its mean. The
+  // mean is set so that the limit is this many standard deviations above it.
   constexpr double kDeviations = 6.0;
   const double root = (std::sqrt(kDeviations * kDeviations + 4 * bound) - kDeviations) / 2;
   return {std::min(planned, root * root) / sharers};
--- a/src/state/serving/leaf_life.h
+++ b/src/state/serving/leaf_life.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/// What tells one life of a leaf from the next.
+/// Identifies one incarnation of a leaf, that is, one run of its process.
 ///
-/// A leaf may start again under the id that it had. The new process knows nothing of the one before, and
-/// nothing that was learned of that one holds for it: latencies, load, connections, failures, requests that
-/// ended it. So whatever is kept of a leaf is kept of one life of it. Requests name the plain id to the leaf.
+/// A leaf may restart under the same id. Nothing observed of the previous process applies to the new one:
+/// latencies, load, connections, failures, requests that crashed it. All state about a leaf is therefore kept
+/// per incarnation. Requests to the leaf carry only its id.
 
 #include <cstdint>
 #include <functional>
@@ -18,10 +18,10 @@
 
 struct LeafLife {
   std::string id;
-  /// When its process began, in milliseconds since 1970 by the clock of its own machine; 0: not told. Births
-  /// tell lives apart and put them in no order, as clocks are set back.
+  /// Start time of the process in milliseconds since 1970, by the clock of its machine; 0 if not reported.
+  /// Start times distinguish incarnations but do not order them, since clocks may be set back.
   std::uint64_t bornAt = 0;
-  /// A process keeps its address, so that another address is another life, also where no birth is told.
+  /// A process keeps its address, so another address means another incarnation, even without a start time.
   Endpoint address;
 
   friend bool operator==(const LeafLife& left, const LeafLife& right) {
@@ -30,7 +30,8 @@
   friend bool operator!=(const LeafLife& left, const LeafLife& right) { return !(left == right); }
 };
 
-/// Names a life to other daemons: the same on each of them, and that of the plain id where no birth is told.
+/// Identifies an incarnation to peers: equal on all daemons, and the hash of the id alone if the start time
+/// is not reported.
 inline std::uint64_t stableHash(const LeafLife& life) {
   const std::uint64_t id = hashText(life.id);
   return life.bornAt == 0 ? id : hashPair(id, life.bornAt);
--- a/tests/serving/coordination/admission_test.cpp
+++ b/tests/serving/coordination/admission_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("a request whose answer would come far too late is refused at once", "[serving]") {
+TEST_CASE("a request is refused if the queues make its answer far too late", "[serving]") {
   const auto view = viewOf({singleRoute("s", true, 2)}, {"s"}, 2);
   QueryWorld world(view);
   const Route& route = view->configuration->routes[0];
@@ -30,7 +30,7 @@
   REQUIRE(refusal->retryAfter <= std::chrono::seconds(1));
 }
 
-TEST_CASE("busy shards that an answer may lack do not lead to a refusal", "[serving]") {
+TEST_CASE("overloaded shards that an answer may omit do not lead to a refusal", "[serving]") {
   const std::vector<std::string> shards{"s0", "s1", "s2", "s3"};
   const auto view = viewOf({gatherRoute(shards, 0.75)}, shards, 2);
   QueryWorld world(view);
@@ -41,7 +41,7 @@
   REQUIRE(refuseWhenBusy(route, *world.context, at(1)));
 }
 
-TEST_CASE("a service without a reachable leaf is tried, not refused as busy", "[serving]") {
+TEST_CASE("a service without a reachable leaf is not refused as overloaded", "[serving]") {
   const auto view = viewOf({singleRoute("s", true, 2)}, {"s"}, 1);
   QueryWorld world(view);
   const auto leaf = world.registry.leafsOf("s").front();
@@ -53,7 +53,7 @@
 
 namespace {
 
-/// Makes the leaf unreachable as far as this daemon knows.
+/// Makes this daemon treat the leaf as unreachable.
 void lose(const std::shared_ptr<LeafStatus>& leaf) {
   leaf->onReachability(false, at(0));
   leaf->onReachability(false, at(0));
@@ -61,8 +61,7 @@
 
 }  // namespace
 
-TEST_CASE("a request that too few reachable shards could answer is refused until they are tried again",
-          "[serving]") {
+TEST_CASE("a request is refused while too few of its shards have a reachable leaf", "[serving]") {
   const std::vector<std::string> shards{"s0", "s1", "s2", "s3"};
   const auto view = viewOf({gatherRoute(shards, 0.75)}, shards, 2);
   QueryWorld world(view);
@@ -83,8 +82,7 @@
   REQUIRE_FALSE(refusal(10'000));
 }
 
-TEST_CASE("a request is refused when too few of its shards are listed with a leaf that takes work",
-          "[serving]") {
+TEST_CASE("a request is refused if too few of its shards have a listed leaf that takes work", "[serving]") {
   const std::vector<std::string> shards{"s0", "s1", "s2", "s3"};
   const auto view = viewOf({gatherRoute(shards, 0.75), singleRoute("s0", true, 2)}, shards, 1);
   ServingView changed = *view;
@@ -100,7 +98,7 @@
   REQUIRE(refuseWhenUnservable(routes[0], changed, *world.context, at(1)));
 }
 
-TEST_CASE("shards whose leafs only other daemons know count as servable", "[serving]") {
+TEST_CASE("shards whose leafs are known only to peers count as servable", "[serving]") {
   const auto view = viewOf({gatherRoute({"s0", "s1"}, 1.0)}, {"s0", "s1"}, 1);
   QueryWorld world(view);
   world.registry.reconcile({}, at(0));
--- a/tests/serving/coordination/extra_send_budget_test.cpp
+++ b/tests/serving/coordination/extra_send_budget_test.cpp
@@ -1,4 +1,4 @@
-/// The budget of extra sends: one daemon's, and the sum over all daemons of a service.
+/// The retry budget of one daemon, and the sum over all daemons of a service.
 
 #include "coordination/serving/extra_send_budget.h"
 
@@ -14,8 +14,8 @@
 
 constexpr Duration kWindow = std::chrono::seconds(10);
 
-/// Extra sends of `daemons` daemons that all had time to save up and spend as fast as they can while
-/// `requests` requests come to each.
+/// Extra attempts of `daemons` daemons that start with full budgets and take every token as soon as they can,
+/// while each receives `requests` requests.
 double spentByAll(std::size_t daemons, std::size_t requests, const OperatorExtraSends& total,
                   RandomEngine& random) {
   double spent = 0;
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("extra sends never exceed the share of requests and what may be saved", "[serving]") {
+TEST_CASE("extra attempts never exceed the tokens from requests, nor tokens the capacity", "[serving]") {
   OAKPIER_PROPERTY("budget", [] {
     const ExtraSendBounds bounds{*rc::gen::element(0.05, 0.2, 0.5), *rc::gen::element(1.0, 3.0), kWindow, {}};
     const auto requests = *rc::gen::container<std::vector<bool>>(300, rc::gen::arbitrary<bool>());
@@ -60,7 +60,7 @@
   });
 }
 
-TEST_CASE("a new process saves nothing until the operator's window has passed once", "[serving]") {
+TEST_CASE("the budget of a new process is empty until the operator's window has passed once", "[serving]") {
   const ExtraSendBounds bounds{0.1, 3.0, kWindow, {}};
   RandomEngine random(5);
   ExtraSendBudgets budgets(bounds, at(0), random);
@@ -73,7 +73,7 @@
   REQUIRE_FALSE(budgets.spend("s", at(20'000)));
 }
 
-TEST_CASE("daemons together stay within the operator's bound, however many they are", "[serving]") {
+TEST_CASE("all daemons together stay within the operator's limit, whatever their number", "[serving]") {
   OAKPIER_PROPERTY("sum", [] {
     const auto daemons = *rc::gen::inRange<std::size_t>(1, 1500);
     const auto requests = *rc::gen::inRange<std::size_t>(0, 12);
@@ -84,7 +84,7 @@
   });
 }
 
-TEST_CASE("a daemon that is cut off does not take the others' share", "[serving]") {
+TEST_CASE("a daemon in a network partition does not use the others' shares", "[serving]") {
   ExtraSendShare share(OperatorExtraSends{0.2, 168, kWindow}, 12);
   share.onDaemonCount(86);
   const double saved = share.bounds().saved;
@@ -93,7 +93,7 @@
   REQUIRE(saved * 86 <= 168);
 }
 
-TEST_CASE("who takes over a service has little saved until a window has passed", "[serving]") {
+TEST_CASE("a new owner of a service has a small budget until a window has passed", "[serving]") {
   const ExtraSendShare share(OperatorExtraSends{0.2, 100, kWindow}, 5, ExtraSendShare::Holder::kOwner);
   RandomEngine random(5);
   ExtraSendBudgets budgets(share.bounds(), at(0), random);
@@ -110,11 +110,11 @@
     REQUIRE(spentAt(second * 1000) == 0);
   }
   REQUIRE(spentAt(70'000) == 18);
-  // It had lost the service meanwhile.
+  // After an idle window the daemon counts as a new owner again.
   REQUIRE(spentAt(100'000) == few);
 }
 
-TEST_CASE("the window of a service that is one's own counts from when it became so", "[serving]") {
+TEST_CASE("the first window of an owned service starts when ownership is acquired", "[serving]") {
   const ExtraSendShare share(OperatorExtraSends{0.2, 100, kWindow}, 5, ExtraSendShare::Holder::kOwner);
   RandomEngine random(5);
   ExtraSendBudgets budgets(share.bounds(), at(0), random);
@@ -128,7 +128,7 @@
   budgets.setHeld({"s"}, at(1'000));
   budgets.setHeld({"s"}, at(9'000));
   REQUIRE(spentAt(11'000) == 18);
-  // Idle for long, but still its own: what was spent is not given again.
+  // The service was idle but still owned, so the budget is not filled again.
   REQUIRE(spentAt(60'000) == 0);
   budgets.setHeld({}, at(60'000));
   budgets.setHeld({"s"}, at(61'000));
@@ -136,7 +136,7 @@
   REQUIRE(spentAt(70'999) == 0);
 }
 
-TEST_CASE("a daemon too small for a whole extra send still makes its share of them", "[serving]") {
+TEST_CASE("daemons whose share is below one extra attempt still use it on average", "[serving]") {
   RandomEngine random(5);
   const OperatorExtraSends total{0.2, 56, kWindow};
   REQUIRE(spentByAll(300, 2, total, random) > 80);
--- a/tests/serving/coordination/hedge_delay_test.cpp
+++ b/tests/serving/coordination/hedge_delay_test.cpp
@@ -4,7 +4,7 @@
 
 namespace oakpier::serving {
 
-TEST_CASE("leafs that pause do not make hedges go out at the median", "[serving]") {
+TEST_CASE("some paused leafs distort neither the latency estimate nor the hedge delay", "[serving]") {
   const auto view = viewOf({gatherRoute({"s0"}, 1.0)}, {"s0"}, 2);
   QueryWorld world(view);
   const Route& route = view->configuration->routes[0];
--- a/tests/serving/coordination/leaf_assignment_test.cpp
+++ b/tests/serving/coordination/leaf_assignment_test.cpp
@@ -1,5 +1,3 @@
-/// Which leafs a daemon uses, alone and together with the others.
-
 #include "coordination/serving/leaf_assignment.h"
 
 #include <catch2/catch.hpp>
@@ -25,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("few daemons use every leaf that does not leave", "[serving]") {
+TEST_CASE("with few daemons, each uses every leaf that is neither draining nor evacuated", "[serving]") {
   const auto view = viewOf({gatherRoute({"s", "t"}, 0.5)}, {"s", "t"}, 3);
   ServingView changed = *view;
   LeafsByService leafs = *view->leafs;
@@ -38,7 +36,8 @@
   REQUIRE(assignment.firstOwned.empty());
 }
 
-TEST_CASE("what cold leafs get is shared among the daemons that may send to them", "[serving]") {
+TEST_CASE("the request limit for cold leafs is divided among the daemons that may send to them",
+          "[serving]") {
   const auto view = viewOf({gatherRoute({"s", "t"}, 0.5)}, {"s", "t"}, 2);
   auto configuration = std::make_shared<ServingConfiguration>(*view->configuration);
   configuration->services[0].warmupRate = 20;
@@ -46,7 +45,7 @@
   changed.configuration = configuration;
   const LeafAssignment assignment = assignmentOf(0, 4, changed);
   REQUIRE(assignment.warmups.count("t") == 0);
-  // Half of 20 a second, times 1.5 and 5 more, by four daemons.
+  // Half of (20 per second times 1.5, plus 5), divided among four daemons.
   REQUIRE(assignment.warmups.at("s").perSecond == Approx(35.0 / 2 / 4));
 }
 
@@ -56,12 +55,12 @@
   REQUIRE(assignmentOf(0, 4, view).leafs.empty());
 }
 
-TEST_CASE("every shard has one first owner, and leafs' connections suffice", "[serving]") {
+TEST_CASE("every shard has exactly one first owner, and no leaf gets too many connections", "[serving]") {
   OAKPIER_PROPERTY("assignment", [] {
     const auto count = *rc::gen::inRange<std::uint32_t>(27, 120);
     const auto replicas = *rc::gen::inRange<std::size_t>(1, 4);
     const std::vector<std::string> shards{"s", "t", "u", "v"};
-    // Leafs of these services accept 26 connections.
+    // A leaf of these services accepts 26 connections.
     const auto view = viewOf({gatherRoute(shards, 0.5)}, shards, replicas);
     std::map<std::string, std::size_t> firstOwners;
     std::map<std::string, std::size_t> connections;
--- a/tests/serving/coordination/leaf_knowledge_test.cpp
+++ b/tests/serving/coordination/leaf_knowledge_test.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("a leaf that is overdue with an answer is avoided until it answers", "[serving]") {
+TEST_CASE("a leaf with an overdue answer is avoided until it answers", "[serving]") {
   LeafRegistry registry;
   registry.reconcile(leafsOf({"s"}, 2), at(0));
   const auto& leafs = registry.leafsOf("s");
@@ -30,7 +30,7 @@
   REQUIRE(leafs[0]->stalledFor(at(60)).count() == 0);
 }
 
-TEST_CASE("a leaf that answers slower than usual is chosen after one that does not", "[serving]") {
+TEST_CASE("a slow leaf is selected only after a faster one", "[serving]") {
   LeafRegistry registry;
   registry.reconcile(leafsOf({"s"}, 2), at(0));
   const auto& leafs = registry.leafsOf("s");
@@ -50,7 +50,7 @@
   }
 }
 
-TEST_CASE("a leaf that cannot be reached is the last choice, yet still a choice", "[serving]") {
+TEST_CASE("an ejected leaf is selected if no other one is left", "[serving]") {
   LeafRegistry registry;
   registry.reconcile(leafsOf({"s"}, 2), at(0));
   const auto& leafs = registry.leafsOf("s");
@@ -65,7 +65,7 @@
   REQUIRE_FALSE(leafs[0]->ejected(at(5000)));
 }
 
-TEST_CASE("a draining, vanished or replaced leaf gets nothing", "[serving]") {
+TEST_CASE("a draining, removed or replaced leaf is not selected", "[serving]") {
   LeafRegistry registry;
   LeafsByService directory = leafsOf({"s"}, 3);
   registry.reconcile(directory, at(0));
@@ -81,7 +81,7 @@
   REQUIRE_FALSE(before[1]->usable());
 }
 
-TEST_CASE("what is known of a leaf survives a new directory", "[serving]") {
+TEST_CASE("the status of a leaf is kept when the directory changes", "[serving]") {
   LeafRegistry registry;
   registry.reconcile(leafsOf({"s"}, 1), at(0));
   const auto leaf = registry.leafsOf("s").front();
@@ -91,8 +91,7 @@
   REQUIRE(leaf->inProgress() == 1);
 }
 
-TEST_CASE("leafs that are taken up for another daemon are known once, and draining ones not used",
-          "[serving]") {
+TEST_CASE("leafs added for a peer are added only once, and draining ones are not usable", "[serving]") {
   LeafRegistry registry;
   LeafEntry draining = leafEntry("two", "s", 2);
   draining.draining = true;
@@ -105,8 +104,9 @@
   REQUIRE(registry.leafsOf("s") == before);
 }
 
-TEST_CASE("a leaf that cannot be reached gets nothing until a connection stands or it is tried again",
-          "[serving]") {
+TEST_CASE(
+    "an unreachable leaf is not selected until a connection is established or the retry time has passed",
+    "[serving]") {
   LeafRegistry registry;
   registry.reconcile(leafsOf({"s"}, 1), at(0));
   const auto leaf = registry.leafsOf("s").front();
@@ -116,15 +116,15 @@
     return selectLeaf(registry.leafsOf("s"), {{}, kUsual, zone}, random, at(moment)) != nullptr;
   };
   registry.onReachability(leaf->entry(), false, at(0));
-  // The last copy is still tried.
+  // After one failure the only leaf is still tried.
   REQUIRE(selected(1));
-  SECTION("with an answer between") {
+  SECTION("an answer between two failures") {
     leaf->onStarted(1, kUsual, at(1));
     leaf->onFinished(1, LeafOutcome::Kind::kAnswered, at(2));
     registry.onReachability(leaf->entry(), false, at(3));
     REQUIRE(selected(4));
   }
-  SECTION("a second time in a row") {
+  SECTION("two failures in a row") {
     registry.onReachability(leaf->entry(), false, at(400));
     REQUIRE_FALSE(selected(401));
     REQUIRE(leaf->retryAt() > at(401));
@@ -132,7 +132,7 @@
     registry.onReachability(leaf->entry(), true, at(500));
     REQUIRE(selected(501));
   }
-  SECTION("broken connections and requests that waited too long do not count") {
+  SECTION("broken connections and expired requests do not count") {
     for (std::uint64_t exchange = 1; exchange <= 4; ++exchange) {
       leaf->onStarted(exchange, kUsual, at(1));
       const bool even = exchange % 2 == 0;
@@ -142,7 +142,7 @@
   }
 }
 
-TEST_CASE("all daemons together send a cold leaf no more in a second than it bears", "[serving]") {
+TEST_CASE("all daemons together send a cold leaf no more requests per second than its limit", "[serving]") {
   OAKPIER_PROPERTY("cold leafs", [] {
     const auto daemons = *rc::gen::element<std::size_t>(1, 2, 8, 76, 300, 1000);
     const auto rate = *rc::gen::element(2.0, 20.0, 200.0);
@@ -158,7 +158,7 @@
       const std::string zone = "a";
       SelectionRequest request{{}, kUsual, zone};
       request.warmup = &allowance;
-      // Every daemon wants to send often.
+      // Every daemon attempts a send every 50 ms.
       for (std::size_t moment = drawBelow(50, random); moment < sends.size(); moment += 50) {
         const Moment now = at(static_cast<int>(moment));
         if (const auto leaf = selectLeaf(registry.leafsOf("s"), request, random, now)) {
@@ -175,20 +175,20 @@
   });
 }
 
-TEST_CASE("a leaf that says that it is cold again gets less, until it is warm", "[serving]") {
+TEST_CASE("a leaf that reports a new warm-up counts as warming up until that has passed", "[serving]") {
   LeafRegistry registry;
   LeafsByService directory = leafsOf({"s"}, 1);
   registry.reconcile(directory, at(0));
   const auto leaf = registry.leafsOf("s").front();
   REQUIRE_FALSE(leaf->warmingUp(at(1)));
-  SECTION("by its record") {
+  SECTION("in its directory entry") {
     directory["s"][0].warmupLeft = std::chrono::seconds(3);
     directory["s"][0].position.revision = 9;
     registry.reconcile(directory, at(10));
   }
   SECTION("with an answer") { leaf->onWarmup(std::chrono::seconds(3), at(10)); }
   REQUIRE(leaf->warmingUp(at(11)));
-  // The same record once more says nothing new.
+  // The same entry does not restart the warm-up.
   registry.reconcile(directory, at(2000));
   REQUIRE_FALSE(leaf->warmingUp(at(3011)));
 }
--- a/tests/serving/coordination/leaf_lives_test.cpp
+++ b/tests/serving/coordination/leaf_lives_test.cpp
@@ -1,4 +1,4 @@
-/// Leafs that start again under their id, and entries that something else than a leaf has written.
+/// Leafs that restart under the same id, and directory entries that were not written by a leaf.
 
 #include <catch2/catch.hpp>
 
@@ -38,8 +38,7 @@
 
 }  // namespace
 
-TEST_CASE("lives of a leaf differ by birth and by address, and have a name that all daemons know",
-          "[lives]") {
+TEST_CASE("incarnations of a leaf differ by start time and address, and have a stable hash", "[lives]") {
   const LeafLife first = bornAt(kFirstBirth).life();
   REQUIRE(first == bornAt(kFirstBirth).life());
   REQUIRE(first != bornAt(kSecondBirth).life());
@@ -51,28 +50,28 @@
   REQUIRE_FALSE(bornAt(kFirstBirth, 2).isOf(first));
 }
 
-TEST_CASE("of two lives of a leaf the one that the source told last is believed", "[lives]") {
+TEST_CASE("of two incarnations of a leaf, the one with the latest source revision is in effect", "[lives]") {
   ServingKnowledge knowledge{KnowledgeSettings{}};
   REQUIRE(knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(5)));
   REQUIRE(knowledge.onLeaf(bornAt(kSecondBirth), inFirstEpoch(8)));
   REQUIRE(knowledge.leafsBornAgain() == 1);
   REQUIRE(believed(knowledge).bornAt == kSecondBirth);
-  SECTION("a late entry of the earlier life changes nothing") {
+  SECTION("a delayed entry of the earlier incarnation has no effect") {
     REQUIRE_FALSE(knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(6)));
     REQUIRE_FALSE(knowledge.onLeafRemoved("one", inFirstEpoch(7), at(0)));
     REQUIRE_FALSE(knowledge.onLeafUnusable("one", inFirstEpoch(7)));
     REQUIRE(knowledge.takeChangedView() == nullptr);
   }
-  SECTION("the same entry once more changes nothing") {
+  SECTION("a repeated entry has no effect") {
     REQUIRE_FALSE(knowledge.onLeaf(bornAt(kSecondBirth), inFirstEpoch(8)));
     REQUIRE(knowledge.takeChangedView() == nullptr);
   }
-  SECTION("a later entry holds though its clock says an earlier birth") {
+  SECTION("a later revision takes effect despite an earlier start time") {
     REQUIRE(knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(9)));
     REQUIRE(believed(knowledge).bornAt == kFirstBirth);
     REQUIRE(knowledge.leafsBornAgain() == 2);
   }
-  SECTION("the same life that says more is no other life") {
+  SECTION("a changed entry of the same incarnation is not a restart") {
     LeafEntry draining = bornAt(kSecondBirth);
     draining.draining = true;
     REQUIRE(knowledge.onLeaf(draining, inFirstEpoch(9)));
@@ -80,7 +79,7 @@
   }
 }
 
-TEST_CASE("a leaf that starts again while its entry is gone or drains is used", "[lives]") {
+TEST_CASE("a leaf that restarts while its entry is removed or draining is used", "[lives]") {
   ServingKnowledge knowledge{KnowledgeSettings{std::chrono::milliseconds(1000)}};
   LeafEntry first = bornAt(kFirstBirth);
   SECTION("gone") {
@@ -96,9 +95,8 @@
   REQUIRE(believed(knowledge).takesWork());
 }
 
-TEST_CASE(
-    "an entry that something else has written ends the use of its leaf at once, until the leaf writes again",
-    "[lives]") {
+TEST_CASE("an unusable entry removes its leaf immediately, until the leaf writes its entry again",
+          "[lives]") {
   ServingKnowledge knowledge{KnowledgeSettings{std::chrono::milliseconds(1000)}};
   knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(1));
   knowledge.onLeaf(leafEntry("other", "t", 9), inFirstEpoch(2));
@@ -108,7 +106,7 @@
   REQUIRE(view->leafs->at("t").size() == 1);
   REQUIRE(knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(4)));
   REQUIRE(knowledge.takeChangedView()->leafs->at("s").size() == 1);
-  // What was never known is not kept, however often it comes.
+  // Unusable entries of unknown leafs are not stored.
   for (std::uint64_t number = 0; number < 1000; ++number) {
     REQUIRE_FALSE(knowledge.onLeafUnusable("forged" + std::to_string(number), inFirstEpoch(5 + number)));
   }
@@ -116,26 +114,25 @@
   REQUIRE(knowledge.takeChangedView() == nullptr);
 }
 
-TEST_CASE("a listing's unusable entry does not keep the leaf listed", "[lives]") {
+TEST_CASE("an unusable entry in a listing does not keep its leaf", "[lives]") {
   ServingKnowledge knowledge{KnowledgeSettings{Duration(0)}};
   knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(1));
   knowledge.onListing({}, inFirstEpoch(5), at(0));
   REQUIRE(knowledge.leafCount() == 0);
 }
 
-TEST_CASE("a leaf that starts again is a new one: cold, unloaded, not avoided for what its earlier life did",
-          "[lives]") {
+TEST_CASE("a restarted leaf has a new status: warming up, without load, failures or slowness", "[lives]") {
   LeafRegistry registry;
   registry.reconcile(directoryOf(bornAt(kFirstBirth)), at(0));
   const auto earlier = only(registry);
   RandomEngine random(1);
   const std::string zone = "a";
-  SECTION("it was replaced, and at work") {
+  SECTION("the earlier incarnation was replaced and had requests in progress") {
     earlier->onStarted(1, kUsual, at(0));
     earlier->onStarted(2, kUsual, at(0));
     earlier->onFinished(2, LeafOutcome::Kind::kWrongInstance, at(1));
   }
-  SECTION("it was slow, loaded and not to be reached") {
+  SECTION("the earlier incarnation was slow, loaded and unreachable") {
     earlier->onStarted(1, kUsual, at(0));
     earlier->onFinished(1, LeafOutcome::Kind::kAnswered, at(1000));
     earlier->onLoad(ReportedLoad{2, 9, 2}, at(1000));
@@ -155,7 +152,7 @@
   REQUIRE(later->slowness() == 1.0);
   REQUIRE(later->queueLength(at(1003)) == 0.0);
   REQUIRE(selectLeaf(registry.leafsOf("s"), {{}, kUsual, zone}, random, at(1003)) == later);
-  // What still comes of the earlier life says nothing of the later one.
+  // Late outcomes of the earlier incarnation do not affect the later one.
   registry.onReachability(earlier->entry(), false, at(1004));
   registry.onReachability(earlier->entry(), false, at(1005));
   earlier->onFinished(1, LeafOutcome::Kind::kNotSent, at(1006));
@@ -163,7 +160,7 @@
   REQUIRE_FALSE(later->unreachable(at(1007)));
 }
 
-TEST_CASE("a leaf that moves without a birth being told is a new one, too", "[lives]") {
+TEST_CASE("a leaf that changes its address without a reported start time counts as restarted", "[lives]") {
   LeafRegistry registry;
   registry.reconcile(directoryOf(bornAt(0, 1)), at(0));
   const auto earlier = only(registry);
@@ -172,7 +169,7 @@
   REQUIRE_FALSE(earlier->usable());
 }
 
-TEST_CASE("a request that an earlier life of a leaf was tried for may go to the later one", "[lives]") {
+TEST_CASE("a request that was sent to an earlier incarnation may be sent to the later one", "[lives]") {
   LeafRegistry registry;
   registry.reconcile(directoryOf(bornAt(kFirstBirth)), at(0));
   const std::vector<LeafLife> tried{only(registry)->entry().life()};
@@ -183,7 +180,7 @@
   REQUIRE(selectLeaf(registry.leafsOf("s"), {tried, kUsual, zone}, random, at(3)) == only(registry));
 }
 
-TEST_CASE("a request that ends one leaf in life after life is condemned", "[lives]") {
+TEST_CASE("a request that crashes several incarnations of one leaf is quarantined", "[lives]") {
   RequestQuarantine quarantine;
   const RequestFingerprint request{1, 2};
   const auto endIn = [&](std::uint64_t birth, int milliseconds) {
--- a/tests/serving/coordination/query_test.cpp
+++ b/tests/serving/coordination/query_test.cpp
@@ -17,7 +17,7 @@
 
 const std::vector<std::string> kShards{"s0", "s1", "s2", "s3"};
 
-/// Starts the query; every first send reaches its leaf.
+/// Starts the query and reports every first send as written.
 QueryActions startAndWrite(Query& query, Moment now) {
   QueryActions started = query.start(now);
   for (const SendAction& send : started.sends) {
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("an answer from all shards merges the greatest records at once", "[serving]") {
+TEST_CASE("a query answers with the merged top records as soon as all shards have answered", "[serving]") {
   const auto view = viewOf({gatherRoute(kShards, 0.5)}, kShards, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -46,7 +46,7 @@
   REQUIRE(answer.missingShards == 0);
 }
 
-TEST_CASE("when the caller leaves, everything that is out is withdrawn and nothing more is sent",
+TEST_CASE("when the caller disconnects, pending exchanges are cancelled and nothing more is sent",
           "[serving]") {
   const auto view = viewOf({gatherRoute(kShards, 0.75)}, kShards, 2);
   QueryWorld world(view);
@@ -63,7 +63,7 @@
   REQUIRE(query.nextDecisionAt() == kNever);
 }
 
-TEST_CASE("near the target latency a query answers with the shards that are in", "[serving]") {
+TEST_CASE("near the target latency a query answers with the shards received so far", "[serving]") {
   const auto view = viewOf({gatherRoute(kShards, 0.75)}, kShards, 2);
   QueryWorld world(view, 0);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -77,7 +77,7 @@
   REQUIRE(last.abandons == std::vector<ExchangeId>{started.sends[3].exchange});
 }
 
-TEST_CASE("with too few shards a query waits, and ends without success at its deadline", "[serving]") {
+TEST_CASE("with too few shards a query waits and fails at its deadline", "[serving]") {
   const auto view = viewOf({gatherRoute(kShards, 0.75)}, kShards, 1);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(500));
@@ -88,7 +88,7 @@
   REQUIRE(std::get<Failure>(*query.onTime(at(500)).answer).timedOut);
 }
 
-TEST_CASE("a query that can no longer get enough shards ends at once", "[serving]") {
+TEST_CASE("a query that cannot get enough shards any more fails immediately", "[serving]") {
   Route route = gatherRoute(kShards, 0.75);
   route.attempts = 1;
   const auto view = viewOf({route}, kShards, 1);
@@ -106,14 +106,15 @@
   REQUIRE(ended.abandons == std::vector<ExchangeId>{started.sends[2].exchange, started.sends[3].exchange});
 }
 
-TEST_CASE("a query that lacks too many shards asks for them once more, with time anew", "[serving]") {
+TEST_CASE("a query that lacks too many shards at the leafs' deadline retries them with a new deadline",
+          "[serving]") {
   const auto view = viewOf({gatherRoute(kShards, 0.75)}, kShards, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const QueryActions started = startAndWrite(query, at(0));
   query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
   query.onOutcome(started.sends[1].exchange, outcomeOf(Kind::kAnswered, record('b')), at(10));
-  // Too late for a further send within the target; the other part stays out.
+  // Too late for another send within the target latency; the fourth part is still pending.
   REQUIRE(query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kNotExecuted), at(199)).sends.empty());
   REQUIRE_FALSE(query.onTime(at(199)).answer);
   REQUIRE(query.nextDecisionAt() <= at(200));
@@ -130,7 +131,7 @@
   REQUIRE_FALSE(last.abandons.empty());
 }
 
-TEST_CASE("a query with enough shards does not wait for one that could only come late", "[serving]") {
+TEST_CASE("a query with enough shards does not wait for one that could only be late", "[serving]") {
   const auto view = viewOf({gatherRoute(kShards, 0.75)}, kShards, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -144,7 +145,7 @@
   REQUIRE(std::get<MergedAnswer>(*last.answer).missingShards == 1);
 }
 
-TEST_CASE("a part without an answer is sent with time anew at most once", "[serving]") {
+TEST_CASE("an unanswered part gets at most one late retry", "[serving]") {
   const auto view = viewOf({gatherRoute({"s0"}, 1.0)}, {"s0"}, 4);
   QueryWorld world(view);
   Route route = view->configuration->routes[0];
@@ -161,7 +162,7 @@
   REQUIRE(std::holds_alternative<Failure>(*last.answer));
 }
 
-TEST_CASE("leafs are not asked to work on shards beyond the target latency", "[serving]") {
+TEST_CASE("the leafs' deadline of a scatter-gather query is the target latency", "[serving]") {
   const auto view = viewOf({gatherRoute(kShards, 0.75), singleRoute("s0", true, 2)}, kShards, 1);
   QueryWorld world(view);
   const Query gathered(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -172,7 +173,7 @@
   REQUIRE(single.leafDeadline() > at(900));
 }
 
-TEST_CASE("a stalled shard is asked at its other replica before the target is missed", "[serving]") {
+TEST_CASE("a slow shard is hedged to its other replica before the target latency", "[serving]") {
   const auto view = viewOf({gatherRoute({"s0"}, 1.0)}, {"s0"}, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -200,23 +201,24 @@
   REQUIRE(started.sends[0].deadline == at(1200));
   REQUIRE(started.sends[0].leastTime == std::chrono::milliseconds(40));
   query.onWritten(started.sends[0].exchange);
-  SECTION("a retry goes out while the time holds the usual answer") {
+  SECTION("a retry is sent while the time left suffices for the usual latency") {
     const auto retried = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNoAnswer), at(1159));
     REQUIRE(retried.sends.size() == 1);
   }
-  SECTION("a retry does not go out later, and uses up no extra send") {
+  SECTION("a later retry is not sent and takes no token") {
     const double before = world.budgets.fill("s0", at(1161));
     const auto retried = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNoAnswer), at(1161));
     REQUIRE(retried.sends.empty());
     REQUIRE(world.budgets.fill("s0", at(1161)) == before);
   }
-  SECTION("nor does a hedge") {
+  SECTION("a later hedge is not sent") {
     const QueryActions late = query.onTime(at(1165));
     REQUIRE(late.sends.empty());
   }
 }
 
-TEST_CASE("a request dropped unsent for lack of time did not run and says nothing of the leaf", "[serving]") {
+TEST_CASE("a request that expires unsent counts as not executed and not as a failure of the leaf",
+          "[serving]") {
   const auto view = viewOf({singleRoute("s0", true, 2)}, {"s0"}, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -236,7 +238,7 @@
   REQUIRE(world.budgets.fill("s0", at(10)) > 0);
 }
 
-TEST_CASE("an extra send that never reached a leaf is given back", "[serving]") {
+TEST_CASE("the token of an extra attempt that did not reach a leaf is returned", "[serving]") {
   const auto view = viewOf({gatherRoute({"s0"}, 1.0)}, {"s0"}, 3);
   QueryWorld world(view, 4);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -251,7 +253,7 @@
   REQUIRE(world.budgets.fill("s0", at(100)) == before);
 }
 
-TEST_CASE("a request that no leaf could take is refused with a time to come back", "[serving]") {
+TEST_CASE("a request that every leaf rejects is refused with a retry delay", "[serving]") {
   const auto view = viewOf({singleRoute("s", false, 2)}, {"s"}, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -264,7 +266,7 @@
   REQUIRE(std::get<Refusal>(*actions.answer).retryAfter.count() > 0);
 }
 
-TEST_CASE("a request that must not be repeated is not sent again once it may have run", "[serving]") {
+TEST_CASE("a request that is not repeatable is not sent again once it may have been executed", "[serving]") {
   const Kind kind = GENERATE(Kind::kNoAnswer, Kind::kLeafFailed, Kind::kWithdrawn);
   const auto view = viewOf({singleRoute("s", false, 3)}, {"s"}, 4);
   QueryWorld world(view);
@@ -279,7 +281,7 @@
   REQUIRE_FALSE(std::holds_alternative<Refusal>(*last.answer));
 }
 
-TEST_CASE("a leaf's own failure is passed on when nothing else is left", "[serving]") {
+TEST_CASE("a leaf's error response is forwarded if no attempt is left", "[serving]") {
   const auto view = viewOf({singleRoute("s", true, 1)}, {"s"}, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -291,7 +293,7 @@
 
 namespace {
 
-/// Plays generated outcomes to one query and checks what it does at each step.
+/// Feeds generated outcomes to one query and checks its invariants at each step.
 class GeneratedRun {
  public:
   GeneratedRun(const Route& route, std::size_t replicas, double savedSends)
@@ -392,7 +394,7 @@
 
 }  // namespace
 
-TEST_CASE("once two leafs have ended under a request, nothing more of it is sent until a leaf answers",
+TEST_CASE("after two leafs have crashed under a request, nothing more is sent until a leaf answers",
           "[serving]") {
   const std::vector<std::string> shards = {"s0", "s1", "s2", "s3"};
   const auto view = viewOf({gatherRoute(shards, 0.5)}, shards, 2);
@@ -402,7 +404,7 @@
   for (const SendAction& send : started.sends) {
     query.onWritten(send.exchange);
   }
-  // The first that ends may be a leaf's own end.
+  // A single crash may have another cause.
   const auto retried = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kLeafEnded), at(5));
   REQUIRE(retried.sends.size() == 1);
   query.onWritten(retried.sends[0].exchange);
@@ -426,8 +428,7 @@
   }
 }
 
-TEST_CASE("while no leaf has answered, only a few hedges find out whether the request is what takes long",
-          "[serving]") {
+TEST_CASE("the number of hedges is limited while no leaf has answered", "[serving]") {
   std::vector<std::string> shards(20);
   for (std::size_t number = 0; number < shards.size(); ++number) {
     shards[number] = "s" + std::to_string(number);
@@ -451,7 +452,7 @@
   REQUIRE(hedges >= shards.size() - 1);
 }
 
-TEST_CASE("a request under which leafs have ended goes to one leaf first", "[serving]") {
+TEST_CASE("a trial is sent to one leaf first", "[serving]") {
   const std::vector<std::string> shards = {"s0", "s1", "s2", "s3"};
   const auto view = viewOf({gatherRoute(shards, 0.5)}, shards, 2);
   QueryWorld world(view);
@@ -459,30 +460,30 @@
               Query::Start::kOneLeafFirst);
   const auto started = query.start(at(0));
   REQUIRE(started.sends.size() == 1);
-  SECTION("and no further when that leaf ends") {
+  SECTION("nothing more is sent if that leaf crashes") {
     query.onWritten(started.sends[0].exchange);
     const auto last = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kLeafEnded), at(5));
     REQUIRE(last.sends.empty());
     REQUIRE(last.answer);
     REQUIRE(std::holds_alternative<Failure>(*last.answer));
   }
-  SECTION("and on to all others when it answers") {
+  SECTION("all other shards follow when it answers") {
     query.onWritten(started.sends[0].exchange);
     const auto released = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kAnswered, "a"), at(5));
     REQUIRE(released.sends.size() == 3);
     REQUIRE_FALSE(released.answer);
   }
-  SECTION("another one when that leaf can't be reached") {
+  SECTION("another leaf is tried if it is unreachable") {
     const auto again = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNotSent), at(5));
     REQUIRE(again.sends.size() == 1);
   }
-  SECTION("and is refused as not run when that leaf turns it away") {
+  SECTION("the request is refused as not executed if that leaf rejects it") {
     query.onWritten(started.sends[0].exchange);
     const auto last = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNotExecuted), at(5));
     REQUIRE(last.sends.empty());
     REQUIRE(std::holds_alternative<Refusal>(*last.answer));
   }
-  SECTION("without a hedge while that leaf is slow") {
+  SECTION("no hedge is sent while it is slow") {
     query.onWritten(started.sends[0].exchange);
     for (int now = 10; now < 400; now += 10) {
       REQUIRE(query.onTime(at(now)).sends.empty());
@@ -490,8 +491,8 @@
   }
 }
 
-TEST_CASE("promises of a query hold for any outcomes in any order", "[serving]") {
-  OAKPIER_PROPERTY("promises", [] {
+TEST_CASE("the invariants of a query hold for any outcomes in any order", "[serving]") {
+  OAKPIER_PROPERTY("invariants", [] {
     const bool gather = *rc::gen::arbitrary<bool>();
     const bool repeatable = gather || *rc::gen::arbitrary<bool>();
     const auto attempts = *rc::gen::inRange<unsigned>(1, 4);
--- a/tests/serving/coordination/request_quarantine_test.cpp
+++ b/tests/serving/coordination/request_quarantine_test.cpp
@@ -15,14 +15,14 @@
 
 const RequestFingerprint kRequest{1, 2};
 const RequestFingerprint kOther{3, 4};
-/// Well after the calm that a trial waits for.
+/// After the interval without crashes that a trial waits for.
 constexpr int kLater = 5000;
 
 Verdict verdictOf(const RequestQuarantine& quarantine, int milliseconds) {
   return quarantine.judge(kRequest, at(milliseconds)).verdict;
 }
 
-/// With evidence that makes a trial due.
+/// `kRequest` has crashed this many leafs.
 RequestQuarantine suspecting(std::uint64_t endedLeafs) {
   RequestQuarantine quarantine;
   for (std::uint64_t leaf = 1; leaf <= endedLeafs; ++leaf) {
@@ -33,13 +33,13 @@
 
 }  // namespace
 
-TEST_CASE("one leaf that ends, or one that ends twice, does not accuse a request", "[serving]") {
+TEST_CASE("one crashed leaf, even if it crashed twice, does not make a request suspect", "[serving]") {
   RequestQuarantine quarantine = suspecting(1);
   quarantine.onLeafEnded(kRequest, 1, at(1100));
   REQUIRE(verdictOf(quarantine, kLater) == Verdict::kOrdinary);
 }
 
-TEST_CASE("a request under which leafs ended is tried on one leaf once no leaf ends any more", "[serving]") {
+TEST_CASE("a suspect request gets a trial once there was no crash for some time", "[serving]") {
   RequestQuarantine quarantine = suspecting(20);
   const auto early = quarantine.judge(kRequest, at(1100));
   REQUIRE(early.verdict == Verdict::kNotYet);
@@ -49,7 +49,7 @@
   REQUIRE(verdictOf(quarantine, 1600) == Verdict::kTrial);
 }
 
-TEST_CASE("a trial that ends its leaf condemns the request until it is tried again", "[serving]") {
+TEST_CASE("a trial that crashes its leaf quarantines the request until the next trial", "[serving]") {
   RequestQuarantine quarantine = suspecting(2);
   quarantine.onTrial(kRequest, at(kLater));
   REQUIRE(verdictOf(quarantine, kLater + 1) == Verdict::kNotYet);
@@ -65,7 +65,7 @@
   REQUIRE(verdictOf(quarantine, kLater + 20 + kHour) == Verdict::kCondemned);
 }
 
-TEST_CASE("trials that tell nothing become rarer and condemn nobody", "[serving]") {
+TEST_CASE("trials without an answer or a crash become rarer and do not quarantine the request", "[serving]") {
   RequestQuarantine quarantine = suspecting(20);
   int now = kLater;
   for (const int pause : {2000, 8000, 32000}) {
@@ -76,7 +76,7 @@
   }
 }
 
-TEST_CASE("an answer clears a request, also against evidence that comes from elsewhere later", "[serving]") {
+TEST_CASE("an answer clears a request, also of earlier evidence that a peer reports later", "[serving]") {
   RequestQuarantine quarantine = suspecting(3);
   const QuarantineRecord old = quarantine.newest(1).front();
   quarantine.onTrial(kRequest, at(kLater));
@@ -86,7 +86,7 @@
   REQUIRE(verdictOf(quarantine, kLater + 10) == Verdict::kOrdinary);
 }
 
-TEST_CASE("evidence of several daemons adds up, and changes are told once", "[serving]") {
+TEST_CASE("evidence of several daemons adds up, and changes are reported once", "[serving]") {
   RequestQuarantine here = suspecting(1);
   RequestQuarantine there;
   there.onLeafEnded(kRequest, 9, at(1000));
@@ -101,7 +101,7 @@
   REQUIRE(here.takeChanged().empty());
 }
 
-TEST_CASE("what is known is bounded and forgotten in the end", "[serving]") {
+TEST_CASE("the number of records is limited, and records expire", "[serving]") {
   RequestQuarantine quarantine;
   for (std::uint64_t number = 0; number < RequestQuarantine::kMostRecords + 10; ++number) {
     quarantine.onLeafEnded({number, number}, number, at(static_cast<int>(number)));
@@ -112,7 +112,7 @@
   REQUIRE(quarantine.empty());
 }
 
-TEST_CASE("daemons that know the same evidence judge alike, in whatever order it came", "[serving]") {
+TEST_CASE("daemons with the same evidence give the same verdict, whatever the order", "[serving]") {
   OAKPIER_PROPERTY("order of evidence", [] {
     const auto count = *rc::gen::inRange<std::size_t>(1, 12);
     std::vector<RequestQuarantine> witnesses(3);
@@ -144,7 +144,7 @@
     }
     std::reverse(told.begin(), told.end());
     for (const QuarantineRecord& record : told) {
-      // Also by way of a frame, and twice.
+      // Encoded as on the wire, and delivered twice.
       for (int time = 0; time < 2; ++time) {
         for (const QuarantineRecord& decoded :
              decodeEndingRequests(encodeEndingRequests({record}, at(now)), at(now))) {
@@ -156,10 +156,10 @@
   });
 }
 
-TEST_CASE("records that break a bound are not believed", "[serving]") {
+TEST_CASE("records outside the limits are dropped when decoded", "[serving]") {
   EndingRequests message = encodeEndingRequests({suspecting(3).newest(1)}, at(2000));
   REQUIRE(decodeEndingRequests(message, at(2000)).size() == 1);
-  SECTION("an age beyond all memory") {
+  SECTION("an age beyond the retention") {
     message.mutable_requests(0)->set_last_ended_age_us(std::uint64_t{1} << 62);
     REQUIRE(decodeEndingRequests(message, at(2000)).empty());
   }
