--- a/bench/simulation/simulated_fleet.cpp
+++ b/bench/simulation/simulated_fleet.cpp
@@ -137,7 +137,7 @@
     next.at = now_ + options_.tick;
     schedule(std::move(next));
     if (!node.paused) {
-      step(event.target, [this](ControlPlane& plane) { return plane.onTime(now_); });
+      step(event.target, [this](ControlPlane& plane) { return plane.onTimer(now_); });
       leaveWhenPossible(event.target);
     }
     return;
--- a/bench/simulation/simulated_requests.cpp
+++ b/bench/simulation/simulated_requests.cpp
@@ -158,11 +158,11 @@
 
   void tick() {
     for (std::size_t owner = 0; owner < owners_.size(); ++owner) {
-      onOwner(owner, [this](LeafDispatcher& dispatcher) { return dispatcher.onTime(now_); });
+      onOwner(owner, [this](LeafDispatcher& dispatcher) { return dispatcher.onTimer(now_); });
     }
     for (auto& [id, query] : queries_) {
       if (!query->finished()) {
-        carryOut(id, query->onTime(now_));
+        carryOut(id, query->onTimer(now_));
       }
     }
     noteFinished();
--- a/src/coordination/control_plane.cpp
+++ b/src/coordination/control_plane.cpp
@@ -137,7 +137,7 @@
   }
 }
 
-ControlActions ControlPlane::onTime(Moment now) {
+ControlActions ControlPlane::onTimer(Moment now) {
   detectPause(now);
   if (startedAt_ == Moment{}) {
     startedAt_ = now;
@@ -145,11 +145,11 @@
   if (revalidating_ && now >= revalidateUntil_) {
     revalidating_ = false;
   }
-  carryOut(membership_.onTime(now));
-  carryOut(proposer_.onTime(now), now);
+  carryOut(membership_.onTimer(now));
+  carryOut(proposer_.onTimer(now), now);
   resolveAwaited(now);
-  lease_.onTime(store_.voters(), now);
-  for (const auto& member : guard_.onTime(membership_.members(), now)) {
+  lease_.onTimer(store_.voters(), now);
+  for (const auto& member : guard_.onTimer(membership_.members(), now)) {
     PeerEnvelope envelope = envelopeOf();
     envelope.mutable_reservations_request();
     send(member, std::move(envelope));
--- a/src/coordination/control_plane.h
+++ b/src/coordination/control_plane.h
@@ -33,7 +33,7 @@
   Duration voterCheckPeriod = std::chrono::seconds(1);
   /// An accepted change that is not heard to be chosen is completed by a voter after this long.
   Duration completionDelay = std::chrono::seconds(2);
-  /// A gap between two calls of `onTime` longer than this is a pause of the process.
+  /// A gap between two calls of `onTimer` longer than this is a pause of the process.
   Duration pauseThreshold = std::chrono::milliseconds(1500);
 };
 
@@ -91,7 +91,7 @@
 
   ControlActions onMessage(const PeerEnvelope& envelope, Moment now);
   /// Call at least every 50 ms.
-  ControlActions onTime(Moment now);
+  ControlActions onTimer(Moment now);
   ControlActions submit(ChangeRequest request, Moment now);
   /// Begins a planned stop: a voter first sees to its replacement.
   void prepareLeave() { self_.leaving = true; }
--- a/src/coordination/entry_query.cpp
+++ b/src/coordination/entry_query.cpp
@@ -74,7 +74,7 @@
   return actions;
 }
 
-QueryActions EntryQuery::onTime(Moment now) {
+QueryActions EntryQuery::onTimer(Moment now) {
   QueryActions actions;
   if (finished()) {
     return actions;
--- a/src/coordination/entry_query.h
+++ b/src/coordination/entry_query.h
@@ -83,11 +83,11 @@
 
   QueryActions start(Moment now);
   QueryActions onResults(const Endpoint& owner, const ResultBatch& results, Moment now);
-  QueryActions onTime(Moment now);
+  QueryActions onTimer(Moment now);
   /// The caller has gone; whatever runs is cancelled.
   QueryActions abandon(Moment now);
 
-  /// When `onTime` has something to do next.
+  /// When `onTimer` has something to do next.
   Moment nextWake() const;
   bool finished() const { return phase_ == Phase::kFinished; }
   /// Valid once finished.
--- a/src/coordination/leaf_dispatcher.cpp
+++ b/src/coordination/leaf_dispatcher.cpp
@@ -234,7 +234,7 @@
   return actions;
 }
 
-DispatchActions LeafDispatcher::onTime(Moment now) {
+DispatchActions LeafDispatcher::onTimer(Moment now) {
   DispatchActions actions;
   std::vector<ExchangeId> overdue;
   for (const auto& [id, exchange] : exchanges_) {
--- a/src/coordination/leaf_dispatcher.h
+++ b/src/coordination/leaf_dispatcher.h
@@ -82,7 +82,7 @@
   DispatchActions onAnswer(ExchangeId exchange, const LeafAnswer& answer, Moment now);
   DispatchActions onStatus(ExchangeId exchange, const LeafState& state, Moment now);
   DispatchActions onFailure(ExchangeId exchange, ExchangeFailure failure, Moment now);
-  DispatchActions onTime(Moment now);
+  DispatchActions onTimer(Moment now);
 
   /// Tasks waiting or in progress; a planned stop waits until there are none.
   std::size_t busy() const;
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -94,7 +94,7 @@
   return actions;
 }
 
-MembershipActions Membership::onTime(Moment now) {
+MembershipActions Membership::onTimer(Moment now) {
   MembershipActions actions;
   if (leaving_) {
     return actions;
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -83,7 +83,7 @@
 
   MembershipActions onProbe(const Endpoint& sender, const Probe& probe, Moment now);
   MembershipActions onReply(const Endpoint& sender, const ProbeReply& reply, Moment now);
-  MembershipActions onTime(Moment now);
+  MembershipActions onTimer(Moment now);
   /// All that is known of the members, for a daemon that has just started.
   ProbeReply introduction(const Endpoint& receiver);
 
--- a/src/coordination/proposer.cpp
+++ b/src/coordination/proposer.cpp
@@ -110,7 +110,7 @@
   return end(ownChosen ? ProposalEnd::kChosen : ProposalEnd::kOtherChosen);
 }
 
-ProposerActions Proposer::onTime(Moment now) {
+ProposerActions Proposer::onTimer(Moment now) {
   if (phase_ == Phase::kIdle) {
     return {};
   }
--- a/src/coordination/proposer.h
+++ b/src/coordination/proposer.h
@@ -70,7 +70,7 @@
                         Moment now);
   ProposerActions onPromise(const Endpoint& sender, const Promise& promise, Moment now);
   ProposerActions onAccepted(const Endpoint& sender, const Accepted& accepted, Moment now);
-  ProposerActions onTime(Moment now);
+  ProposerActions onTimer(Moment now);
 
  private:
   enum class Phase { kIdle, kPreparing, kAccepting, kWaiting };
--- a/src/coordination/repeat_guard.cpp
+++ b/src/coordination/repeat_guard.cpp
@@ -97,7 +97,7 @@
   }
 }
 
-std::vector<Endpoint> RepeatGuard::onTime(const MemberTable& members, Moment now) {
+std::vector<Endpoint> RepeatGuard::onTimer(const MemberTable& members, Moment now) {
   if (startedAt_ == Moment{}) {
     startedAt_ = now;
   }
--- a/src/coordination/repeat_guard.h
+++ b/src/coordination/repeat_guard.h
@@ -46,7 +46,7 @@
   void onReservations(const Endpoint& sender, const ReservationsReply& reply, Moment now);
 
   /// Members to ask for their reservations now; forgets what is past its window.
-  std::vector<Endpoint> onTime(const MemberTable& members, Moment now);
+  std::vector<Endpoint> onTimer(const MemberTable& members, Moment now);
 
   /// Everything reserved before this daemon started is known here, or too old to matter.
   bool settled() const { return settled_; }
--- a/src/coordination/serving/admission.cpp
+++ b/src/coordination/serving/admission.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 /// A request is refused if its expected answer time exceeds this multiple of the target latency.
-constexpr double kPatience = 1.5;
+constexpr double kOverloadFactor = 1.5;
 /// Maximum retry delay, before the random addition of up to half as much.
-constexpr Duration kLongestRetryAfter = std::chrono::seconds(1);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
 /// Stands for the answer time of a service without a usable leaf.
 constexpr Duration kUnreachable = std::chrono::seconds(60);
 
@@ -52,11 +52,11 @@
 }
 
 /// The time within which enough shards for an answer on the route are ready, from the time of each shard.
-Duration whenEnough(const Route& route, std::vector<Duration>& times) {
+Duration timeUntilEnough(const Route& route, std::vector<Duration>& times) {
   std::size_t needed = 1;
   if (const auto* gather = std::get_if<GatherTarget>(&route.target)) {
-    const double least = gather->minimumShardShare * static_cast<double>(times.size());
-    needed = std::clamp<std::size_t>(static_cast<std::size_t>(std::ceil(least)), 1, times.size());
+    const double minimum = gather->minimumShardShare * static_cast<double>(times.size());
+    needed = std::clamp<std::size_t>(static_cast<std::size_t>(std::ceil(minimum)), 1, times.size());
   }
   const auto place = times.begin() + static_cast<std::ptrdiff_t>(needed - 1);
   std::nth_element(times.begin(), place, times.end());
@@ -81,7 +81,7 @@
 }
 
 /// Adds a random delay of up to half, so that callers that were refused together do not retry together.
-Duration spread(Duration retryAfter, RandomEngine& random) {
+Duration addJitter(Duration retryAfter, RandomEngine& random) {
   const auto half = static_cast<std::size_t>(retryAfter.count() / 2 + 1);
   return retryAfter + Duration(static_cast<std::int64_t>(drawBelow(half, random)));
 }
@@ -91,28 +91,28 @@
 Duration expectedAnswerTime(const Route& route, QueryContext& context, Moment now) {
   std::vector<Duration> times = timesOfServices(
       route, [&](const std::string& service) { return expectedPartTime(service, route, context, now); });
-  return whenEnough(route, times);
+  return timeUntilEnough(route, times);
 }
 
-std::optional<Refusal> refuseWhenUnservable(const Route& route, const ServingView& view,
-                                            QueryContext& context, Moment now) {
+std::optional<Refusal> refuseIfUnservable(const Route& route, const ServingView& view, QueryContext& context,
+                                          Moment now) {
   std::vector<Duration> times = timesOfServices(
       route, [&](const std::string& service) { return timeUntilServable(service, view, context, now); });
-  const Duration wait = whenEnough(route, times);
+  const Duration wait = timeUntilEnough(route, times);
   if (wait <= Duration(0)) {
     return std::nullopt;
   }
-  const Duration retryAfter = std::clamp(wait, context.policy.retryAfter, kLongestRetryAfter);
-  return Refusal{spread(retryAfter, context.random)};
+  const Duration retryAfter = std::clamp(wait, context.policy.retryAfter, kMaxRetryAfter);
+  return Refusal{addJitter(retryAfter, context.random)};
 }
 
-std::optional<Refusal> refuseWhenBusy(const Route& route, QueryContext& context, Moment now) {
+std::optional<Refusal> refuseIfOverloaded(const Route& route, QueryContext& context, Moment now) {
   const Duration expected = expectedAnswerTime(route, context, now);
-  const auto bound = Duration(static_cast<std::int64_t>(route.targetLatency.count() * kPatience));
+  const auto bound = Duration(static_cast<std::int64_t>(route.targetLatency.count() * kOverloadFactor));
   if (expected >= kUnreachable || expected <= bound) {
     return std::nullopt;
   }
-  return Refusal{std::clamp(expected - route.targetLatency, context.policy.retryAfter, kLongestRetryAfter)};
+  return Refusal{std::clamp(expected - route.targetLatency, context.policy.retryAfter, kMaxRetryAfter)};
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/admission.h
+++ b/src/coordination/serving/admission.h
@@ -16,12 +16,12 @@
 
 /// Set if the expected answer time exceeds the target latency by far. The retry delay is the time by which
 /// the answer would miss the target.
-std::optional<Refusal> refuseWhenBusy(const Route& route, QueryContext& context, Moment now);
+std::optional<Refusal> refuseIfOverloaded(const Route& route, QueryContext& context, Moment now);
 
 /// Set if the request cannot succeed: fewer shards than an answer needs have a reachable leaf that takes
 /// work. Leafs of shards that are delegated to other daemons count as reachable. The retry delay ends when
 /// enough leafs are tried again.
-std::optional<Refusal> refuseWhenUnservable(const Route& route, const ServingView& view,
-                                            QueryContext& context, Moment now);
+std::optional<Refusal> refuseIfUnservable(const Route& route, const ServingView& view, QueryContext& context,
+                                          Moment now);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/configuration_prover.cpp
+++ b/src/coordination/serving/configuration_prover.cpp
@@ -192,7 +192,7 @@
   }
 }
 
-void ConfigurationProver::onTime(Moment now, ProofActions& actions) {
+void ConfigurationProver::onTimer(Moment now, ProofActions& actions) {
   for (auto question = questions_.begin(); question != questions_.end();) {
     const bool late = now - question->second.sentAt >= kQuestionTimeout;
     counters_.timedOut += late ? 1 : 0;
--- a/src/coordination/serving/configuration_prover.h
+++ b/src/coordination/serving/configuration_prover.h
@@ -84,8 +84,8 @@
                  ProofActions& actions);
   void onReply(const Endpoint& sender, const ConfigurationProofReply& reply, Moment now,
                ProofActions& actions);
-  void onTime(Moment now, ProofActions& actions);
-  /// When `onTime` or `takeReadWish` has something to do.
+  void onTimer(Moment now, ProofActions& actions);
+  /// When `onTimer` or `takeReadWish` has something to do.
   Moment nextDueAt() const;
   /// Other daemons did not help: the source is to be read now for this daemon's own sake. True once a while.
   bool takeReadWish(Moment now);
--- a/src/coordination/serving/send_caution.h
+++ b/src/coordination/serving/crash_guard.h
@@ -12,36 +12,36 @@
 namespace oakpier::serving {
 
 /// Shared by the parts of one request at one daemon. Not thread-safe.
-class SendCaution {
+class CrashGuard {
  public:
-  /// With `oneLeafFirst` (a trial) only one leaf gets the request until it has answered.
-  explicit SendCaution(bool oneLeafFirst = false) : oneLeafFirst_(oneLeafFirst) {}
+  /// With `trial` (a trial) only one leaf gets the request until it has answered.
+  explicit CrashGuard(bool trial = false) : trial_(trial) {}
 
   void onOutcome(LeafOutcome::Kind kind) {
     answered_ = answered_ || kind == LeafOutcome::Kind::kAnswered;
-    ended_ += kind == LeafOutcome::Kind::kLeafEnded ? 1 : 0;
+    crashes_ += kind == LeafOutcome::Kind::kLeafCrashed ? 1 : 0;
   }
   void onHedge() { ++hedges_; }
-  bool oneLeafFirst() const { return oneLeafFirst_; }
+  bool isTrial() const { return trial_; }
   /// While no leaf has answered, all of them may be slow because of the request itself and crash soon, so
   /// only a few hedges are allowed.
-  bool mayHedge() const { return !holds() && (answered_ || hedges_ < kMostHedgesUnanswered); }
+  bool mayHedge() const { return !blocksSends() && (answered_ || hedges_ < kMaxHedgesUnanswered); }
   /// Whether further sends are forbidden for now.
-  bool holds() const { return !answered_ && (oneLeafFirst_ || ended_ >= kMostEnded); }
-  std::size_t endedLeafs() const { return ended_; }
+  bool blocksSends() const { return !answered_ && (trial_ || crashes_ >= kCrashesBeforeBlock); }
+  std::size_t crashedLeafs() const { return crashes_; }
 
  private:
   /// One crash may have another cause; two under the same request hardly have. A harmless request only waits
   /// until any of its leafs answers.
-  static constexpr std::size_t kMostEnded = 2;
+  static constexpr std::size_t kCrashesBeforeBlock = 2;
 
   /// If the request is harmless, one of this many hedges is very likely to be answered soon.
-  static constexpr std::size_t kMostHedgesUnanswered = 4;
+  static constexpr std::size_t kMaxHedgesUnanswered = 4;
 
-  bool oneLeafFirst_;
+  bool trial_;
   bool answered_ = false;
   std::size_t hedges_ = 0;
-  std::size_t ended_ = 0;
+  std::size_t crashes_ = 0;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/departed_leafs.cpp
+++ b/src/coordination/serving/departed_leafs.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void DepartedLeafs::add(const LeafLife& life, Moment now) {
+void DepartedLeafs::add(const LeafIncarnation& life, Moment now) {
   byId_[life.id] = Departure{life, now};
   order_.push_back(Departure{life, now});
   while (order_.size() > kMostRemembered) {
@@ -20,12 +20,12 @@
   }
 }
 
-bool DepartedLeafs::include(const LeafLife& life) const {
+bool DepartedLeafs::include(const LeafIncarnation& life) const {
   const auto found = byId_.find(life.id);
   return found != byId_.end() && found->second.life == life;
 }
 
-void DepartedLeafs::onTime(Moment now) {
+void DepartedLeafs::onTimer(Moment now) {
   while (!order_.empty() && now - order_.front().at > kRemembered) {
     forgetOldest();
   }
--- a/src/coordination/serving/departed_leafs.h
+++ b/src/coordination/serving/departed_leafs.h
@@ -10,7 +10,7 @@
 #include <map>
 #include <string>
 
-#include "state/serving/leaf_life.h"
+#include "state/serving/leaf_incarnation.h"
 #include "state/time.h"
 
 namespace oakpier::serving {
@@ -19,17 +19,17 @@
 class DepartedLeafs {
  public:
   /// The life of the leaf has ended just now.
-  void add(const LeafLife& life, Moment now);
+  void add(const LeafIncarnation& life, Moment now);
   /// This life of the leaf has ended lately.
-  bool include(const LeafLife& life) const;
+  bool include(const LeafIncarnation& life) const;
   /// Forgets what is too old.
-  void onTime(Moment now);
+  void onTimer(Moment now);
   /// Leafs of which an ended life is remembered.
   std::size_t size() const { return byId_.size(); }
 
  private:
   struct Departure {
-    LeafLife life;
+    LeafIncarnation life;
     Moment at{};
   };
 
--- a/src/coordination/serving/part_exchange.cpp
+++ b/src/coordination/serving/direct_part.cpp
@@ -1,4 +1,4 @@
-#include "coordination/serving/part_exchange.h"
+#include "coordination/serving/direct_part.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,46 +12,50 @@
 /// Delay before a hedge that could not be sent is tried again.
 constexpr Duration kHedgeRetry = std::chrono::milliseconds(10);
 /// Minimum delay of a hedge after the previous send.
-constexpr Duration kShortestHedgeDelay = std::chrono::milliseconds(3);
+constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(3);
 constexpr Duration kHedgeMargin = std::chrono::milliseconds(5);
 /// Limit on all sends of one part. Leafs that reject a request do not count against the route's `attempts`.
-constexpr std::size_t kMostSends = 6;
+constexpr std::size_t kMaxSends = 6;
 
 }  // namespace
 
-PartExchange::PartExchange(std::string service, const Route& route, QueryContext& context,
-                           RequestTrace& trace, SendCaution& caution)
-    : QueryPart(std::move(service)), route_(route), context_(context), trace_(trace), caution_(caution) {}
+DirectPart::DirectPart(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
+                       CrashGuard& crashGuard)
+    : QueryPart(std::move(service)),
+      route_(route),
+      context_(context),
+      trace_(trace),
+      crashGuard_(crashGuard) {}
 
-void PartExchange::note(Decision decision, const std::shared_ptr<LeafStatus>& leaf, Moment now,
-                        std::optional<LeafOutcome::Kind> outcome) {
+void DirectPart::addTraceEvent(Decision decision, const std::shared_ptr<LeafStatus>& leaf, Moment now,
+                               std::optional<LeafOutcome::Kind> outcome) {
   TraceEvent event{now, decision, service_, leaf, 0, 0, {}, outcome, std::nullopt};
   if (leaf) {
     event.queueLength = leaf->queueLength(now);
-    event.slowness = leaf->slowness();
-    event.stalledFor = leaf->stalledFor(now);
+    event.latencyRatio = leaf->latencyRatio();
+    event.overdueFor = leaf->overdueFor(now);
   }
   trace_.add(std::move(event));
 }
 
-void PartExchange::start(Moment now, const PartTimes& times, QueryActions& actions) {
-  heldBack_ = false;
-  context_.budgets.earn(service_, now);
-  times_ = times;
+void DirectPart::start(Moment now, const PartDeadlines& deadlines, QueryActions& actions) {
+  suspended_ = false;
+  context_.budgets.deposit(service_, now);
+  deadlines_ = deadlines;
   if (!send(Decision::kSend, false, now, actions)) {
     state_ = State::kExhausted;
   }
 }
 
-bool PartExchange::send(Decision decision, bool paid, Moment now, QueryActions& actions) {
+bool DirectPart::send(Decision decision, bool paid, Moment now, QueryActions& actions) {
   RouteLatency& latency = context_.latencyOf(route_);
-  const Duration timeLeft = times_.leafDeadline - now;
-  const AnswerTime answerTime{latency.withoutQueue(), latency.alwaysWorthTrying()};
+  const Duration timeLeft = deadlines_.leafDeadline - now;
+  const ResponseTimes responseTimes{latency.serviceTime(), latency.sufficientTime()};
   const SelectionRequest request{
       triedLeafs_, latency.typical(), context_.ownZone,           context_.preferredZone,
-      timeLeft,    answerTime,        context_.warmupOf(service_)};
+      timeLeft,    responseTimes,     context_.warmupOf(service_)};
   auto leaf = selectLeaf(context_.leafs.leafsOf(service_), request, context_.random, now);
-  note(leaf ? decision : Decision::kNoLeaf, leaf, now);
+  addTraceEvent(leaf ? decision : Decision::kNoLeaf, leaf, now);
   if (!leaf) {
     return false;
   }
@@ -61,9 +65,10 @@
   attempt.startedAt = now;
   attempt.paid = paid;
   leaf->onStarted(attempt.exchange, latency.high(), now);
-  triedLeafs_.push_back(leaf->entry().life());
-  const Duration leastTime = leastAnswerTime(*leaf, answerTime);
-  actions.sends.push_back(SendAction{attempt.exchange, leaf, std::nullopt, times_.leafDeadline, leastTime});
+  triedLeafs_.push_back(leaf->entry().incarnation());
+  const Duration minTimeLeft = minResponseTime(*leaf, responseTimes);
+  actions.sends.push_back(
+      SendAction{attempt.exchange, leaf, std::nullopt, deadlines_.leafDeadline, minTimeLeft});
   attempts_.push_back(std::move(attempt));
   if (route_.repeatable) {
     hedgeAt_ = now + hedgeDelay(latency, now);
@@ -71,74 +76,74 @@
   return true;
 }
 
-Duration PartExchange::hedgeDelay(const RouteLatency& latency, Moment now) {
-  const Duration early = std::max(kShortestHedgeDelay, latency.high());
-  if (times_.usefulUntil == kNever) {
+Duration DirectPart::hedgeDelay(const RouteLatency& latency, Moment now) {
+  const Duration early = std::max(kMinHedgeDelay, latency.high());
+  if (deadlines_.targetDeadline == kNever) {
     return early;
   }
   // The latest time at which another leaf can still be expected to answer in time.
-  const Duration late = times_.usefulUntil - now - latency.high() - kHedgeMargin;
+  const Duration late = deadlines_.targetDeadline - now - latency.high() - kHedgeMargin;
   if (late <= early) {
     return std::max(latency.typical() * 3 / 2, late);
   }
-  const double spent = 1.0 - context_.budgets.fill(service_, now);
+  const double spent = 1.0 - context_.budgets.fillRatio(service_, now);
   return early + Duration(static_cast<std::int64_t>((late - early).count() * spent));
 }
 
-std::size_t PartExchange::countedAttempts() const {
+std::size_t DirectPart::countedAttempts() const {
   return static_cast<std::size_t>(
       std::count_if(attempts_.begin(), attempts_.end(),
                     [](const Attempt& attempt) { return !(attempt.finished && attempt.knownNotRun); }));
 }
 
-bool PartExchange::mayTryAgain() const {
-  if (mustWait()) {
+bool DirectPart::mayTryAgain() const {
+  if (sendsBlocked()) {
     return false;
   }
-  if (attempts_.size() >= kMostSends || countedAttempts() >= route_.attempts) {
+  if (attempts_.size() >= kMaxSends || countedAttempts() >= route_.attempts) {
     return false;
   }
   return route_.repeatable || !mayHaveRun();
 }
 
-bool PartExchange::sendAgain(Decision decision, Moment now, QueryActions& actions) {
+bool DirectPart::sendAgain(Decision decision, Moment now, QueryActions& actions) {
   if (!mayTryAgain()) {
     return false;
   }
   const bool paid = mayHaveArrived();
-  extraSendDenied_ = paid && !context_.budgets.spend(service_, now);
-  if (extraSendDenied_) {
-    note(Decision::kBudgetEmpty, nullptr, now);
+  retryBudgetDenied_ = paid && !context_.budgets.tryWithdraw(service_, now);
+  if (retryBudgetDenied_) {
+    addTraceEvent(Decision::kBudgetEmpty, nullptr, now);
     return false;
   }
   const bool sent = send(decision, paid, now, actions);
   if (paid && !sent) {
-    context_.budgets.giveBack(service_, now);
+    context_.budgets.refund(service_, now);
   }
   return sent;
 }
 
-PartExchange::Attempt* PartExchange::find(ExchangeId exchange) {
+DirectPart::Attempt* DirectPart::find(ExchangeId exchange) {
   const auto found = std::find_if(attempts_.begin(), attempts_.end(),
                                   [&](const Attempt& attempt) { return attempt.exchange == exchange; });
   return found == attempts_.end() ? nullptr : &*found;
 }
 
-void PartExchange::onWritten(ExchangeId exchange) {
+void DirectPart::onWriteStarted(ExchangeId exchange) {
   if (Attempt* attempt = find(exchange)) {
     attempt->written = true;
   }
 }
 
-void PartExchange::onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now,
-                             QueryActions& actions) {
+void DirectPart::onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now,
+                           QueryActions& actions) {
   Attempt* attempt = find(exchange);
   if (attempt == nullptr || attempt->finished) {
     return;
   }
   attempt->finished = true;
-  caution_.onOutcome(outcome.kind);
-  note(Decision::kOutcome, attempt->leaf, now, outcome.kind);
+  crashGuard_.onOutcome(outcome.kind);
+  addTraceEvent(Decision::kOutcome, attempt->leaf, now, outcome.kind);
   if (state_ != State::kOpen) {
     if (state_ == State::kAnswered && outcome.merged && outcome.kind == LeafOutcome::Kind::kAnswered) {
       outcome_ = outcome;
@@ -158,7 +163,7 @@
   if (unsent) {
     attempt->written = false;
     if (attempt->paid) {
-      context_.budgets.giveBack(service_, now);
+      context_.budgets.refund(service_, now);
     }
   }
   if (outcome.kind == LeafOutcome::Kind::kLeafFailed) {
@@ -167,112 +172,112 @@
   concludeIfExhausted(now, actions);
 }
 
-void PartExchange::concludeIfExhausted(Moment now, QueryActions& actions) {
-  if (anyOut() || awaitsRenewal_ || heldBack_) {
+void DirectPart::concludeIfExhausted(Moment now, QueryActions& actions) {
+  if (anyPending() || awaitsLateRetry_ || suspended_) {
     return;
   }
-  if (mustWait()) {
-    heldBack_ = true;
-    note(Decision::kHeldBack, nullptr, now);
+  if (sendsBlocked()) {
+    suspended_ = true;
+    addTraceEvent(Decision::kSuspended, nullptr, now);
     return;
   }
   if (sendAgain(Decision::kRetry, now, actions)) {
     return;
   }
-  if (renewable()) {
-    awaitsRenewal_ = true;
+  if (mayRetryLate()) {
+    awaitsLateRetry_ = true;
     return;
   }
   state_ = State::kExhausted;
 }
 
-void PartExchange::onReleased(Moment now, QueryActions& actions) {
-  if (!heldBack()) {
+void DirectPart::onResumed(Moment now, QueryActions& actions) {
+  if (!suspended()) {
     return;
   }
   if (attempts_.empty()) {
-    start(now, times_, actions);
+    start(now, deadlines_, actions);
     return;
   }
-  heldBack_ = false;
+  suspended_ = false;
   concludeIfExhausted(now, actions);
 }
 
-bool PartExchange::anyOut() const {
+bool DirectPart::anyPending() const {
   return std::any_of(attempts_.begin(), attempts_.end(),
                      [](const Attempt& attempt) { return !attempt.finished; });
 }
 
-bool PartExchange::renewable() const {
-  return !renewed_ && times_.lastDeadline > times_.leafDeadline && mayTryAgain();
+bool DirectPart::mayRetryLate() const {
+  return !lateRetryUsed_ && deadlines_.lateRetryDeadline > deadlines_.leafDeadline && mayTryAgain();
 }
 
-void PartExchange::renew(Moment now, QueryActions& actions) {
-  renewed_ = true;
-  awaitsRenewal_ = false;
-  times_.leafDeadline = std::min(times_.lastDeadline, now + route_.targetLatency);
+void DirectPart::retryLate(Moment now, QueryActions& actions) {
+  lateRetryUsed_ = true;
+  awaitsLateRetry_ = false;
+  deadlines_.leafDeadline = std::min(deadlines_.lateRetryDeadline, now + route_.targetLatency);
   // Leafs without a pending exchange may be tried again.
   triedLeafs_.clear();
   for (const Attempt& attempt : attempts_) {
     if (!attempt.finished) {
-      triedLeafs_.push_back(attempt.leaf->entry().life());
+      triedLeafs_.push_back(attempt.leaf->entry().incarnation());
     }
   }
-  if (!sendAgain(Decision::kRenew, now, actions) && !anyOut()) {
+  if (!sendAgain(Decision::kLateRetry, now, actions) && !anyPending()) {
     state_ = State::kExhausted;
   }
 }
 
-void PartExchange::onTime(Moment now, QueryActions& actions) {
-  if (state_ == State::kOpen && now >= times_.leafDeadline && renewable()) {
-    renew(now, actions);
+void DirectPart::onTimer(Moment now, QueryActions& actions) {
+  if (state_ == State::kOpen && now >= deadlines_.leafDeadline && mayRetryLate()) {
+    retryLate(now, actions);
   }
   if (state_ != State::kOpen || now < hedgeAt_) {
     return;
   }
   hedgeAt_ = kNever;
-  const bool worthIt = now < times_.usefulUntil;
-  if (worthIt && (mustWait() || !caution_.mayHedge())) {
+  const bool inTime = now < deadlines_.targetDeadline;
+  if (inTime && (sendsBlocked() || !crashGuard_.mayHedge())) {
     hedgeAt_ = now + kHedgeRetry;
     return;
   }
-  if (!worthIt || !mayTryAgain()) {
+  if (!inTime || !mayTryAgain()) {
     return;
   }
   if (sendAgain(Decision::kHedge, now, actions)) {
-    caution_.onHedge();
+    crashGuard_.onHedge();
   } else {
     hedgeAt_ = now + kHedgeRetry;
   }
 }
 
-Moment PartExchange::nextDecisionAt() const {
+Moment DirectPart::nextDecisionAt() const {
   if (state_ != State::kOpen) {
     return kNever;
   }
-  return renewable() ? std::min(hedgeAt_, times_.leafDeadline) : hedgeAt_;
+  return mayRetryLate() ? std::min(hedgeAt_, deadlines_.leafDeadline) : hedgeAt_;
 }
 
-bool PartExchange::mayHaveRun() const {
+bool DirectPart::mayHaveRun() const {
   return std::any_of(attempts_.begin(), attempts_.end(),
                      [](const Attempt& attempt) { return attempt.written && !attempt.knownNotRun; });
 }
 
-bool PartExchange::mayHaveArrived() const {
+bool DirectPart::mayHaveArrived() const {
   // A request that is still waiting to be written may arrive, too.
   return std::any_of(attempts_.begin(), attempts_.end(),
                      [](const Attempt& attempt) { return attempt.written || !attempt.finished; });
 }
 
-LossCause PartExchange::lossCause() const {
-  if (heldBack()) {
-    return LossCause::kLeafEnded;
+LossCause DirectPart::lossCause() const {
+  if (suspended()) {
+    return LossCause::kLeafCrashed;
   }
   if (attempts_.empty()) {
     return LossCause::kNoUsableLeaf;
   }
-  if (state_ == State::kAnswered || anyOut()) {
-    if (extraSendDenied_) {
+  if (state_ == State::kAnswered || anyPending()) {
+    if (retryBudgetDenied_) {
       return LossCause::kNoExtraSendLeft;
     }
     return attempts_.size() == 1 ? LossCause::kOneLeafSlow : LossCause::kEveryLeafSlow;
@@ -281,8 +286,8 @@
     case LeafOutcome::Kind::kNotExecuted:
     case LeafOutcome::Kind::kWrongInstance:
       return LossCause::kTurnedAway;
-    case LeafOutcome::Kind::kLeafEnded:
-      return LossCause::kLeafEnded;
+    case LeafOutcome::Kind::kLeafCrashed:
+      return LossCause::kLeafCrashed;
     case LeafOutcome::Kind::kNotSent:
       return LossCause::kLeafUnreachable;
     case LeafOutcome::Kind::kExpired:
@@ -294,10 +299,10 @@
   }
 }
 
-void PartExchange::close(QueryActions& actions) {
+void DirectPart::close(QueryActions& actions) {
   for (const Attempt& attempt : attempts_) {
     if (!attempt.finished) {
-      actions.abandons.push_back(attempt.exchange);
+      actions.cancellations.push_back(attempt.exchange);
     }
   }
 }
--- a/src/coordination/serving/part_exchange.h
+++ b/src/coordination/serving/direct_part.h
@@ -6,33 +6,33 @@
 /// sent to another leaf only after every earlier one is known not to have executed it; every send after one
 /// that may have arrived is paid for from the service's budget; nothing is sent to a leaf that usually takes
 /// longer than the time left; an unanswered part is retried at most once after the leafs' deadline; nothing
-/// is sent after the first send while the request's `SendCaution` holds.
+/// is sent after the first send while the request's `CrashGuard` holds.
 
 #include <optional>
 #include <string>
 #include <vector>
 
+#include "coordination/serving/crash_guard.h"
 #include "coordination/serving/query_part.h"
 #include "coordination/serving/query_policy.h"
 #include "coordination/serving/request_trace.h"
-#include "coordination/serving/send_caution.h"
 
 namespace oakpier::serving {
 
-class PartExchange : public QueryPart {
+class DirectPart : public QueryPart {
  public:
-  /// `trace` and `caution` must outlive the part.
-  PartExchange(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
-               SendCaution& caution);
+  /// `trace` and `crashGuard` must outlive the part.
+  DirectPart(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
+             CrashGuard& crashGuard);
 
-  void start(Moment now, const PartTimes& times, QueryActions& actions) override;
-  void onWritten(ExchangeId exchange) override;
+  void start(Moment now, const PartDeadlines& deadlines, QueryActions& actions) override;
+  void onWriteStarted(ExchangeId exchange) override;
   void onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now, QueryActions& actions) override;
-  void onTime(Moment now, QueryActions& actions) override;
-  void onReleased(Moment now, QueryActions& actions) override;
+  void onTimer(Moment now, QueryActions& actions) override;
+  void onResumed(Moment now, QueryActions& actions) override;
   void close(QueryActions& actions) override;
   Moment nextDecisionAt() const override;
-  bool anythingOut() const override { return anyOut(); }
+  bool hasPendingExchange() const override { return anyPending(); }
   bool mayHaveRun() const override;
   LossCause lossCause() const override;
   /// Whether a leaf may have received the request, even if it did not execute it.
@@ -59,28 +59,30 @@
   /// Sends again if allowed. Takes the send from the budget if an earlier one may have arrived.
   bool sendAgain(Decision decision, Moment now, QueryActions& actions);
   void concludeIfExhausted(Moment now, QueryActions& actions);
-  bool anyOut() const;
-  /// Whether `caution_` forbids further sends. A trial may still go to another leaf if the first one
+  bool anyPending() const;
+  /// Whether `crashGuard_` forbids further sends. A trial may still go to another leaf if the first one
   /// is unreachable.
-  bool mustWait() const { return caution_.holds() && (!caution_.oneLeafFirst() || mayHaveArrived()); }
-  bool renewable() const;
+  bool sendsBlocked() const {
+    return crashGuard_.blocksSends() && (!crashGuard_.isTrial() || mayHaveArrived());
+  }
+  bool mayRetryLate() const;
   /// Late retry: sends once more after the leafs' deadline, with a new deadline one target latency away.
-  void renew(Moment now, QueryActions& actions);
+  void retryLate(Moment now, QueryActions& actions);
   std::size_t countedAttempts() const;
   Attempt* find(ExchangeId exchange);
-  void note(Decision decision, const std::shared_ptr<LeafStatus>& leaf, Moment now,
-            std::optional<LeafOutcome::Kind> outcome = std::nullopt);
+  void addTraceEvent(Decision decision, const std::shared_ptr<LeafStatus>& leaf, Moment now,
+                     std::optional<LeafOutcome::Kind> outcome = std::nullopt);
 
   const Route& route_;
   QueryContext& context_;
   RequestTrace& trace_;
-  SendCaution& caution_;
+  CrashGuard& crashGuard_;
   std::vector<Attempt> attempts_;
-  std::vector<LeafLife> triedLeafs_;
+  std::vector<LeafIncarnation> triedLeafs_;
   Moment hedgeAt_ = kNever;
-  bool renewed_ = false;
+  bool lateRetryUsed_ = false;
   /// The last extra attempt was denied by the budget.
-  bool extraSendDenied_ = false;
+  bool retryBudgetDenied_ = false;
   /// Outcome of the last exchange that ended without an answer.
   std::optional<LeafOutcome::Kind> lastFailure_;
 };
--- a/src/coordination/serving/leaf_assignment.cpp
+++ b/src/coordination/serving/leaf_assignment.cpp
@@ -5,15 +5,15 @@
 namespace {
 
 /// Number of daemons that may send to a leaf of the service.
-std::size_t sendersTo(const std::string& service, const SharingDaemons& daemons, const ShardOwners& owners) {
-  return owners.owned(service) ? ownersAtOnce(daemons.mostZones) : daemons.mostPlanned;
+std::size_t sendersTo(const std::string& service, const FleetSize& daemons, const ShardOwners& owners) {
+  return owners.owned(service) ? ownersAtOnce(daemons.maxZones) : daemons.maxPlanned;
 }
 
 void assignService(const std::vector<LeafEntry>& leafs, const ServiceDefinition& service,
-                   const SharingDaemons& daemons, const Endpoint& self, ShardOwners& owners,
+                   const FleetSize& daemons, const Endpoint& self, ShardOwners& owners,
                    LeafAssignment& assignment) {
   if (!owners.owned(service.name)) {
-    const ConnectionShare share = shareOf(leafs.size(), service.maximumConnections, daemons.planned);
+    const ConnectionShare share = connectionShare(leafs.size(), service.maximumConnections, daemons.planned);
     assignment.shares[service.name] = share;
     assignment.leafs[service.name] = chooseSubset(leafs, share.leafs, self);
     return;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-LeafAssignment assignLeafs(const ServingView& view, const SharingDaemons& daemons, const Endpoint& self,
+LeafAssignment assignLeafs(const ServingView& view, const FleetSize& daemons, const Endpoint& self,
                            ShardOwners& owners) {
   LeafAssignment assignment;
   if (!view.configuration) {
@@ -38,7 +38,7 @@
   owners.setServices(owned);
   for (const std::string& service : owned) {
     if (owners.isFirstOwner(service)) {
-      assignment.firstOwned.insert(service);
+      assignment.firstOwnedServices.insert(service);
     }
   }
   for (const ServiceDefinition& service : view.configuration->services) {
--- a/src/coordination/serving/leaf_assignment.h
+++ b/src/coordination/serving/leaf_assignment.h
@@ -19,14 +19,14 @@
 namespace oakpier::serving {
 
 /// Number of daemons and zones that share the leafs.
-struct SharingDaemons {
+struct FleetSize {
   /// Daemons that connections are planned for. Higher than the current number, to allow for growth.
   std::size_t planned = 1;
   std::size_t zones = 1;
   /// Highest numbers seen so far, since daemons that are currently unreachable may still send. The defaults,
   /// used until any daemon is known, are high, so that this daemon sends little to cold leafs.
-  std::size_t mostPlanned = 1000;
-  std::size_t mostZones = 10;
+  std::size_t maxPlanned = 1000;
+  std::size_t maxZones = 10;
   WarmupTolerance warmup = {};
 };
 
@@ -36,11 +36,11 @@
   /// For services with a request limit for cold leafs.
   WarmupAllowances warmups;
   /// Services with owners whose first owner is this daemon.
-  std::unordered_set<std::string> firstOwned;
+  std::unordered_set<std::string> firstOwnedServices;
 };
 
 /// Also updates the set of services that have owners in `owners`.
-LeafAssignment assignLeafs(const ServingView& view, const SharingDaemons& daemons, const Endpoint& self,
+LeafAssignment assignLeafs(const ServingView& view, const FleetSize& daemons, const Endpoint& self,
                            ShardOwners& owners);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/leaf_outcome.h
+++ b/src/coordination/serving/leaf_outcome.h
@@ -33,14 +33,14 @@
     /// The request was sent at least in part and got no usable response; it may have been executed.
     kNoAnswer,
     /// Like kNoAnswer, and the leaf's process terminated while the request was there.
-    kLeafEnded,
+    kLeafCrashed,
     /// The leaf was unreachable; no byte of the request was written.
     kNotSent,
     /// Dropped before a byte was written, as the time left was shorter than the leaf usually needs. Does not
     /// count as a failure of the leaf.
     kExpired,
     /// Cancelled by the query: dropped before the send, or aborted after it.
-    kWithdrawn,
+    kCancelled,
   };
 
   Kind kind = Kind::kNoAnswer;
--- a/src/coordination/serving/leaf_selection.cpp
+++ b/src/coordination/serving/leaf_selection.cpp
@@ -9,7 +9,7 @@
 constexpr Duration kOtherZonePenalty = std::chrono::milliseconds(12);
 constexpr Duration kFurtherZonePenalty = std::chrono::milliseconds(18);
 /// Added for a leaf with an overdue answer.
-constexpr Duration kStallPenalty = std::chrono::milliseconds(100);
+constexpr Duration kOverduePenalty = std::chrono::milliseconds(100);
 constexpr Duration kEjectedPenalty = std::chrono::seconds(10);
 constexpr double kWarmupFactor = 1.6;
 /// Upper bound of the random tie-breaker. Without it, daemons with the same estimates would all select the
@@ -24,28 +24,28 @@
 }
 
 /// Whether the limit for cold leafs allows one more request from this daemon to the leaf.
-bool bearsOneMore(LeafStatus& leaf, const WarmupAllowance* allowance, RandomEngine& random, Moment now) {
+bool allowsColdSend(LeafStatus& leaf, const WarmupAllowance* allowance, RandomEngine& random, Moment now) {
   if (allowance == nullptr || !leaf.warmingUp(now)) {
     return true;
   }
   if (allowance->perSecond >= 1.0) {
-    return static_cast<double>(leaf.sentWhileCold(now)) + 1.0 <= allowance->perSecond;
+    return static_cast<double>(leaf.coldSendsInLastSecond(now)) + 1.0 <= allowance->perSecond;
   }
-  return leaf.drawWhileCold(allowance->perSecond, random, now);
+  return leaf.sampleColdSend(allowance->perSecond, random, now);
 }
 
 }  // namespace
 
-Duration leastAnswerTime(const LeafStatus& leaf, const AnswerTime& time) {
-  const double factor = std::max(1.0, leaf.slowness());
-  const auto usual = Duration(static_cast<std::int64_t>(time.withoutQueue.count() * factor));
-  return std::min(usual, time.alwaysWorthTrying);
+Duration minResponseTime(const LeafStatus& leaf, const ResponseTimes& times) {
+  const double factor = std::max(1.0, leaf.latencyRatio());
+  const auto usual = Duration(static_cast<std::int64_t>(times.serviceTime.count() * factor));
+  return std::min(usual, times.sufficientTime);
 }
 
 Duration queueingLatency(const LeafStatus& leaf, Duration typicalLatency, Moment now) {
   const double slots = std::max(1U, leaf.entry().slots);
   const double waiting = std::max(0.0, leaf.queueLength(now) + 1.0 - slots);
-  double factor = leaf.slowness() * (1.0 + waiting / slots);
+  double factor = leaf.latencyRatio() * (1.0 + waiting / slots);
   if (leaf.warmingUp(now)) {
     factor *= kWarmupFactor;
   }
@@ -55,8 +55,8 @@
 Duration expectedLatency(const LeafStatus& leaf, const SelectionRequest& request, Moment now) {
   Duration expected = queueingLatency(leaf, request.typicalLatency, now);
   expected += zonePenalty(leaf.entry().zone, request);
-  if (leaf.stalledFor(now).count() > 0) {
-    expected += kStallPenalty;
+  if (leaf.overdueFor(now).count() > 0) {
+    expected += kOverduePenalty;
   }
   if (leaf.ejected(now)) {
     expected += kEjectedPenalty;
@@ -70,15 +70,15 @@
   Duration bestExpected{};
   for (const auto& leaf : leafs) {
     const auto& tried = request.triedLeafs;
-    const auto isLeaf = [&](const LeafLife& life) { return leaf->entry().isOf(life); };
+    const auto isLeaf = [&](const LeafIncarnation& incarnation) { return leaf->entry().isOf(incarnation); };
     const bool mayServe = leaf->usable() && !leaf->unreachable(now);
     if (!mayServe || std::any_of(tried.begin(), tried.end(), isLeaf)) {
       continue;
     }
-    if (request.timeLeft < leastAnswerTime(*leaf, request.answerTime)) {
+    if (request.timeLeft < minResponseTime(*leaf, request.responseTimes)) {
       continue;
     }
-    if (!bearsOneMore(*leaf, request.warmup, random, now)) {
+    if (!allowsColdSend(*leaf, request.warmup, random, now)) {
       continue;
     }
     const auto tieBreak = Duration(static_cast<std::int64_t>(drawBelow(kTieBreakMicroseconds, random)));
--- a/src/coordination/serving/leaf_selection.h
+++ b/src/coordination/serving/leaf_selection.h
@@ -14,16 +14,16 @@
 namespace oakpier::serving {
 
 /// Time that a leaf of average speed needs to answer a request of one route.
-struct AnswerTime {
+struct ResponseTimes {
   /// Service time and network round trip, without queueing.
-  Duration withoutQueue{};
+  Duration serviceTime{};
   /// With this much time left, the request may be sent to any leaf.
-  Duration alwaysWorthTrying{};
+  Duration sufficientTime{};
 };
 
 struct SelectionRequest {
   /// Leafs that the request was already sent to; they are not selected again.
-  const std::vector<LeafLife>& triedLeafs;
+  const std::vector<LeafIncarnation>& triedLeafs;
   /// Median latency of requests of this route.
   Duration typicalLatency;
   /// The zone of this daemon. Leafs of other zones get a latency penalty.
@@ -32,13 +32,13 @@
   std::string_view preferredZone = {};
   /// Time until the leaf's deadline. Leafs that usually need longer are skipped.
   Duration timeLeft = Duration::max();
-  AnswerTime answerTime = {};
+  ResponseTimes responseTimes = {};
   /// Limit on requests to a cold leaf; null if there is none.
   const WarmupAllowance* warmup = nullptr;
 };
 
 /// Minimum time in which the leaf usually answers, without queueing.
-Duration leastAnswerTime(const LeafStatus& leaf, const AnswerTime& time);
+Duration minResponseTime(const LeafStatus& leaf, const ResponseTimes& times);
 
 /// Expected latency from the leaf's speed and queue length.
 Duration queueingLatency(const LeafStatus& leaf, Duration typicalLatency, Moment now);
--- a/src/coordination/serving/leaf_status.cpp
+++ b/src/coordination/serving/leaf_status.cpp
@@ -8,24 +8,24 @@
 namespace {
 
 /// Weight of the newest sample in the moving average.
-constexpr double kSlownessGain = 0.1;
-constexpr double kSlownessFloor = 0.5;
-constexpr double kSlownessCeiling = 20.0;
+constexpr double kLatencyRatioGain = 0.1;
+constexpr double kMinLatencyRatio = 0.5;
+constexpr double kMaxLatencyRatio = 20.0;
 /// Reported load is ignored after this time.
-constexpr Duration kLoadLifetime = std::chrono::milliseconds(150);
+constexpr Duration kLoadReportLifetime = std::chrono::milliseconds(150);
 /// Consecutive failures before a leaf is ejected.
 constexpr unsigned kFailuresBeforeEjection = 3;
 /// Consecutive failed attempts to reach a leaf before it counts as unreachable. A single one may be a
 /// connection that the leaf reset because it has too many.
-constexpr unsigned kLostBeforeUnreachable = 2;
+constexpr unsigned kAttemptsBeforeUnreachable = 2;
 /// A cancelled request counts as a failed attempt to reach the leaf if the leaf had not responded for this
-/// multiple of the expected latency plus `kSilenceFloor`.
-constexpr int kSilenceFactor = 3;
-constexpr Duration kSilenceFloor = std::chrono::milliseconds(300);
+/// multiple of the expected latency plus `kUnresponsiveMargin`.
+constexpr int kUnresponsiveFactor = 3;
+constexpr Duration kUnresponsiveMargin = std::chrono::milliseconds(300);
 /// Interval over which the operator counts requests to cold leafs.
-constexpr Duration kColdSpan = std::chrono::seconds(1);
-constexpr Duration kShortestEjection = std::chrono::milliseconds(400);
-constexpr unsigned kLongestEjectionFactor = 8;
+constexpr Duration kColdSendWindow = std::chrono::seconds(1);
+constexpr Duration kMinEjection = std::chrono::milliseconds(400);
+constexpr unsigned kMaxEjectionFactor = 8;
 
 }  // namespace
 
@@ -43,23 +43,23 @@
     coldSends_.clear();
     return;
   }
-  while (!coldSends_.empty() && now - coldSends_.front() >= kColdSpan) {
+  while (!coldSends_.empty() && now - coldSends_.front() >= kColdSendWindow) {
     coldSends_.pop_front();
   }
   coldSends_.push_back(now);
 }
 
-std::size_t LeafStatus::sentWhileCold(Moment now) const {
+std::size_t LeafStatus::coldSendsInLastSecond(Moment now) const {
   return static_cast<std::size_t>(std::count_if(coldSends_.begin(), coldSends_.end(),
-                                                [now](Moment sent) { return now - sent < kColdSpan; }));
+                                                [now](Moment sent) { return now - sent < kColdSendWindow; }));
 }
 
-bool LeafStatus::drawWhileCold(double odds, RandomEngine& random, Moment now) {
-  if (coldDrawAt_ && now - *coldDrawAt_ < kColdSpan) {
+bool LeafStatus::sampleColdSend(double probability, RandomEngine& random, Moment now) {
+  if (coldSampledAt_ && now - *coldSampledAt_ < kColdSendWindow) {
     return false;
   }
-  coldDrawAt_ = now;
-  return std::bernoulli_distribution(odds)(random);
+  coldSampledAt_ = now;
+  return std::bernoulli_distribution(probability)(random);
 }
 
 void LeafStatus::onFinished(std::uint64_t exchange, LeafOutcome::Kind kind, Moment now) {
@@ -74,22 +74,22 @@
     case LeafOutcome::Kind::kAnswered: {
       const double ratio = static_cast<double>((now - finished.startedAt).count()) /
                            static_cast<double>(std::max<std::int64_t>(1, finished.expected.count()));
-      slowness_ += kSlownessGain * (std::min(ratio, kSlownessCeiling) - slowness_);
-      slowness_ = std::max(slowness_, kSlownessFloor);
+      latencyRatio_ += kLatencyRatioGain * (std::min(ratio, kMaxLatencyRatio) - latencyRatio_);
+      latencyRatio_ = std::max(latencyRatio_, kMinLatencyRatio);
       consecutiveFailures_ = 0;
-      lostInRow_ = 0;
+      consecutiveUnreachable_ = 0;
       lastAnswerAt_ = now;
       break;
     }
     case LeafOutcome::Kind::kWrongInstance:
-      markGone();
+      markRemoved();
       break;
     case LeafOutcome::Kind::kNotExecuted:
       lastAnswerAt_ = now;
       break;
     case LeafOutcome::Kind::kLeafFailed:
     case LeafOutcome::Kind::kNoAnswer:
-    case LeafOutcome::Kind::kLeafEnded:
+    case LeafOutcome::Kind::kLeafCrashed:
       onFailure(false, now);
       break;
     case LeafOutcome::Kind::kNotSent:
@@ -97,10 +97,10 @@
       break;
     case LeafOutcome::Kind::kExpired:
       break;
-    case LeafOutcome::Kind::kWithdrawn: {
-      const Moment quietSince = std::max(finished.startedAt, lastAnswerAt_);
-      if (now - quietSince > finished.expected * kSilenceFactor + kSilenceFloor) {
-        ++lostInRow_;
+    case LeafOutcome::Kind::kCancelled: {
+      const Moment lastActivityAt = std::max(finished.startedAt, lastAnswerAt_);
+      if (now - lastActivityAt > finished.expected * kUnresponsiveFactor + kUnresponsiveMargin) {
+        ++consecutiveUnreachable_;
         onFailure(true, now);
       }
       break;
@@ -110,11 +110,11 @@
 
 void LeafStatus::onReachability(bool reachable, Moment now) {
   if (reachable) {
-    lostInRow_ = 0;
+    consecutiveUnreachable_ = 0;
     ejectedUntil_ = now;
     return;
   }
-  ++lostInRow_;
+  ++consecutiveUnreachable_;
   onFailure(true, now);
 }
 
@@ -123,50 +123,50 @@
   if (!unreachable && consecutiveFailures_ < kFailuresBeforeEjection) {
     return;
   }
-  const unsigned factor = std::min(consecutiveFailures_, kLongestEjectionFactor);
-  ejectedUntil_ = now + kShortestEjection * factor;
+  const unsigned factor = std::min(consecutiveFailures_, kMaxEjectionFactor);
+  ejectedUntil_ = now + kMinEjection * factor;
 }
 
 bool LeafStatus::unreachable(Moment now) const {
-  return lostInRow_ >= kLostBeforeUnreachable && ejected(now);
+  return consecutiveUnreachable_ >= kAttemptsBeforeUnreachable && ejected(now);
 }
 
-void LeafStatus::onLoad(const ReportedLoad& load, Moment now) {
+void LeafStatus::onLoadReport(const ReportedLoad& load, Moment now) {
   load_ = load;
   loadAt_ = now;
 }
 
 double LeafStatus::queueLength(Moment now) const {
   const auto own = static_cast<double>(inProgress_.size());
-  if (now - loadAt_ > kLoadLifetime) {
+  if (now - loadAt_ > kLoadReportLifetime) {
     return own;
   }
-  const double age = static_cast<double>((now - loadAt_).count()) / kLoadLifetime.count();
-  const double told = (load_.running + load_.waiting) * (1.0 - age);
-  return std::max(own, told);
+  const double age = static_cast<double>((now - loadAt_).count()) / kLoadReportLifetime.count();
+  const double reported = (load_.running + load_.waiting) * (1.0 - age);
+  return std::max(own, reported);
 }
 
-Duration LeafStatus::stalledFor(Moment now) const {
+Duration LeafStatus::overdueFor(Moment now) const {
   Duration longest{};
   for (const Exchange& exchange : inProgress_) {
-    const Moment quietSince = std::max(exchange.startedAt, lastAnswerAt_);
-    longest = std::max(longest, now - quietSince - exchange.expected);
+    const Moment lastActivityAt = std::max(exchange.startedAt, lastAnswerAt_);
+    longest = std::max(longest, now - lastActivityAt - exchange.expected);
   }
   return longest;
 }
 
 void LeafRegistry::reconcile(const LeafsByService& directory, Moment now) {
-  std::unordered_map<LeafLife, std::shared_ptr<LeafStatus>, LeafLifeHash> known;
+  std::unordered_map<LeafIncarnation, std::shared_ptr<LeafStatus>, LeafIncarnationHash> known;
   for (const auto& [service, leafs] : services_) {
     for (const auto& leaf : leafs) {
-      known.emplace(leaf->entry().life(), leaf);
+      known.emplace(leaf->entry().incarnation(), leaf);
     }
   }
   services_.clear();
   for (const auto& [service, entries] : directory) {
     Leafs& leafs = services_[service];
     for (const LeafEntry& entry : entries) {
-      const auto found = known.find(entry.life());
+      const auto found = known.find(entry.incarnation());
       if (found == known.end()) {
         leafs.push_back(std::make_shared<LeafStatus>(entry, now));
         continue;
@@ -179,8 +179,8 @@
       known.erase(found);
     }
   }
-  for (const auto& [life, leaf] : known) {
-    leaf->markGone();
+  for (const auto& [incarnation, leaf] : known) {
+    leaf->markRemoved();
   }
 }
 
@@ -195,9 +195,9 @@
 }
 
 void LeafRegistry::onReachability(const LeafEntry& leaf, bool reachable, Moment now) {
-  const LeafLife life = leaf.life();
+  const LeafIncarnation incarnation = leaf.incarnation();
   for (const auto& known : leafsOf(leaf.service)) {
-    if (known->entry().isOf(life)) {
+    if (known->entry().isOf(incarnation)) {
       known->onReachability(reachable, now);
     }
   }
--- a/src/coordination/serving/leaf_status.h
+++ b/src/coordination/serving/leaf_status.h
@@ -26,13 +26,13 @@
   /// Replaces the directory entry by a newer one of the same incarnation.
   void update(const LeafEntry& entry, Moment now);
   /// The directory no longer lists the leaf, or another instance answered at its address.
-  void markGone() { gone_ = true; }
-  bool usable() const { return !gone_ && entry_.takesWork(); }
+  void markRemoved() { removed_ = true; }
+  bool usable() const { return !removed_ && entry_.takesWork(); }
 
   /// `expected`: the latency that most answers to requests of this route stay below.
   void onStarted(std::uint64_t exchange, Duration expected, Moment now);
   void onFinished(std::uint64_t exchange, LeafOutcome::Kind kind, Moment now);
-  void onLoad(const ReportedLoad& load, Moment now);
+  void onLoadReport(const ReportedLoad& load, Moment now);
 
   /// Reports whether a connection to the leaf could be opened.
   void onReachability(bool reachable, Moment now);
@@ -42,7 +42,7 @@
   /// reported, the latter weighted down as the report ages.
   double queueLength(Moment now) const;
   /// How long the leaf's answer to the most overdue request is overdue; zero if none is.
-  Duration stalledFor(Moment now) const;
+  Duration overdueFor(Moment now) const;
   bool ejected(Moment now) const { return now < ejectedUntil_; }
   /// Several attempts in a row to reach the leaf failed. Nothing is sent to it until a connection is
   /// established or `retryAt` has passed.
@@ -53,12 +53,12 @@
   /// The leaf reported its remaining warm-up time.
   void onWarmup(Duration left, Moment now) { warmUntil_ = now + left; }
   /// Number of requests sent to the cold leaf within the last second.
-  std::size_t sentWhileCold(Moment now) const;
-  /// Whether a request may be sent to the cold leaf: decided at random with the probability `odds` at most
-  /// once a second, and false on every other call.
-  bool drawWhileCold(double odds, RandomEngine& random, Moment now);
+  std::size_t coldSendsInLastSecond(Moment now) const;
+  /// Whether a request may be sent to the cold leaf: decided at random with the probability `probability` at
+  /// most once a second, and false on every other call.
+  bool sampleColdSend(double probability, RandomEngine& random, Moment now);
   /// Moving average of the ratio of observed to expected latency; 1 means as expected.
-  double slowness() const { return slowness_; }
+  double latencyRatio() const { return latencyRatio_; }
 
  private:
   struct Exchange {
@@ -69,17 +69,17 @@
   void onFailure(bool unreachable, Moment now);
 
   LeafEntry entry_;
-  bool gone_ = false;
+  bool removed_ = false;
   Moment warmUntil_;
   /// Send times of the requests within the last second while the leaf was cold.
   std::deque<Moment> coldSends_;
-  std::optional<Moment> coldDrawAt_;
+  std::optional<Moment> coldSampledAt_;
   std::vector<Exchange> inProgress_;
   Moment lastAnswerAt_{};
-  double slowness_ = 1.0;
+  double latencyRatio_ = 1.0;
   unsigned consecutiveFailures_ = 0;
   /// Consecutive attempts without a connection or a response.
-  unsigned lostInRow_ = 0;
+  unsigned consecutiveUnreachable_ = 0;
   Moment ejectedUntil_{};
   ReportedLoad load_;
   Moment loadAt_{};
--- a/src/coordination/serving/leaf_subset.cpp
+++ b/src/coordination/serving/leaf_subset.cpp
@@ -10,24 +10,24 @@
 namespace {
 
 /// Requests on more connections than this to one leaf would only queue there.
-constexpr std::size_t kMostConnections = 6;
+constexpr std::size_t kMaxConnections = 6;
 /// Share of a leaf's connections that is used when each daemon has only a subset of the leafs. The rest is
 /// kept for the variance of the number of daemons that hashing assigns to a leaf.
 constexpr double kPlannedShare = 0.6;
 /// With fewer leafs there would be no other one to hedge to.
-constexpr std::size_t kFewestLeafs = 2;
+constexpr std::size_t kMinLeafs = 2;
 
 }  // namespace
 
-ConnectionShare shareOf(std::size_t leafs, std::size_t maximumConnections, std::size_t daemons) {
+ConnectionShare connectionShare(std::size_t leafs, std::size_t maximumConnections, std::size_t daemons) {
   const std::size_t sharers = std::max<std::size_t>(1, daemons);
   const std::size_t each = maximumConnections / sharers;
   if (each >= 1) {
-    return {leafs, std::min(each, kMostConnections)};
+    return {leafs, std::min(each, kMaxConnections)};
   }
   const double planned =
       kPlannedShare * static_cast<double>(leafs * maximumConnections) / static_cast<double>(sharers);
-  const auto count = std::max(kFewestLeafs, static_cast<std::size_t>(planned));
+  const auto count = std::max(kMinLeafs, static_cast<std::size_t>(planned));
   return {std::min(leafs, count), 1};
 }
 
--- a/src/coordination/serving/leaf_subset.h
+++ b/src/coordination/serving/leaf_subset.h
@@ -23,7 +23,7 @@
 using ConnectionShares = std::unordered_map<std::string, ConnectionShare>;
 
 /// `maximumConnections`: limit of one leaf for the connections of all daemons together.
-ConnectionShare shareOf(std::size_t leafs, std::size_t maximumConnections, std::size_t daemons);
+ConnectionShare connectionShare(std::size_t leafs, std::size_t maximumConnections, std::size_t daemons);
 
 /// The `count` leafs that rank highest for the daemon by rendezvous hashing; draining and evacuated leafs are
 /// left out.
--- a/src/coordination/serving/loss_causes.cpp
+++ b/src/coordination/serving/loss_causes.cpp
@@ -18,7 +18,7 @@
       return "leaf unreachable";
     case LossCause::kLeafFailed:
       return "leaf's own failure";
-    case LossCause::kLeafEnded:
+    case LossCause::kLeafCrashed:
       return "leaf ended under the request";
     case LossCause::kEndsLeafs:
       return "leafs end under the request";
--- a/src/coordination/serving/loss_causes.h
+++ b/src/coordination/serving/loss_causes.h
@@ -21,7 +21,7 @@
   /// A leaf gave a failure of its own.
   kLeafFailed,
   /// The leaf's process ended under the request.
-  kLeafEnded,
+  kLeafCrashed,
   /// Rejected, or to be tried later, as leafs have ended each time that they ran the request.
   kEndsLeafs,
   /// A connection broke under the request, or the answer could not be used.
--- a/src/coordination/serving/merge_server.cpp
+++ b/src/coordination/serving/merge_server.cpp
@@ -48,9 +48,9 @@
       return MERGE_NOT_SENT;
     case LeafOutcome::Kind::kExpired:
       return MERGE_EXPIRED;
-    case LeafOutcome::Kind::kWithdrawn:
+    case LeafOutcome::Kind::kCancelled:
       return MERGE_WITHDRAWN;
-    case LeafOutcome::Kind::kLeafEnded:
+    case LeafOutcome::Kind::kLeafCrashed:
       return MERGE_LEAF_ENDED;
     default:
       return MERGE_NO_ANSWER;
@@ -96,7 +96,7 @@
 std::shared_ptr<LeafStatus> MergeServer::findLeaf(const MergePart& part) const {
   const auto& leafs = context_.leafs.leafsOf(part.service());
   const auto found = std::find_if(leafs.begin(), leafs.end(), [&](const auto& leaf) {
-    const bool sameLife = part.leaf_born() == 0 || part.leaf_born() == leaf->entry().bornAt;
+    const bool sameLife = part.leaf_born() == 0 || part.leaf_born() == leaf->entry().processStartedAt;
     return leaf->usable() && leaf->entry().id == part.leaf() && sameLife;
   });
   return found == leafs.end() ? nullptr : *found;
@@ -118,7 +118,7 @@
     send.exchange = context_.exchanges.next++;
     send.leaf = leaf;
     send.deadline = task->deadline;
-    send.leastTime = leastAnswerTime(*leaf, {latency.withoutQueue(), latency.alwaysWorthTrying()});
+    send.minTimeLeft = minResponseTime(*leaf, {latency.serviceTime(), latency.sufficientTime()});
     leaf->onStarted(send.exchange, expected, now);
     ++task->openParts;
     parts_.emplace(send.exchange, Part{task, leaf, part.exchange()});
@@ -162,7 +162,7 @@
   return out;
 }
 
-MergeServerActions MergeServer::onTime(Moment now) {
+MergeServerActions MergeServer::onTimer(Moment now) {
   MergeServerActions out;
   const std::list<TaskPointer> waiting = waiting_;
   for (const TaskPointer& task : waiting) {
@@ -185,7 +185,7 @@
   for (const auto& [exchange, part] : parts_) {
     const bool same = part.task->asker == asker && part.task->askerRun == cancel.sender_run();
     if (same && std::find(exchanges.begin(), exchanges.end(), part.askedAs) != exchanges.end()) {
-      out.abandons.push_back(exchange);
+      out.cancellations.push_back(exchange);
     }
   }
   return out;
--- a/src/coordination/serving/merge_server.h
+++ b/src/coordination/serving/merge_server.h
@@ -55,7 +55,7 @@
 
 struct MergeServerActions {
   std::vector<MergeSend> sends;
-  std::vector<ExchangeId> abandons;
+  std::vector<ExchangeId> cancellations;
   std::vector<OutgoingMergeResults> results;
 };
 
@@ -66,8 +66,8 @@
 
   MergeServerActions onWork(const Endpoint& asker, const MergeWork& work, Moment now);
   MergeServerActions onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now);
-  MergeServerActions onTime(Moment now);
-  /// When `onTime` is due.
+  MergeServerActions onTimer(Moment now);
+  /// When `onTimer` is due.
   Moment nextDecisionAt() const;
   MergeServerActions onCancel(const Endpoint& asker, const MergeCancel& cancel) const;
   std::size_t inProgress() const { return parts_.size(); }
--- a/src/coordination/serving/query.cpp
+++ b/src/coordination/serving/query.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "coordination/serving/part_exchange.h"
+#include "coordination/serving/direct_part.h"
 #include "coordination/serving/record_merge.h"
 #include "coordination/serving/relayed_part.h"
 #include "coordination/serving/shard_owners.h"
@@ -14,7 +14,7 @@
 namespace {
 
 /// HTTP status codes from this one on are errors.
-constexpr unsigned kFirstFailure = 400;
+constexpr unsigned kFirstErrorStatus = 400;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
       context_(context),
       receivedAt_(receivedAt),
       deadline_(std::min(deadline - context.policy.deadlineMargin, receivedAt + route.timeout)),
-      caution_(std::make_unique<SendCaution>(start == Start::kOneLeafFirst)) {
+      crashGuard_(std::make_unique<CrashGuard>(start == Start::kTrial)) {
   const auto target = route.targetLatency.count();
   const auto share = Duration(static_cast<std::int64_t>(target * context.policy.answerMarginShare));
   answerBy_ = receivedAt + route.targetLatency - context.policy.answerMargin - share;
@@ -34,7 +34,7 @@
   // A trial gets the caller's full deadline: if it timed out before the leaf answers or crashes, it would
   // prove nothing.
   if (isGather() && !isTrial()) {
-    const auto useful = Duration(static_cast<std::int64_t>(target * context.policy.usefulFactor));
+    const auto useful = Duration(static_cast<std::int64_t>(target * context.policy.leafDeadlineFactor));
     leafDeadline_ = std::min(deadline_, receivedAt + useful);
   }
 }
@@ -58,21 +58,21 @@
   const std::vector<std::string> services =
       isGather() ? gather_->shards : std::vector<std::string>{chooseService()};
   parts_.reserve(services.size());
-  const PartTimes times{answerBy_, leafDeadline_, deadline_};
+  const PartDeadlines deadlines{answerBy_, leafDeadline_, deadline_};
   if (context_.mergers != nullptr) {
     context_.preferredZone = context_.mergers->drawZone(context_.random);
   }
-  bool trialBegun = false;
+  bool trialStarted = false;
   for (const std::string& service : services) {
     parts_.push_back(newPart(service));
     QueryPart& part = *parts_.back();
     count(part, 1);
-    if (trialBegun) {
-      part.holdBack(times);
+    if (trialStarted) {
+      part.startSuspended(deadlines);
       continue;
     }
-    advance(part, actions, [&] { part.start(now, times, actions); });
-    trialBegun = isTrial() && part.anythingOut();
+    advance(part, actions, [&] { part.start(now, deadlines, actions); });
+    trialStarted = isTrial() && part.hasPendingExchange();
   }
   if (isGather() && context_.mergers != nullptr) {
     context_.mergers->assign(actions.sends, context_.random, now);
@@ -83,36 +83,36 @@
 
 std::unique_ptr<QueryPart> Query::newPart(const std::string& service) {
   if (isGather() && context_.owners != nullptr && context_.owners->owned(service)) {
-    return std::make_unique<RelayedPart>(service, route_, context_, *trace_, *caution_);
+    return std::make_unique<RelayedPart>(service, route_, context_, *trace_, *crashGuard_);
   }
-  return std::make_unique<PartExchange>(service, route_, context_, *trace_, *caution_);
+  return std::make_unique<DirectPart>(service, route_, context_, *trace_, *crashGuard_);
 }
 
 void Query::count(const QueryPart& part, std::ptrdiff_t change) {
-  tally_.answered += part.state() == QueryPart::State::kAnswered ? change : 0;
-  tally_.settled += part.state() != QueryPart::State::kOpen ? change : 0;
-  tally_.settledInTime += part.settledInTime() ? change : 0;
+  partCounts_.answered += part.state() == QueryPart::State::kAnswered ? change : 0;
+  partCounts_.settled += part.state() != QueryPart::State::kOpen ? change : 0;
+  partCounts_.settledInTime += part.settledInTime() ? change : 0;
 }
 
 template <typename Step>
 void Query::advance(QueryPart& part, QueryActions& actions, Step step) {
   const std::size_t sends = actions.sends.size();
-  const std::size_t relays = actions.relays.size();
+  const std::size_t delegations = actions.delegations.size();
   count(part, -1);
   step();
   count(part, 1);
   for (std::size_t number = sends; number < actions.sends.size(); ++number) {
     exchanges_[actions.sends[number].exchange] = &part;
   }
-  for (std::size_t number = relays; number < actions.relays.size(); ++number) {
-    exchanges_[actions.relays[number].exchange] = &part;
+  for (std::size_t number = delegations; number < actions.delegations.size(); ++number) {
+    exchanges_[actions.delegations[number].exchange] = &part;
   }
 }
 
-void Query::onWritten(ExchangeId exchange) {
+void Query::onWriteStarted(ExchangeId exchange) {
   const auto found = exchanges_.find(exchange);
   if (found != exchanges_.end()) {
-    found->second->onWritten(exchange);
+    found->second->onWriteStarted(exchange);
   }
 }
 
@@ -125,7 +125,7 @@
   if (finished_) {
     return actions;
   }
-  const bool held = caution_->holds();
+  const bool wasBlocked = crashGuard_->blocksSends();
   for (const auto& [exchange, outcome] : outcomes) {
     const auto found = exchanges_.find(exchange);
     if (found == exchanges_.end()) {
@@ -137,38 +137,39 @@
     advance(part, actions, [&] { part.onOutcome(ended, how, now, actions); });
     lastAnswered_ = part.state() == QueryPart::State::kAnswered ? &part : lastAnswered_;
   }
-  if (held && !caution_->holds()) {
-    release(now, actions);
+  if (wasBlocked && !crashGuard_->blocksSends()) {
+    resume(now, actions);
   }
   decide(now, actions);
   return actions;
 }
 
-void Query::release(Moment now, QueryActions& actions) {
+void Query::resume(Moment now, QueryActions& actions) {
   for (const auto& part : parts_) {
-    advance(*part, actions, [&] { part->onReleased(now, actions); });
+    advance(*part, actions, [&] { part->onResumed(now, actions); });
   }
 }
 
-bool Query::stuck() const {
-  return caution_->holds() &&
-         std::none_of(parts_.begin(), parts_.end(), [](const auto& part) { return part->anythingOut(); });
+bool Query::cannotProgress() const {
+  return crashGuard_->blocksSends() && std::none_of(parts_.begin(), parts_.end(), [](const auto& part) {
+           return part->hasPendingExchange();
+         });
 }
 
-QueryActions Query::onTime(Moment now) {
+QueryActions Query::onTimer(Moment now) {
   QueryActions actions;
   if (finished_) {
     return actions;
   }
   answerDue_ = answerDue_ || now >= answerBy_;
   for (const auto& part : parts_) {
-    advance(*part, actions, [&] { part->onTime(now, actions); });
+    advance(*part, actions, [&] { part->onTimer(now, actions); });
   }
   decide(now, actions);
   return actions;
 }
 
-QueryActions Query::onCallerGone() {
+QueryActions Query::onCallerDisconnected() {
   QueryActions actions;
   finished_ = true;
   for (const auto& part : parts_) {
@@ -205,14 +206,14 @@
   return std::any_of(parts_.begin(), parts_.end(), [](const auto& part) { return part->mayHaveRun(); });
 }
 
-bool Query::enoughParts() const {
+bool Query::hasEnoughAnswers() const {
   const std::size_t answered = answeredParts();
   return answered > 0 &&
          static_cast<double>(answered) >= gather_->minimumShardShare * static_cast<double>(parts_.size());
 }
 
-bool Query::enoughPartsLeft() const {
-  const auto lost = static_cast<std::size_t>(tally_.settled - tally_.answered);
+bool Query::canReachEnoughAnswers() const {
+  const auto lost = static_cast<std::size_t>(partCounts_.settled - partCounts_.answered);
   const std::size_t left = parts_.size() - lost;
   return left > 0 &&
          static_cast<double>(left) >= gather_->minimumShardShare * static_cast<double>(parts_.size());
@@ -222,7 +223,7 @@
   if (finished_) {
     return;
   }
-  if (stuck()) {
+  if (cannotProgress()) {
     finishWithoutAnswer(now, actions);
     return;
   }
@@ -238,11 +239,11 @@
     finish(merge(), actions);
     return;
   }
-  if (enoughParts() && (allSettledInTime() || answerDue_ || now >= deadline_)) {
+  if (hasEnoughAnswers() && (allSettledInTime() || answerDue_ || now >= deadline_)) {
     finish(merge(), actions);
     return;
   }
-  if (allSettled() || !enoughPartsLeft() || now >= deadline_) {
+  if (allSettled() || !canReachEnoughAnswers() || now >= deadline_) {
     finishWithoutAnswer(now, actions);
   }
 }
@@ -271,7 +272,7 @@
   const bool late = now - receivedAt_ > route_.targetLatency;
   const auto* forwarded = std::get_if<ForwardedAnswer>(&answer);
   const bool answered = std::holds_alternative<MergedAnswer>(answer) ||
-                        (forwarded != nullptr && forwarded->reply->status < kFirstFailure);
+                        (forwarded != nullptr && forwarded->reply->status < kFirstErrorStatus);
   if (answered && late) {
     loss.add(lastAnswered_ == nullptr ? LossCause::kOneLeafSlow : lastAnswered_->lossCause(), 1.0);
     return loss;
--- a/src/coordination/serving/query.h
+++ b/src/coordination/serving/query.h
@@ -11,10 +11,10 @@
 #include <unordered_map>
 #include <vector>
 
+#include "coordination/serving/crash_guard.h"
 #include "coordination/serving/query_part.h"
 #include "coordination/serving/query_policy.h"
 #include "coordination/serving/request_trace.h"
-#include "coordination/serving/send_caution.h"
 #include "state/serving/leaf_directory.h"
 
 namespace oakpier::serving {
@@ -26,7 +26,7 @@
     kAll,
     /// Trial: sends to one leaf, and to the others once that leaf has answered. Used for requests that may
     /// crash leafs.
-    kOneLeafFirst,
+    kTrial,
   };
 
   /// `route` must belong to `view`, which the query keeps alive. `deadline` is the caller's deadline.
@@ -34,16 +34,16 @@
         Moment deadline, Start start = Start::kAll);
 
   QueryActions start(Moment now);
-  void onWritten(ExchangeId exchange);
+  void onWriteStarted(ExchangeId exchange);
   QueryActions onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now);
   /// Applies all outcomes before deciding anything. Answers that were merged together must be delivered in
   /// one call.
   QueryActions onOutcomes(const std::vector<ExchangeOutcome>& outcomes, Moment now);
-  QueryActions onTime(Moment now);
+  QueryActions onTimer(Moment now);
   /// The caller disconnected: cancels all pending exchanges and sends nothing more.
-  QueryActions onCallerGone();
+  QueryActions onCallerDisconnected();
 
-  /// When `onTime` must be called next.
+  /// When `onTimer` must be called next.
   Moment nextDecisionAt() const;
   /// Deadline of the requests to leafs. For a scatter-gather query it is earlier than the caller's deadline:
   /// later answers have little value and delay newer requests at the leafs.
@@ -60,8 +60,8 @@
   /// How much `answer`, given at `now`, falls short of a complete answer in time, by cause.
   Loss lossOf(const FinalAnswer& answer, Moment now) const;
   /// Leafs whose process terminated before it answered this query.
-  std::size_t endedLeafs() const { return caution_->endedLeafs(); }
-  bool isTrial() const { return caution_->oneLeafFirst(); }
+  std::size_t crashedLeafs() const { return crashGuard_->crashedLeafs(); }
+  bool isTrial() const { return crashGuard_->isTrial(); }
   /// Services that have not answered.
   std::vector<std::string> missingServices() const;
 
@@ -70,7 +70,7 @@
   std::string chooseService() const;
   std::unique_ptr<QueryPart> newPart(const std::string& service);
   /// Number of parts by state, updated incrementally since a query may have hundreds of parts.
-  struct Tally {
+  struct PartCounts {
     std::ptrdiff_t answered = 0;
     std::ptrdiff_t settled = 0;
     /// Parts that cannot get an answer within the target latency any more, or have one.
@@ -81,22 +81,24 @@
   void advance(QueryPart& part, QueryActions& actions, Step step);
   /// Adds `change` (1 or -1) to the counts that the part's current state belongs to.
   void count(const QueryPart& part, std::ptrdiff_t change);
-  std::size_t answeredParts() const { return static_cast<std::size_t>(tally_.answered); }
-  bool allSettled() const { return static_cast<std::size_t>(tally_.settled) == parts_.size(); }
-  bool allSettledInTime() const { return static_cast<std::size_t>(tally_.settledInTime) == parts_.size(); }
+  std::size_t answeredParts() const { return static_cast<std::size_t>(partCounts_.answered); }
+  bool allSettled() const { return static_cast<std::size_t>(partCounts_.settled) == parts_.size(); }
+  bool allSettledInTime() const {
+    return static_cast<std::size_t>(partCounts_.settledInTime) == parts_.size();
+  }
   bool mayHaveRun() const;
-  bool enoughParts() const;
+  bool hasEnoughAnswers() const;
   /// Whether the query would succeed if all open parts were answered. If not, it ends without waiting for its
   /// deadline.
-  bool enoughPartsLeft() const;
+  bool canReachEnoughAnswers() const;
   /// Finishes the query if the time and the states of its parts allow it.
   void decide(Moment now, QueryActions& actions);
   void decideGather(Moment now, QueryActions& actions);
   void decideSingle(Moment now, QueryActions& actions);
   /// Resumes suspended parts.
-  void release(Moment now, QueryActions& actions);
+  void resume(Moment now, QueryActions& actions);
   /// Nothing may be sent before a leaf answers, and no exchange is pending that could bring an answer.
-  bool stuck() const;
+  bool cannotProgress() const;
   void finish(FinalAnswer answer, QueryActions& actions);
   void finishWithoutAnswer(Moment now, QueryActions& actions);
   MergedAnswer merge() const;
@@ -113,11 +115,11 @@
   Moment answerBy_;
   // Both are on the heap, as the parts hold references to them and the query may be moved.
   std::unique_ptr<RequestTrace> trace_ = std::make_unique<RequestTrace>();
-  std::unique_ptr<SendCaution> caution_;
+  std::unique_ptr<CrashGuard> crashGuard_;
   std::vector<std::unique_ptr<QueryPart>> parts_;
   /// The part that each exchange belongs to.
   std::unordered_map<ExchangeId, QueryPart*> exchanges_;
-  Tally tally_;
+  PartCounts partCounts_;
   /// The part that was answered last.
   const QueryPart* lastAnswered_ = nullptr;
   bool answerDue_ = false;
--- a/src/coordination/serving/query_actions.h
+++ b/src/coordination/serving/query_actions.h
@@ -33,11 +33,11 @@
   /// The leaf's deadline for the request.
   Moment deadline{};
   /// The request is dropped unsent if less than this is left until `deadline`.
-  Duration leastTime{};
+  Duration minTimeLeft{};
 };
 
 /// Delegate the request for one shard to the daemon that owns the shard.
-struct RelayAction {
+struct DelegateAction {
   ExchangeId exchange = 0;
   Endpoint owner;
   std::string service;
@@ -71,9 +71,9 @@
 
 struct QueryActions {
   std::vector<SendAction> sends;
-  std::vector<RelayAction> relays;
+  std::vector<DelegateAction> delegations;
   /// Exchanges to cancel: the query no longer needs their outcome.
-  std::vector<ExchangeId> abandons;
+  std::vector<ExchangeId> cancellations;
   /// Set exactly once, in the last actions of the query.
   std::optional<FinalAnswer> answer;
 };
--- a/src/coordination/serving/query_part.h
+++ b/src/coordination/serving/query_part.h
@@ -11,14 +11,14 @@
 
 namespace oakpier::serving {
 
-struct PartTimes {
+struct PartDeadlines {
   /// No hedge is sent after this time, as its answer would be late.
-  Moment usefulUntil = kNever;
+  Moment targetDeadline = kNever;
   /// Deadline of the requests to leafs.
   Moment leafDeadline = kNever;
   /// A query that lacks too many shards at `leafDeadline` continues until this time, and its open parts may
   /// be retried once more with one target latency for the leaf. Not earlier than `leafDeadline`.
-  Moment lastDeadline = kNever;
+  Moment lateRetryDeadline = kNever;
 };
 
 class QueryPart {
@@ -28,25 +28,25 @@
   explicit QueryPart(std::string service) : service_(std::move(service)) {}
   virtual ~QueryPart() = default;
 
-  virtual void start(Moment now, const PartTimes& times, QueryActions& actions) = 0;
+  virtual void start(Moment now, const PartDeadlines& deadlines, QueryActions& actions) = 0;
   /// Called before the first byte of the request is written to a leaf's connection.
-  virtual void onWritten(ExchangeId exchange) = 0;
+  virtual void onWriteStarted(ExchangeId exchange) = 0;
   virtual void onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now,
                          QueryActions& actions) = 0;
-  virtual void onTime(Moment now, QueryActions& actions) = 0;
+  virtual void onTimer(Moment now, QueryActions& actions) = 0;
   /// The request may be sent to further leafs again: resumes a suspended part.
-  virtual void onReleased(Moment now, QueryActions& actions) = 0;
-  /// Suspends the part before its first send; `onReleased` starts it.
-  void holdBack(const PartTimes& times) {
-    times_ = times;
-    heldBack_ = true;
+  virtual void onResumed(Moment now, QueryActions& actions) = 0;
+  /// Suspends the part before its first send; `onResumed` starts it.
+  void startSuspended(const PartDeadlines& deadlines) {
+    deadlines_ = deadlines;
+    suspended_ = true;
   }
   /// Cancels all pending exchanges.
   virtual void close(QueryActions& actions) = 0;
-  /// When `onTime` must be called next; `kNever` if not at all.
+  /// When `onTimer` must be called next; `kNever` if not at all.
   virtual Moment nextDecisionAt() const = 0;
   /// Whether an exchange is pending.
-  virtual bool anythingOut() const = 0;
+  virtual bool hasPendingExchange() const = 0;
   /// Whether a leaf may have executed the request.
   virtual bool mayHaveRun() const = 0;
   /// Why the part has no answer, or why its answer was late.
@@ -54,20 +54,20 @@
 
   State state() const { return state_; }
   /// Whether the part is answered, or cannot be answered within the target latency any more.
-  bool settledInTime() const { return state_ != State::kOpen || awaitsRenewal_; }
+  bool settledInTime() const { return state_ != State::kOpen || awaitsLateRetry_; }
   /// The answer, or for an exhausted part the error response of a leaf, if any.
   const LeafOutcome& outcome() const { return outcome_; }
   const std::string& service() const { return service_; }
   /// Open, without a pending exchange, and not allowed to send at present.
-  bool heldBack() const { return state_ == State::kOpen && heldBack_; }
+  bool suspended() const { return state_ == State::kOpen && suspended_; }
 
  protected:
   std::string service_;
   State state_ = State::kOpen;
-  PartTimes times_;
-  bool heldBack_ = false;
+  PartDeadlines deadlines_;
+  bool suspended_ = false;
   /// Open only for a late retry, after the leafs' deadline.
-  bool awaitsRenewal_ = false;
+  bool awaitsLateRetry_ = false;
   LeafOutcome outcome_;
 };
 
--- a/src/coordination/serving/query_policy.h
+++ b/src/coordination/serving/query_policy.h
@@ -8,9 +8,9 @@
 #include <unordered_map>
 
 #include "coordination/latency_tracker.h"
-#include "coordination/serving/extra_send_budget.h"
 #include "coordination/serving/leaf_status.h"
 #include "coordination/serving/request_quarantine.h"
+#include "coordination/serving/retry_budget.h"
 #include "coordination/serving/warmup_allowance.h"
 #include "state/random.h"
 #include "state/serving/serving_configuration.h"
@@ -25,7 +25,7 @@
   /// Deadline of scatter-gather requests at leafs, as a multiple of the target latency. A leaf drops requests
   /// that are still queued by then, so that an overloaded leaf works only on requests that can be answered in
   /// time.
-  double usefulFactor = 1.0;
+  double leafDeadlineFactor = 1.0;
   /// Minimum Retry-After of a rejected request.
   Duration retryAfter = std::chrono::milliseconds(150);
   /// Reserved before the caller's deadline for the final answer to reach it.
@@ -44,10 +44,10 @@
   }
   Duration typical() const { return typical_.estimate().value_or(targetLatency_ / 5); }
   /// Service time and network round trip without queueing, estimated by the first quartile of latencies.
-  Duration withoutQueue() const { return quick_.estimate().value_or(targetLatency_ / 5); }
+  Duration serviceTime() const { return quick_.estimate().value_or(targetLatency_ / 5); }
   /// With this much time left, a request may be sent to any leaf, however slow its recent answers, since that
   /// estimate may be outdated. Half the target latency, so that the first send is always allowed.
-  Duration alwaysWorthTrying() const { return targetLatency_ / 2; }
+  Duration sufficientTime() const { return targetLatency_ / 2; }
   /// Latency that most answers of healthy leafs stay below: the 95th percentile, capped at a multiple of the
   /// median. Without the cap, it would rise to the latency of slow leafs once they give more than 5 % of the
   /// answers.
@@ -64,18 +64,18 @@
 class ZoneMergers;
 
 /// Source of exchange ids that are unique within the process.
-struct ExchangeNumbers {
+struct ExchangeIdSource {
   std::uint64_t next = 1;
 };
 
 /// State shared by the queries of one request thread. Not thread-safe.
 struct QueryContext {
   LeafRegistry& leafs;
-  ExtraSendBudgets& budgets;
+  RetryBudgets& budgets;
   RandomEngine& random;
   QueryPolicy policy;
   std::string ownZone;
-  ExchangeNumbers& exchanges;
+  ExchangeIdSource& exchanges;
   /// Null if no shard has an owner, so that every daemon sends to all leafs itself.
   ShardOwners* owners = nullptr;
   std::unordered_map<std::string, RouteLatency> latencies;
--- a/src/coordination/serving/relayed_part.cpp
+++ b/src/coordination/serving/relayed_part.cpp
@@ -14,17 +14,21 @@
 }  // namespace
 
 RelayedPart::RelayedPart(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
-                         SendCaution& caution)
-    : QueryPart(std::move(service)), route_(route), context_(context), trace_(trace), caution_(caution) {}
-
-void RelayedPart::note(Decision decision, const Endpoint& owner, Moment now,
-                       std::optional<LeafOutcome::Kind> outcome) {
+                         CrashGuard& crashGuard)
+    : QueryPart(std::move(service)),
+      route_(route),
+      context_(context),
+      trace_(trace),
+      crashGuard_(crashGuard) {}
+
+void RelayedPart::addTraceEvent(Decision decision, const Endpoint& owner, Moment now,
+                                std::optional<LeafOutcome::Kind> outcome) {
   trace_.add(TraceEvent{now, decision, service_, nullptr, 0, 0, {}, outcome, owner});
 }
 
-void RelayedPart::start(Moment now, const PartTimes& times, QueryActions& actions) {
-  heldBack_ = false;
-  times_ = times;
+void RelayedPart::start(Moment now, const PartDeadlines& deadlines, QueryActions& actions) {
+  suspended_ = false;
+  deadlines_ = deadlines;
   owners_ = context_.owners->ownersOf(service_, now);
   if (!delegate(now, actions)) {
     state_ = State::kExhausted;
@@ -38,10 +42,10 @@
   Delegation delegation;
   delegation.exchange = context_.exchanges.next++;
   delegation.owner = owners_[delegations_.size()];
-  note(Decision::kDelegate, delegation.owner, now);
+  addTraceEvent(Decision::kDelegate, delegation.owner, now);
   // In a trial the owner may not go on to a second leaf either.
-  const unsigned attempts = caution_.holds() ? 1 : route_.attempts;
-  actions.relays.push_back(RelayAction{delegation.exchange, delegation.owner, service_, attempts});
+  const unsigned attempts = crashGuard_.blocksSends() ? 1 : route_.attempts;
+  actions.delegations.push_back(DelegateAction{delegation.exchange, delegation.owner, service_, attempts});
   delegations_.push_back(delegation);
   checkAt_ = now + kCheckPeriod;
   return true;
@@ -54,8 +58,8 @@
     return;
   }
   last.finished = true;
-  caution_.onOutcome(outcome.kind);
-  note(Decision::kOwnerOutcome, last.owner, now, outcome.kind);
+  crashGuard_.onOutcome(outcome.kind);
+  addTraceEvent(Decision::kOwnerOutcome, last.owner, now, outcome.kind);
   if (outcome.kind == LeafOutcome::Kind::kAnswered) {
     outcome_ = outcome;
     state_ = State::kAnswered;
@@ -63,42 +67,42 @@
   }
   const bool notSent = outcome.kind == LeafOutcome::Kind::kNotSent;
   last.knownNotRun = notSent || outcome.kind == LeafOutcome::Kind::kNotExecuted;
-  const bool timeIsLeft = now < times_.leafDeadline;
+  const bool timeIsLeft = now < deadlines_.leafDeadline;
   if (!notSent || !timeIsLeft || !delegate(now, actions)) {
     state_ = State::kExhausted;
   }
 }
 
-void RelayedPart::onTime(Moment now, QueryActions&) {
+void RelayedPart::onTimer(Moment now, QueryActions&) {
   if (state_ != State::kOpen || now < checkAt_) {
     return;
   }
   checkAt_ = now + kCheckPeriod;
   const Endpoint& owner = delegations_.back().owner;
   if (context_.owners->silent(owner, now)) {
-    note(Decision::kOwnerSilent, owner, now);
+    addTraceEvent(Decision::kOwnerSilent, owner, now);
     ownerSilent_ = true;
     state_ = State::kExhausted;
   }
 }
 
-void RelayedPart::onReleased(Moment now, QueryActions& actions) {
-  if (heldBack()) {
-    start(now, times_, actions);
+void RelayedPart::onResumed(Moment now, QueryActions& actions) {
+  if (suspended()) {
+    start(now, deadlines_, actions);
   }
 }
 
 void RelayedPart::close(QueryActions& actions) {
   for (const Delegation& delegation : delegations_) {
     if (!delegation.finished) {
-      actions.abandons.push_back(delegation.exchange);
+      actions.cancellations.push_back(delegation.exchange);
     }
   }
 }
 
 LossCause RelayedPart::lossCause() const {
-  if (heldBack()) {
-    return LossCause::kLeafEnded;
+  if (suspended()) {
+    return LossCause::kLeafCrashed;
   }
   if (delegations_.empty()) {
     return LossCause::kNoUsableLeaf;
@@ -109,7 +113,7 @@
   return state_ == State::kExhausted ? LossCause::kOwnerFailed : LossCause::kOwnerLate;
 }
 
-bool RelayedPart::anythingOut() const {
+bool RelayedPart::hasPendingExchange() const {
   return state_ == State::kOpen && !delegations_.empty() && !delegations_.back().finished;
 }
 
--- a/src/coordination/serving/relayed_part.h
+++ b/src/coordination/serving/relayed_part.h
@@ -11,27 +11,27 @@
 #include <string>
 #include <vector>
 
+#include "coordination/serving/crash_guard.h"
 #include "coordination/serving/query_part.h"
 #include "coordination/serving/query_policy.h"
 #include "coordination/serving/request_trace.h"
-#include "coordination/serving/send_caution.h"
 
 namespace oakpier::serving {
 
 class RelayedPart : public QueryPart {
  public:
-  /// `context.owners` is set; `trace` and `caution` outlive the part.
+  /// `context.owners` is set; `trace` and `crashGuard` outlive the part.
   RelayedPart(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
-              SendCaution& caution);
+              CrashGuard& crashGuard);
 
-  void start(Moment now, const PartTimes& times, QueryActions& actions) override;
-  void onWritten(ExchangeId) override {}
+  void start(Moment now, const PartDeadlines& deadlines, QueryActions& actions) override;
+  void onWriteStarted(ExchangeId) override {}
   void onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now, QueryActions& actions) override;
-  void onTime(Moment now, QueryActions& actions) override;
-  void onReleased(Moment now, QueryActions& actions) override;
+  void onTimer(Moment now, QueryActions& actions) override;
+  void onResumed(Moment now, QueryActions& actions) override;
   void close(QueryActions& actions) override;
   Moment nextDecisionAt() const override { return state_ == State::kOpen ? checkAt_ : kNever; }
-  bool anythingOut() const override;
+  bool hasPendingExchange() const override;
   bool mayHaveRun() const override;
   LossCause lossCause() const override;
 
@@ -45,13 +45,13 @@
 
   /// False when no owner is left.
   bool delegate(Moment now, QueryActions& actions);
-  void note(Decision decision, const Endpoint& owner, Moment now,
-            std::optional<LeafOutcome::Kind> outcome = std::nullopt);
+  void addTraceEvent(Decision decision, const Endpoint& owner, Moment now,
+                     std::optional<LeafOutcome::Kind> outcome = std::nullopt);
 
   const Route& route_;
   QueryContext& context_;
   RequestTrace& trace_;
-  SendCaution& caution_;
+  CrashGuard& crashGuard_;
   std::vector<Endpoint> owners_;
   std::vector<Delegation> delegations_;
   bool ownerSilent_ = false;
--- a/src/coordination/serving/request_quarantine.cpp
+++ b/src/coordination/serving/request_quarantine.cpp
@@ -8,54 +8,54 @@
 namespace {
 
 /// Number of trials after which the interval between them stops growing.
-constexpr std::uint32_t kMostPauseSteps = 8;
-constexpr int kPauseFactor = 4;
+constexpr std::uint32_t kMaxBackoffSteps = 8;
+constexpr int kBackoffFactor = 4;
 
 /// Returns whether the hash was added.
-bool addEndedLeaf(std::uint64_t instance, std::vector<std::uint64_t>& endedLeafs) {
-  const auto place = std::lower_bound(endedLeafs.begin(), endedLeafs.end(), instance);
-  if (place != endedLeafs.end() && *place == instance) {
+bool addCrashedLeaf(std::uint64_t instance, std::vector<std::uint64_t>& crashedLeafs) {
+  const auto place = std::lower_bound(crashedLeafs.begin(), crashedLeafs.end(), instance);
+  if (place != crashedLeafs.end() && *place == instance) {
     return false;
   }
-  if (endedLeafs.size() >= RequestQuarantine::kMostEndedLeafs) {
+  if (crashedLeafs.size() >= RequestQuarantine::kMaxCrashedLeafs) {
     return false;
   }
-  endedLeafs.insert(place, instance);
+  crashedLeafs.insert(place, instance);
   return true;
 }
 
 }  // namespace
 
-bool RequestQuarantine::triedAndEnded(const QuarantineRecord& record) {
-  return record.trials > 0 && record.endedLeafs.size() >= kEndedBeforeCondemned &&
-         record.lastEndedAt >= record.lastTrialAt;
+bool RequestQuarantine::crashedInTrial(const QuarantineRecord& record) {
+  return record.trials > 0 && record.crashedLeafs.size() >= kCrashesBeforeQuarantine &&
+         record.lastCrashAt >= record.lastTrialAt;
 }
 
-Duration RequestQuarantine::pauseAfter(std::uint32_t trials) const {
-  Duration pause = settings_.firstTrialPause;
-  for (std::uint32_t step = 1; step < std::min(trials, kMostPauseSteps); ++step) {
-    pause *= kPauseFactor;
+Duration RequestQuarantine::trialBackoff(std::uint32_t trials) const {
+  Duration backoff = settings_.initialTrialBackoff;
+  for (std::uint32_t step = 1; step < std::min(trials, kMaxBackoffSteps); ++step) {
+    backoff *= kBackoffFactor;
   }
-  return pause;
+  return backoff;
 }
 
-RequestQuarantine::Judgement RequestQuarantine::judge(const RequestFingerprint& fingerprint,
-                                                      Moment now) const {
+RequestQuarantine::Assessment RequestQuarantine::assess(const RequestFingerprint& fingerprint,
+                                                        Moment now) const {
   const auto found = records_.find(fingerprint);
-  if (found == records_.end() || found->second.record.endedLeafs.size() < kEndedBeforeTrial) {
+  if (found == records_.end() || found->second.record.crashedLeafs.size() < kCrashesBeforeTrial) {
     return {};
   }
   const QuarantineRecord& record = found->second.record;
-  Moment notBefore = lastEndedAt_ + settings_.calm;
-  if (triedAndEnded(record)) {
-    if (now < record.lastEndedAt + settings_.quarantine) {
-      return {Verdict::kCondemned, {}};
+  Moment notBefore = lastCrashAt_ + settings_.crashFreeInterval;
+  if (crashedInTrial(record)) {
+    if (now < record.lastCrashAt + settings_.quarantine) {
+      return {Verdict::kQuarantined, {}};
     }
   } else if (record.trials > 0) {
-    notBefore = std::max(notBefore, record.lastTrialAt + pauseAfter(record.trials));
+    notBefore = std::max(notBefore, record.lastTrialAt + trialBackoff(record.trials));
   }
   if (now < notBefore) {
-    return {Verdict::kNotYet, notBefore - now};
+    return {Verdict::kDeferred, notBefore - now};
   }
   return {Verdict::kTrial, {}};
 }
@@ -65,32 +65,32 @@
   if (found != records_.end()) {
     return found->second;
   }
-  makeRoom();
+  evictIfFull();
   Entry& entry = records_[fingerprint];
   entry.record.fingerprint = fingerprint;
   return entry;
 }
 
-void RequestQuarantine::makeRoom() {
-  if (records_.size() < kMostRecords) {
+void RequestQuarantine::evictIfFull() {
+  if (records_.size() < kMaxRecords) {
     return;
   }
   const auto oldest =
       std::min_element(records_.begin(), records_.end(), [](const auto& left, const auto& right) {
-        return left.second.record.lastEndedAt < right.second.record.lastEndedAt;
+        return left.second.record.lastCrashAt < right.second.record.lastCrashAt;
       });
   records_.erase(oldest);
 }
 
-void RequestQuarantine::onLeafEnded(const RequestFingerprint& fingerprint, std::uint64_t instance,
-                                    Moment now) {
-  lastEndedAt_ = std::max(lastEndedAt_, now);
+void RequestQuarantine::onLeafCrashed(const RequestFingerprint& fingerprint, std::uint64_t instance,
+                                      Moment now) {
+  lastCrashAt_ = std::max(lastCrashAt_, now);
   Entry& entry = entryOf(fingerprint);
-  const bool condemnedBefore = triedAndEnded(entry.record);
-  const bool added = addEndedLeaf(instance, entry.record.endedLeafs);
-  entry.record.lastEndedAt = now;
+  const bool wasQuarantined = crashedInTrial(entry.record);
+  const bool added = addCrashedLeaf(instance, entry.record.crashedLeafs);
+  entry.record.lastCrashAt = now;
   // Peers are notified only of an added leaf or a changed verdict; further crashes do not matter to them.
-  entry.changed = entry.changed || added || triedAndEnded(entry.record) != condemnedBefore;
+  entry.changed = entry.changed || added || crashedInTrial(entry.record) != wasQuarantined;
 }
 
 void RequestQuarantine::onTrial(const RequestFingerprint& fingerprint, Moment now) {
@@ -105,7 +105,7 @@
     return;
   }
   const auto found = records_.find(fingerprint);
-  if (found == records_.end() || found->second.record.endedLeafs.empty()) {
+  if (found == records_.end() || found->second.record.crashedLeafs.empty()) {
     return;
   }
   QuarantineRecord& record = found->second.record;
@@ -113,29 +113,29 @@
   found->second.changed = true;
 }
 
-void RequestQuarantine::merge(const QuarantineRecord& theirs) {
-  if (!theirs.endedLeafs.empty()) {
-    lastEndedAt_ = std::max(lastEndedAt_, theirs.lastEndedAt);
+void RequestQuarantine::merge(const QuarantineRecord& other) {
+  if (!other.crashedLeafs.empty()) {
+    lastCrashAt_ = std::max(lastCrashAt_, other.lastCrashAt);
   }
-  Entry& entry = entryOf(theirs.fingerprint);
+  Entry& entry = entryOf(other.fingerprint);
   QuarantineRecord& record = entry.record;
-  if (theirs.epoch < record.epoch) {
+  if (other.epoch < record.epoch) {
     return;
   }
-  if (theirs.epoch > record.epoch) {
-    record = theirs;
+  if (other.epoch > record.epoch) {
+    record = other;
     entry.changed = true;
     return;
   }
-  const bool condemnedBefore = triedAndEnded(record);
-  for (const std::uint64_t instance : theirs.endedLeafs) {
-    entry.changed = addEndedLeaf(instance, record.endedLeafs) || entry.changed;
+  const bool wasQuarantined = crashedInTrial(record);
+  for (const std::uint64_t instance : other.crashedLeafs) {
+    entry.changed = addCrashedLeaf(instance, record.crashedLeafs) || entry.changed;
   }
-  entry.changed = entry.changed || theirs.trials > record.trials;
-  record.trials = std::max(record.trials, theirs.trials);
-  record.lastEndedAt = std::max(record.lastEndedAt, theirs.lastEndedAt);
-  record.lastTrialAt = std::max(record.lastTrialAt, theirs.lastTrialAt);
-  entry.changed = entry.changed || triedAndEnded(record) != condemnedBefore;
+  entry.changed = entry.changed || other.trials > record.trials;
+  record.trials = std::max(record.trials, other.trials);
+  record.lastCrashAt = std::max(record.lastCrashAt, other.lastCrashAt);
+  record.lastTrialAt = std::max(record.lastTrialAt, other.lastTrialAt);
+  entry.changed = entry.changed || crashedInTrial(record) != wasQuarantined;
 }
 
 std::vector<QuarantineRecord> RequestQuarantine::takeChanged() {
@@ -157,26 +157,26 @@
   const std::size_t kept = std::min(count, records.size());
   std::partial_sort(records.begin(), records.begin() + static_cast<std::ptrdiff_t>(kept), records.end(),
                     [](const QuarantineRecord& left, const QuarantineRecord& right) {
-                      return left.lastEndedAt > right.lastEndedAt;
+                      return left.lastCrashAt > right.lastCrashAt;
                     });
   records.resize(kept);
   return records;
 }
 
-bool RequestQuarantine::old(const QuarantineRecord& record, Moment now) const {
-  const Duration kept = record.trials > 0 ? settings_.memory : settings_.suspicion;
-  return now - record.lastEndedAt > kept;
+bool RequestQuarantine::expired(const QuarantineRecord& record, Moment now) const {
+  const Duration kept = record.trials > 0 ? settings_.retention : settings_.suspectRetention;
+  return now - record.lastCrashAt > kept;
 }
 
-void RequestQuarantine::forgetOld(Moment now) {
+void RequestQuarantine::dropExpired(Moment now) {
   for (auto entry = records_.begin(); entry != records_.end();) {
-    entry = old(entry->second.record, now) ? records_.erase(entry) : std::next(entry);
+    entry = expired(entry->second.record, now) ? records_.erase(entry) : std::next(entry);
   }
 }
 
-std::size_t RequestQuarantine::condemned(Moment now) const {
+std::size_t RequestQuarantine::quarantinedCount(Moment now) const {
   return static_cast<std::size_t>(std::count_if(records_.begin(), records_.end(), [&](const auto& entry) {
-    return judge(entry.first, now).verdict == Verdict::kCondemned;
+    return assess(entry.first, now).verdict == Verdict::kQuarantined;
   }));
 }
 
--- a/src/coordination/serving/request_quarantine.h
+++ b/src/coordination/serving/request_quarantine.h
@@ -12,7 +12,7 @@
 /// Invariants: crashes before an answer never quarantine the request; the interval between trials grows with
 /// each trial that ends without an answer; merging the records of daemons is commutative.
 ///
-/// Holds at most `kMostRecords` records; the one with the oldest crash is dropped first.
+/// Holds at most `kMaxRecords` records; the one with the oldest crash is dropped first.
 
 #include <cstdint>
 #include <optional>
@@ -29,15 +29,15 @@
   /// still crashes leafs and the time until a repaired service accepts the request again.
   Duration quarantine = std::chrono::hours(1);
   /// A record is dropped this long after the last crash.
-  Duration memory = std::chrono::hours(24);
+  Duration retention = std::chrono::hours(24);
   /// A record without a trial is dropped this long after the last crash.
-  Duration suspicion = std::chrono::minutes(10);
+  Duration suspectRetention = std::chrono::minutes(10);
   /// A trial starts only after this long without a crash, so that another request is unlikely to crash the
   /// trial's leaf. Must exceed the time between the crashes that one request causes.
-  Duration calm = std::chrono::milliseconds(300);
+  Duration crashFreeInterval = std::chrono::milliseconds(300);
   /// Minimum interval between the first trial and the second, if the first brought neither an answer nor a
   /// crash. It grows by a factor of 4 with each further trial. Must not be shorter than a trial may take.
-  Duration firstTrialPause = std::chrono::seconds(2);
+  Duration initialTrialBackoff = std::chrono::seconds(2);
 };
 
 /// Evidence against one request. Times are on the clock of the daemon that holds the record.
@@ -46,11 +46,11 @@
   /// Incremented by an answer. When records are merged, the higher epoch replaces the lower.
   std::uint32_t epoch = 0;
   /// Hashes of the leaf incarnations that crashed under the request, in ascending order; at most
-  /// `kMostEndedLeafs` are kept.
-  std::vector<std::uint64_t> endedLeafs;
+  /// `kMaxCrashedLeafs` are kept.
+  std::vector<std::uint64_t> crashedLeafs;
   std::uint32_t trials = 0;
   /// Time of the last crash, or of the answer that cleared the record.
-  Moment lastEndedAt{};
+  Moment lastCrashAt{};
   Moment lastTrialAt{};
 };
 
@@ -58,30 +58,30 @@
  public:
   enum class Verdict {
     /// Send it as usual.
-    kOrdinary,
+    kUnsuspected,
     /// Send it to one leaf first, and call `onTrial` then.
     kTrial,
     /// Refuse it for now: a trial is due after `retryAfter`.
-    kNotYet,
+    kDeferred,
     /// Refuse it: it crashes leafs.
-    kCondemned,
+    kQuarantined,
   };
-  struct Judgement {
-    Verdict verdict = Verdict::kOrdinary;
-    /// For kNotYet: the time until a trial is allowed.
+  struct Assessment {
+    Verdict verdict = Verdict::kUnsuspected;
+    /// For kDeferred: the time until a trial is allowed.
     Duration retryAfter{};
   };
-  static constexpr std::size_t kMostRecords = 1024;
-  static constexpr std::size_t kMostEndedLeafs = 4;
+  static constexpr std::size_t kMaxRecords = 1024;
+  static constexpr std::size_t kMaxCrashedLeafs = 4;
   /// Number of crashed leafs before the next attempt becomes a trial, and before the request is quarantined.
-  static constexpr std::size_t kEndedBeforeTrial = 2;
-  static constexpr std::size_t kEndedBeforeCondemned = 3;
+  static constexpr std::size_t kCrashesBeforeTrial = 2;
+  static constexpr std::size_t kCrashesBeforeQuarantine = 3;
 
   explicit RequestQuarantine(const QuarantineSettings& settings = {}) : settings_(settings) {}
 
-  Judgement judge(const RequestFingerprint& fingerprint, Moment now) const;
+  Assessment assess(const RequestFingerprint& fingerprint, Moment now) const;
   /// A leaf crashed before it answered the request. `instance`: hash of the leaf's incarnation.
-  void onLeafEnded(const RequestFingerprint& fingerprint, std::uint64_t instance, Moment now);
+  void onLeafCrashed(const RequestFingerprint& fingerprint, std::uint64_t instance, Moment now);
   void onTrial(const RequestFingerprint& fingerprint, Moment now);
   /// A leaf answered the request.
   void onAnswered(const RequestFingerprint& fingerprint, Moment now);
@@ -93,11 +93,11 @@
   /// At most `count` records, those with the latest crash or answer.
   std::vector<QuarantineRecord> newest(std::size_t count) const;
   /// Drops expired records.
-  void forgetOld(Moment now);
+  void dropExpired(Moment now);
   bool empty() const { return records_.empty(); }
   std::size_t size() const { return records_.size(); }
   /// Number of requests in quarantine.
-  std::size_t condemned(Moment now) const;
+  std::size_t quarantinedCount(Moment now) const;
 
  private:
   struct Entry {
@@ -106,16 +106,16 @@
   };
 
   /// Whether the last trial was followed by a crash, and enough leafs have crashed in all.
-  static bool triedAndEnded(const QuarantineRecord& record);
-  Duration pauseAfter(std::uint32_t trials) const;
-  bool old(const QuarantineRecord& record, Moment now) const;
+  static bool crashedInTrial(const QuarantineRecord& record);
+  Duration trialBackoff(std::uint32_t trials) const;
+  bool expired(const QuarantineRecord& record, Moment now) const;
   Entry& entryOf(const RequestFingerprint& fingerprint);
-  void makeRoom();
+  void evictIfFull();
 
   QuarantineSettings settings_;
   std::unordered_map<RequestFingerprint, Entry, RequestFingerprintHash> records_;
   /// Time of the last crash under any request.
-  Moment lastEndedAt_{};
+  Moment lastCrashAt_{};
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/request_trace.h
+++ b/src/coordination/serving/request_trace.h
@@ -20,7 +20,7 @@
   kHedge,
   kRetry,
   /// Retried after the leafs' deadline, as too few shards had answered.
-  kRenew,
+  kLateRetry,
   /// No leaf was eligible.
   kNoLeaf,
   /// An extra attempt was denied, as the retry budget was empty.
@@ -33,7 +33,7 @@
   /// The owner became unresponsive, and the delegation was given up.
   kOwnerSilent,
   /// The part was suspended until a leaf answers, as leafs have crashed under the request.
-  kHeldBack,
+  kSuspended,
 };
 
 struct TraceEvent {
@@ -45,19 +45,19 @@
   std::shared_ptr<const LeafStatus> leaf;
   /// The leaf's status that the selection was based on.
   double queueLength = 0;
-  double slowness = 0;
-  Duration stalledFor{};
+  double latencyRatio = 0;
+  Duration overdueFor{};
   /// For kOutcome and kOwnerOutcome.
   std::optional<LeafOutcome::Kind> outcome;
   /// For kDelegate, kOwnerOutcome and kOwnerSilent.
   std::optional<Endpoint> owner;
 };
 
-/// Keeps the first `kMostEvents` events of a request. Not thread-safe.
+/// Keeps the first `kMaxEvents` events of a request. Not thread-safe.
 class RequestTrace {
  public:
   void add(TraceEvent event) {
-    if (events_.size() < kMostEvents) {
+    if (events_.size() < kMaxEvents) {
       events_.push_back(std::move(event));
     } else {
       ++dropped_;
@@ -67,7 +67,7 @@
   std::size_t dropped() const { return dropped_; }
 
  private:
-  static constexpr std::size_t kMostEvents = 400;
+  static constexpr std::size_t kMaxEvents = 400;
   std::vector<TraceEvent> events_;
   std::size_t dropped_ = 0;
 };
--- a/src/coordination/serving/serving_knowledge.cpp
+++ b/src/coordination/serving/serving_knowledge.cpp
@@ -68,14 +68,14 @@
 bool ServingKnowledge::takeCopiedLeaf(const LeafEntry& entry, const SourcePosition& position) {
   const auto found = leafs_.find(entry.id);
   if (found == leafs_.end()) {
-    if (!departed_.include(entry.life())) {
+    if (!departed_.include(entry.incarnation())) {
       return takeLeaf(entry, position);
     }
     dispute(entry, position, restoredAt_ + settings_.lapseWithin);
     return false;
   }
   KnownLeaf& known = found->second;
-  const bool sameLife = known.entry.isOf(entry.life());
+  const bool sameLife = known.entry.isOf(entry.incarnation());
   if (sameLife && known.removeAt == kNever) {
     LeafEntry believed = entry;
     believed.draining = entry.draining || known.entry.draining;
@@ -105,7 +105,7 @@
   const bool coldAgain = entry.warmupLeft > known.entry.warmupLeft;
   const bool changed = isNew || known.removeAt != kNever || coldAgain || !known.entry.sameAs(entry);
   changed_ = changed_ || changed;
-  leafsBornAgain_ += !isNew && !known.entry.isOf(entry.life()) ? 1 : 0;
+  leafsBornAgain_ += !isNew && !known.entry.isOf(entry.incarnation()) ? 1 : 0;
   known.entry = entry;
   known.entry.position = position;
   known.position = position;
@@ -131,7 +131,7 @@
     return false;
   }
   beginRemoval(found->second, position, settings_.removalDelay, now);
-  onTime(now);
+  onTimer(now);
   return true;
 }
 
@@ -153,7 +153,7 @@
     const bool dropped = listed.count(disputed->first) == 0 && disputed->second.position <= position;
     disputed = dropped ? disputed_.erase(disputed) : std::next(disputed);
   }
-  onTime(now);
+  onTimer(now);
 }
 
 void ServingKnowledge::onEvacuation(const std::string& zone, bool evacuated, const SourcePosition& position) {
@@ -209,11 +209,11 @@
   leaf.removeAt = leaf.entry.draining ? now : now + delay;
 }
 
-void ServingKnowledge::onTime(Moment now) {
+void ServingKnowledge::onTimer(Moment now) {
   removeDueLeafs(now);
   takeDueDisputes(now);
   endDueEvacuations(now);
-  departed_.onTime(now);
+  departed_.onTimer(now);
 }
 
 void ServingKnowledge::removeDueLeafs(Moment now) {
@@ -222,7 +222,7 @@
       ++leaf;
       continue;
     }
-    departed_.add(leaf->second.entry.life(), now);
+    departed_.add(leaf->second.entry.incarnation(), now);
     leaf = leafs_.erase(leaf);
     changed_ = true;
   }
--- a/src/coordination/serving/serving_knowledge.h
+++ b/src/coordination/serving/serving_knowledge.h
@@ -73,8 +73,8 @@
   /// A whole listing as of `position` named all evacuated zones; the evacuation of others has ended.
   void onEvacuationListing(const std::set<std::string>& zones, const SourcePosition& position, Moment now);
   /// What was delayed takes effect.
-  void onTime(Moment now);
-  /// When `onTime` has something to do.
+  void onTimer(Moment now);
+  /// When `onTimer` has something to do.
   Moment nextDueAt() const;
 
   /// The newest view if it has changed since the last call; else null. `known`: of the source.
--- a/src/coordination/serving/shard_server.cpp
+++ b/src/coordination/serving/shard_server.cpp
@@ -30,7 +30,7 @@
   return route;
 }
 
-OwnerStatus statusOf(const PartExchange& part) {
+OwnerStatus statusOf(const DirectPart& part) {
   if (part.state() == QueryPart::State::kAnswered) {
     return OWNER_ANSWERED;
   }
@@ -65,12 +65,12 @@
     return out;
   }
   works_.push_back(served);
-  const PartTimes times{now + microseconds(work.useful_us()), leafDeadline, served->deadline};
+  const PartDeadlines times{now + microseconds(work.useful_us()), leafDeadline, served->deadline};
   for (const OwnerPart& asked : work.parts()) {
-    auto exchange = std::make_unique<PartExchange>(asked.service(), served->route, context_, served->trace,
-                                                   served->caution);
+    auto exchange = std::make_unique<DirectPart>(asked.service(), served->route, context_, served->trace,
+                                                 served->crashGuard);
     served->parts.push_back(ServedWork::Part{asked.exchange(), std::move(exchange)});
-    PartExchange& part = *served->parts.back().exchange;
+    DirectPart& part = *served->parts.back().exchange;
     QueryActions actions;
     part.start(now, times, actions);
     settle(served, served->parts.size() - 1, std::move(actions), out);
@@ -84,8 +84,8 @@
   if (context_.quarantine == nullptr || context_.quarantine->empty() || asked.vetted()) {
     return false;
   }
-  const auto judgement = context_.quarantine->judge(fingerprintOf(work->request), now);
-  if (judgement.verdict == RequestQuarantine::Verdict::kOrdinary) {
+  const auto assessment = context_.quarantine->assess(fingerprintOf(work->request), now);
+  if (assessment.verdict == RequestQuarantine::Verdict::kUnsuspected) {
     return false;
   }
   for (const OwnerPart& part : asked.parts()) {
@@ -99,18 +99,18 @@
 }
 
 void ShardServer::applyCaution(const WorkPointer& work, bool held, Moment now, ShardServerActions& out) {
-  if (!work->caution.holds()) {
+  if (!work->crashGuard.blocksSends()) {
     for (std::size_t number = 0; held && number < work->parts.size(); ++number) {
       if (!work->parts[number].finished) {
         QueryActions actions;
-        work->parts[number].exchange->onReleased(now, actions);
+        work->parts[number].exchange->onResumed(now, actions);
         settle(work, number, std::move(actions), out);
       }
     }
     return;
   }
   const bool anyOut = std::any_of(work->parts.begin(), work->parts.end(), [](const ServedWork::Part& part) {
-    return !part.finished && part.exchange->anythingOut();
+    return !part.finished && part.exchange->hasPendingExchange();
   });
   for (ServedWork::Part& part : work->parts) {
     if (anyOut || part.finished) {
@@ -132,7 +132,7 @@
     places_.emplace(send.exchange, Place{work, number});
     out.sends.push_back(ServedSend{work, std::move(send)});
   }
-  const PartExchange& exchange = *part.exchange;
+  const DirectPart& exchange = *part.exchange;
   if (exchange.state() == QueryPart::State::kOpen) {
     return;
   }
@@ -160,7 +160,8 @@
   part.finished = true;
   QueryActions closing;
   part.exchange->close(closing);
-  out.abandons.insert(out.abandons.end(), closing.abandons.begin(), closing.abandons.end());
+  out.cancellations.insert(out.cancellations.end(), closing.cancellations.begin(),
+                           closing.cancellations.end());
 }
 
 void ShardServer::forgetFinished() {
@@ -170,10 +171,10 @@
   });
 }
 
-void ShardServer::onWritten(ExchangeId exchange) {
+void ShardServer::onWriteStarted(ExchangeId exchange) {
   const auto place = places_.find(exchange);
   if (place != places_.end()) {
-    place->second.work->parts[place->second.part].exchange->onWritten(exchange);
+    place->second.work->parts[place->second.part].exchange->onWriteStarted(exchange);
   }
 }
 
@@ -190,7 +191,7 @@
     return out;
   }
   QueryActions actions;
-  const bool held = place.work->caution.holds();
+  const bool held = place.work->crashGuard.blocksSends();
   part.exchange->onOutcome(exchange, outcome, now, actions);
   settle(place.work, place.part, std::move(actions), out);
   applyCaution(place.work, held, now, out);
@@ -208,7 +209,7 @@
       const auto& exchanges = cancel.exchanges();
       const bool named = std::find(exchanges.begin(), exchanges.end(), part.askedAs) != exchanges.end();
       if (named && !part.finished) {
-        giveUp(work, part, UnansweredPart::Reason::kWithdrawn, out);
+        giveUp(work, part, UnansweredPart::Reason::kCancelled, out);
       }
     }
   }
@@ -216,7 +217,7 @@
   return out;
 }
 
-ShardServerActions ShardServer::onTime(Moment now) {
+ShardServerActions ShardServer::onTimer(Moment now) {
   ShardServerActions out;
   for (const WorkPointer& work : works_) {
     for (std::size_t number = 0; number < work->parts.size(); ++number) {
@@ -229,7 +230,7 @@
         continue;
       }
       QueryActions actions;
-      part.exchange->onTime(now, actions);
+      part.exchange->onTimer(now, actions);
       settle(work, number, std::move(actions), out);
     }
   }
--- a/src/coordination/serving/shard_server.h
+++ b/src/coordination/serving/shard_server.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// The owner's side of a shard: runs other daemons' parts of queries on the shard's leafs and tells them what
-/// came of it. Sends, hedges and retries are those of `PartExchange`.
+/// came of it. Sends, hedges and retries are those of `DirectPart`.
 ///
 /// Invariants: each part gets one final result unless it was cancelled or its time has passed; a result goes
 /// to the process that asked, not to a later one at its address.
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/serving/part_exchange.h"
+#include "coordination/serving/direct_part.h"
 #include "oakpier/peer.pb.h"
 
 namespace oakpier::serving {
@@ -22,7 +22,7 @@
   struct Part {
     /// The asking daemon's number.
     ExchangeId askedAs = 0;
-    std::unique_ptr<PartExchange> exchange;
+    std::unique_ptr<DirectPart> exchange;
     bool finished = false;
   };
 
@@ -36,7 +36,7 @@
   Moment deadline{};
   HttpRequest request;
   RequestTrace trace;
-  SendCaution caution;
+  CrashGuard crashGuard;
   std::vector<Part> parts;
 };
 
@@ -53,7 +53,7 @@
 
 /// A part that ended without an answer.
 struct UnansweredPart {
-  enum class Reason { kNoAnswer, kNotRun, kWithdrawn, kTimePassed };
+  enum class Reason { kNoAnswer, kNotRun, kCancelled, kTimePassed };
 
   std::shared_ptr<const ServedWork> work;
   std::string service;
@@ -64,7 +64,7 @@
 
 struct ShardServerActions {
   std::vector<ServedSend> sends;
-  std::vector<ExchangeId> abandons;
+  std::vector<ExchangeId> cancellations;
   std::vector<OutgoingResults> results;
   std::vector<UnansweredPart> unanswered;
 };
@@ -75,12 +75,12 @@
   explicit ShardServer(QueryContext& context) : context_(context) {}
 
   ShardServerActions onWork(const Endpoint& asker, const OwnerWork& work, Moment now);
-  void onWritten(ExchangeId exchange);
+  void onWriteStarted(ExchangeId exchange);
   ShardServerActions onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now);
   ShardServerActions onCancel(const Endpoint& asker, const OwnerCancel& cancel);
-  ShardServerActions onTime(Moment now);
+  ShardServerActions onTimer(Moment now);
 
-  /// When `onTime` is due.
+  /// When `onTimer` is due.
   Moment nextDecisionAt() const;
   std::size_t inProgress() const { return works_.size(); }
 
--- a/src/coordination/serving/source_follower.cpp
+++ b/src/coordination/serving/source_follower.cpp
@@ -46,14 +46,14 @@
   prover_.setMembers(addressesOf(members.daemons()));
 }
 
-FollowerActions SourceFollower::onTime(Moment now) {
+FollowerActions SourceFollower::onTimer(Moment now) {
   FollowerActions actions;
-  knowledge_.onTime(now);
+  knowledge_.onTimer(now);
   if (reader_.known().revision == 0) {
     actions.ask = recovery_.takeAsk(now, random_);
     counters_.newsAsked += actions.ask ? 1 : 0;
   }
-  prover_.onTime(now, actions.proofs);
+  prover_.onTimer(now, actions.proofs);
   return actions;
 }
 
--- a/src/coordination/serving/source_follower.h
+++ b/src/coordination/serving/source_follower.h
@@ -89,8 +89,8 @@
   FollowerActions onProofRequest(const Endpoint& sender, const ConfigurationProofRequest& request,
                                  Moment now);
   FollowerActions onProofReply(const Endpoint& sender, const ConfigurationProofReply& reply, Moment now);
-  FollowerActions onTime(Moment now);
-  /// When `onTime` or `takeCall` has something to do.
+  FollowerActions onTimer(Moment now);
+  /// When `onTimer` or `takeCall` has something to do.
   Moment nextDueAt() const;
   /// Serving daemons.
   void setMembers(const DaemonOrder& members);
--- a/src/coordination/serving/token_holder.cpp
+++ b/src/coordination/serving/token_holder.cpp
@@ -258,7 +258,7 @@
   return decisions;
 }
 
-std::vector<TokenDecision> TokenHolder::onTime(Moment now) {
+std::vector<TokenDecision> TokenHolder::onTimer(Moment now) {
   std::vector<TokenDecision> decisions;
   const std::vector<std::string> asking(asking_.begin(), asking_.end());
   for (const std::string& tenant : asking) {
--- a/src/coordination/serving/token_holder.h
+++ b/src/coordination/serving/token_holder.h
@@ -117,8 +117,8 @@
                                       const std::vector<TokenGrantDecision>& grants, Moment now);
   /// The frame never reached the daemon.
   std::vector<TokenDecision> onUndelivered(std::uint64_t number, Moment now);
-  std::vector<TokenDecision> onTime(Moment now);
-  /// When `onTime` is due; `kNever` while nothing is out.
+  std::vector<TokenDecision> onTimer(Moment now);
+  /// When `onTimer` is due; `kNever` while nothing is out.
   Moment nextTimeAt() const;
   /// Forgets tenants that nobody asked for in a long time.
   void dropIdle(Moment now);
--- a/src/coordination/serving/zone_mergers.cpp
+++ b/src/coordination/serving/zone_mergers.cpp
@@ -17,7 +17,7 @@
 /// What a leaf in trouble does is best seen first-hand.
 bool doubtful(const LeafStatus& leaf, Moment now) {
   const double slots = std::max(1U, leaf.entry().slots);
-  return leaf.ejected(now) || leaf.stalledFor(now).count() > 0 || leaf.slowness() > kDoubtfulSlowness ||
+  return leaf.ejected(now) || leaf.overdueFor(now).count() > 0 || leaf.latencyRatio() > kDoubtfulSlowness ||
          leaf.queueLength(now) > slots * kDoubtfulQueue;
 }
 
--- a/src/coordination/voter_lease.cpp
+++ b/src/coordination/voter_lease.cpp
@@ -4,7 +4,7 @@
 
 namespace oakpier {
 
-void VoterLease::onTime(const VoterSet& voters, Moment now) {
+void VoterLease::onTimer(const VoterSet& voters, Moment now) {
   if (now < nextBeatAt_) {
     return;
   }
--- a/src/coordination/voter_lease.h
+++ b/src/coordination/voter_lease.h
@@ -30,7 +30,7 @@
   }
 
   /// Beats, when this daemon is a voter. Call often.
-  void onTime(const VoterSet& voters, Moment now);
+  void onTimer(const VoterSet& voters, Moment now);
 
   bool held(const VoterSet& voters, Moment now) const;
 
--- a/src/programs/daemon/control_loop.cpp
+++ b/src/programs/daemon/control_loop.cpp
@@ -46,7 +46,7 @@
     const Moment now = steadyNow();
     if (now >= nextTick) {
       nextTick = now + kTick;
-      carryOut(plane_.onTime(now));
+      carryOut(plane_.onTimer(now));
       leaveWhenPossible(now);
     }
     publishWhenChanged();
--- a/src/programs/daemon/owner_worker.cpp
+++ b/src/programs/daemon/owner_worker.cpp
@@ -84,8 +84,8 @@
 
 void OwnerWorker::onTick() {
   const Moment now = steadyNow();
-  carryOut(dispatcher_.onTime(now));
-  connections_.onTime(now);
+  carryOut(dispatcher_.onTimer(now));
+  connections_.onTimer(now);
   const std::lock_guard<std::mutex> guard(mutex_);
   publishedCounters_ = dispatcher_.counters();
   publishedBusy_ = dispatcher_.busy();
--- a/src/programs/gateway/active_query.h
+++ b/src/programs/gateway/active_query.h
@@ -42,7 +42,7 @@
   const Route* route = nullptr;
   /// Null: none. Belongs to `view`.
   const Tenant* tenant = nullptr;
-  RequestQuarantine::Judgement judgement;
+  RequestQuarantine::Assessment assessment;
   std::optional<Token> token;
   bool callerGone = false;
   /// Set once the query has begun.
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -98,10 +98,10 @@
         published_(emptyView()),
         proof_(std::make_shared<const ConfigurationProof>()),
         random_(std::random_device{}()),
-        extraSendShare_(settings.extraSends, kUsualDaemons),
-        budgets_(extraSendShare_.bounds(), steadyNow(), random_),
-        ownerShare_(settings.extraSends, kUsualOwners + kOwnersInChange, ExtraSendShare::Holder::kOwner),
-        ownerBudgets_(ownerShare_.bounds(), steadyNow(), random_),
+        retryLimitShare_(settings.extraSends, kUsualDaemons),
+        budgets_(retryLimitShare_.limit(), steadyNow(), random_),
+        ownerShare_(settings.extraSends, kUsualOwners + kOwnersInChange, RetryLimitShare::Holder::kOwner),
+        ownerBudgets_(ownerShare_.limit(), steadyNow(), random_),
         requests_(requestContext_, names, published_, proof_, settings.peerAddress,
                   QueryContext{leafs_,
                                budgets_,
@@ -235,10 +235,10 @@
       daemons_ = daemons.all.size();
       fleetCapacity_ = capacityOf(daemons.all);
       requests_.setDaemons(daemons, planned, settled);
-      extraSendShare_.onDaemonCount(planned);
-      budgets_.setBounds(extraSendShare_.bounds());
+      retryLimitShare_.onDaemonCount(planned);
+      budgets_.setLimit(retryLimitShare_.limit());
       ownerShare_.onDaemonCount(daemons.zones + kOwnersInChange);
-      ownerBudgets_.setBounds(ownerShare_.bounds());
+      ownerBudgets_.setLimit(ownerShare_.limit());
     });
   }
 
@@ -316,13 +316,13 @@
       return;
     }
     settings_ = *fresh;
-    extraSendShare_.setTotal(settings_.extraSends);
-    budgets_.setBounds(extraSendShare_.bounds());
+    retryLimitShare_.setTotal(settings_.extraSends);
+    budgets_.setLimit(retryLimitShare_.limit());
     ownerShare_.setTotal(settings_.extraSends);
     requests_.setWarmupTolerance(settings_.warmup);
     requests_.setAuthorization(authorizationSettings(settings_));
     requests_.setQuotaTolerance(settings_.quota);
-    ownerBudgets_.setBounds(ownerShare_.bounds());
+    ownerBudgets_.setLimit(ownerShare_.limit());
     boost::asio::post(controlContext_, [this, fresh = settings_] {
       source_.reload(fresh.sourceAddress, fresh.seeds, capacityOf(fresh.machine), proverSettings(fresh));
     });
@@ -381,11 +381,11 @@
   std::atomic<bool> ready_{false};
   RandomEngine random_;
   LeafRegistry leafs_;
-  ExtraSendShare extraSendShare_;
-  ExtraSendBudgets budgets_;
-  ExtraSendShare ownerShare_;
-  ExtraSendBudgets ownerBudgets_;
-  ExchangeNumbers exchanges_;
+  RetryLimitShare retryLimitShare_;
+  RetryBudgets budgets_;
+  RetryLimitShare ownerShare_;
+  RetryBudgets ownerBudgets_;
+  ExchangeIdSource exchanges_;
   RequestGateway requests_;
   StatusHandler statusHandler_;
   HttpService callers_;
--- a/src/programs/gateway/gateway_settings.h
+++ b/src/programs/gateway/gateway_settings.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "coordination/serving/extra_send_budget.h"
 #include "coordination/serving/machine_limits.h"
 #include "coordination/serving/quota_plan.h"
+#include "coordination/serving/retry_budget.h"
 #include "coordination/serving/serving_knowledge.h"
 #include "coordination/serving/warmup_allowance.h"
 #include "state/endpoint.h"
@@ -41,7 +41,7 @@
   /// other changes of the configuration.
   std::optional<Duration> keyRevocationBound;
   /// Extra sends that all daemons together may make to a service.
-  OperatorExtraSends extraSends;
+  FleetRetryLimit extraSends;
   /// What all daemons together may send to a cold leaf beyond the rate that its service tells.
   WarmupTolerance warmup;
   /// What this daemon's machine allows; other daemons place work by it.
--- a/src/programs/gateway/leaf_sender.cpp
+++ b/src/programs/gateway/leaf_sender.cpp
@@ -18,14 +18,14 @@
   order.request = send.request;
   order.rank = send.rank;
   order.deadline = send.action.deadline;
-  order.leastTime = send.action.leastTime;
-  order.listener.onWritten = std::move(listener.onWritten);
+  order.minTimeLeft = send.action.minTimeLeft;
+  order.listener.onWriteStarted = std::move(listener.onWriteStarted);
   order.listener.onOutcome = [&context, action = send.action, route = send.route, started = steadyNow(),
                               notify = std::move(listener.onOutcome)](const LeafOutcome& outcome) {
     const Moment now = steadyNow();
     action.leaf->onFinished(action.exchange, outcome.kind, now);
     if (outcome.load) {
-      action.leaf->onLoad(*outcome.load, now);
+      action.leaf->onLoadReport(*outcome.load, now);
     }
     if (outcome.warmupLeft) {
       action.leaf->onWarmup(*outcome.warmupLeft, now);
--- a/src/programs/gateway/merge_client.cpp
+++ b/src/programs/gateway/merge_client.cpp
@@ -54,9 +54,9 @@
     case MERGE_EXPIRED:
       return LeafOutcome::Kind::kExpired;
     case MERGE_WITHDRAWN:
-      return LeafOutcome::Kind::kWithdrawn;
+      return LeafOutcome::Kind::kCancelled;
     case MERGE_LEAF_ENDED:
-      return LeafOutcome::Kind::kLeafEnded;
+      return LeafOutcome::Kind::kLeafCrashed;
     default:
       return LeafOutcome::Kind::kNoAnswer;
   }
@@ -101,7 +101,7 @@
     part->set_exchange(send.exchange);
     part->set_service(send.leaf->entry().service);
     part->set_leaf(send.leaf->entry().id);
-    part->set_leaf_born(send.leaf->entry().bornAt);
+    part->set_leaf_born(send.leaf->entry().processStartedAt);
     const Moment expiresAt = order.leafDeadline + kResultGrace;
     pending_[send.exchange] = Pending{work, send.leaf, now, expiresAt, order.listener};
     expiries_.emplace(expiresAt, send.exchange);
@@ -188,7 +188,7 @@
   const Moment endedAt = std::min(now, pending.startedAt + taken);
   pending.leaf->onFinished(result.exchange(), kindOf(result.outcome()), endedAt);
   if (result.slots() > 0) {
-    pending.leaf->onLoad(ReportedLoad{result.running(), result.waiting(), result.slots()}, endedAt);
+    pending.leaf->onLoadReport(ReportedLoad{result.running(), result.waiting(), result.slots()}, endedAt);
   }
   if (result.outcome() == MERGE_ANSWERED) {
     context_.latencyOf(*pending.work->route).record(endedAt - pending.startedAt, now);
@@ -212,7 +212,7 @@
     return;
   }
   // Nothing is known of the leaf: the merging daemon may be what is silent.
-  pending->leaf->onFinished(exchange, LeafOutcome::Kind::kWithdrawn, steadyNow());
+  pending->leaf->onFinished(exchange, LeafOutcome::Kind::kCancelled, steadyNow());
   if (pending->listener) {
     LeafOutcome outcome;
     outcome.kind = kind;
--- a/src/programs/gateway/merge_service.cpp
+++ b/src/programs/gateway/merge_service.cpp
@@ -26,7 +26,7 @@
 }
 
 void MergeService::apply(const MergeServerActions& actions) {
-  for (const ExchangeId exchange : actions.abandons) {
+  for (const ExchangeId exchange : actions.cancellations) {
     pool_.abandon(exchange);
   }
   if (!actions.sends.empty()) {
@@ -60,7 +60,7 @@
 }
 
 void MergeService::armTimer() {
-  timer_.arm(server_.nextDecisionAt(), [this] { apply(server_.onTime(steadyNow())); });
+  timer_.arm(server_.nextDecisionAt(), [this] { apply(server_.onTimer(steadyNow())); });
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/owner_client.cpp
+++ b/src/programs/gateway/owner_client.cpp
@@ -37,8 +37,8 @@
   work.set_rank(order.rank);
   work.set_target_latency_us(static_cast<std::uint64_t>(order.route->targetLatency.count()));
   work.set_remaining_us(microsecondsUntil(order.leafDeadline, now));
-  work.set_renewable_us(microsecondsUntil(order.lastDeadline, now));
-  work.set_useful_us(microsecondsUntil(order.usefulUntil - kReturnMargin, now));
+  work.set_renewable_us(microsecondsUntil(order.lateRetryDeadline, now));
+  work.set_useful_us(microsecondsUntil(order.targetDeadline - kReturnMargin, now));
   work.set_top_records(static_cast<std::uint32_t>(std::get<GatherTarget>(order.route->target).topRecords));
   work.set_attempts(attempts);
   work.set_vetted(order.vetted);
@@ -74,10 +74,10 @@
 OwnerClient::OwnerClient(QueryContext& context, ShardOwners& owners, FrameSender sendFrame)
     : context_(context), owners_(owners), sendFrame_(std::move(sendFrame)), run_(context.random()) {}
 
-void OwnerClient::send(const std::vector<RelayAction>& relays, const Order& order) {
+void OwnerClient::send(const std::vector<DelegateAction>& delegations, const Order& order) {
   const Moment now = steadyNow();
   std::map<Endpoint, PeerEnvelope> frames;
-  for (const RelayAction& relay : relays) {
+  for (const DelegateAction& relay : delegations) {
     const auto [frame, isNew] = frames.try_emplace(relay.owner);
     if (isNew) {
       *frame->second.mutable_owner_work() = workFor(order, relay.attempts, now);
--- a/src/programs/gateway/owner_client.h
+++ b/src/programs/gateway/owner_client.h
@@ -45,15 +45,15 @@
     /// Of the caller: its tenant's, or else the route's.
     unsigned rank = 0;
     Moment leafDeadline{};
-    /// As in `PartTimes`.
-    Moment lastDeadline{};
-    Moment usefulUntil{};
+    /// As in `PartDeadlines`.
+    Moment lateRetryDeadline{};
+    Moment targetDeadline{};
     std::shared_ptr<const Listener> listener;
   };
 
   OwnerClient(QueryContext& context, ShardOwners& owners, FrameSender sendFrame);
 
-  void send(const std::vector<RelayAction>& relays, const Order& order);
+  void send(const std::vector<DelegateAction>& delegations, const Order& order);
   /// `daemons`: those of the zone. Asks the new ones for a sign of life, so that connections stand before
   /// work comes.
   void greet(const std::vector<Endpoint>& daemons);
--- a/src/programs/gateway/owner_service.cpp
+++ b/src/programs/gateway/owner_service.cpp
@@ -33,7 +33,7 @@
 }
 
 void OwnerService::setOwnedShards(const std::unordered_set<std::string>& services) {
-  context_.budgets.setHeld(services, steadyNow());
+  context_.budgets.setOwned(services, steadyNow());
 }
 
 void OwnerService::onCancel(const Endpoint& asker, const OwnerCancel& cancel) {
@@ -41,7 +41,7 @@
 }
 
 void OwnerService::apply(const ShardServerActions& actions) {
-  for (const ExchangeId exchange : actions.abandons) {
+  for (const ExchangeId exchange : actions.cancellations) {
     pool_.abandon(exchange);
   }
   const ServedWork* previous = nullptr;
@@ -80,7 +80,7 @@
   send.rank = served.work->route.rank;
   LeafPool::Listener listener;
   const ExchangeId exchange = served.action.exchange;
-  listener.onWritten = [this, exchange] { server_.onWritten(exchange); };
+  listener.onWriteStarted = [this, exchange] { server_.onWriteStarted(exchange); };
   listener.onOutcome = [this, exchange](const LeafOutcome& outcome) {
     apply(server_.onOutcome(exchange, outcome, steadyNow()));
   };
@@ -120,7 +120,7 @@
 }
 
 void OwnerService::armTimer() {
-  timer_.arm(server_.nextDecisionAt(), [this] { apply(server_.onTime(steadyNow())); });
+  timer_.arm(server_.nextDecisionAt(), [this] { apply(server_.onTimer(steadyNow())); });
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/peer_link.cpp
+++ b/src/programs/gateway/peer_link.cpp
@@ -109,7 +109,7 @@
       handlers_.onPause();
     }
     lastTickAt_ = now;
-    carryOut(membership_.onTime(now));
+    carryOut(membership_.onTimer(now));
     publishMembers();
     publishSuspects();
     scheduleTick();
--- a/src/programs/gateway/quarantine_link.cpp
+++ b/src/programs/gateway/quarantine_link.cpp
@@ -27,11 +27,11 @@
 
 const char* textOf(RequestQuarantine::Verdict verdict) {
   switch (verdict) {
-    case RequestQuarantine::Verdict::kOrdinary:
+    case RequestQuarantine::Verdict::kUnsuspected:
       return "sent as any other";
     case RequestQuarantine::Verdict::kTrial:
       return "to be tried on one leaf";
-    case RequestQuarantine::Verdict::kNotYet:
+    case RequestQuarantine::Verdict::kDeferred:
       return "to be tried later";
     default:
       return "rejected";
@@ -93,11 +93,11 @@
 
 void QuarantineLink::logBelief(const QuarantineRecord& record) const {
   const Moment now = steadyNow();
-  const Duration age = now - record.lastEndedAt;
+  const Duration age = now - record.lastCrashAt;
   log(LogLevel::kWarning, "leafs end under a request",
       {{"fingerprint", record.fingerprint.text()},
-       {"from_now_on", textOf(quarantine_.judge(record.fingerprint, now).verdict)},
-       {"ended_leafs", record.endedLeafs.size()},
+       {"from_now_on", textOf(quarantine_.assess(record.fingerprint, now).verdict)},
+       {"ended_leafs", record.crashedLeafs.size()},
        {"trials", record.trials},
        {"answers", record.epoch},
        {"last_ended_ms_ago", toMilliseconds(age)}});
@@ -109,7 +109,7 @@
     if (error) {
       return;
     }
-    quarantine_.forgetOld(steadyNow());
+    quarantine_.dropExpired(steadyNow());
     if (quarantine_.empty()) {
       repairing_ = false;
       return;
--- a/src/programs/gateway/quota_link.cpp
+++ b/src/programs/gateway/quota_link.cpp
@@ -267,7 +267,7 @@
       return;
     }
     armedFor_ = kNever;
-    decide(holder_.onTime(steadyNow()));
+    decide(holder_.onTimer(steadyNow()));
     flush();
   });
 }
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -17,8 +17,8 @@
 
 RequestGateway::RequestGateway(boost::asio::io_context& context, const HeaderNames& names,
                                Published<ServingView>& published, const Published<ConfigurationProof>& proof,
-                               const Endpoint& self, QueryContext queryContext,
-                               ExtraSendBudgets& ownerBudgets, const FrameSender& sendFrame)
+                               const Endpoint& self, QueryContext queryContext, RetryBudgets& ownerBudgets,
+                               const FrameSender& sendFrame)
     : context_(context),
       names_(names),
       published_(published),
@@ -72,13 +72,13 @@
   log_.onLeafEnd(leaf, under, now);
   for (const auto& request : under) {
     if (!request->answered) {
-      quarantine_.onLeafEnded(request->fingerprint, stableHash(leaf.life()), now);
+      quarantine_.onLeafCrashed(request->fingerprint, stableHash(leaf.incarnation()), now);
     }
   }
   quarantineLink_.onChanged();
 }
 
-std::size_t RequestGateway::condemnedRequests() const { return quarantine_.condemned(steadyNow()); }
+std::size_t RequestGateway::condemnedRequests() const { return quarantine_.quarantinedCount(steadyNow()); }
 
 void RequestGateway::setDaemons(const DaemonGroup& daemons, std::size_t planned, bool settled) {
   quarantineLink_.setDaemons(addressesOf(daemons.all));
@@ -89,8 +89,8 @@
   daemons_.zones = daemons.zones;
   if (settled) {
     const bool first = !settled_;
-    daemons_.mostPlanned = first ? planned : std::max(daemons_.mostPlanned, planned);
-    daemons_.mostZones = first ? daemons.zones : std::max(daemons_.mostZones, daemons.zones);
+    daemons_.maxPlanned = first ? planned : std::max(daemons_.maxPlanned, planned);
+    daemons_.maxZones = first ? daemons.zones : std::max(daemons_.maxZones, daemons.zones);
   }
   settled_ = settled;
   onView();
@@ -152,7 +152,7 @@
   quota_.setTenants(view_->tenants);
   owners_.dropUnasked(steadyNow());
   const LeafAssignment assignment = assignLeafs(*view_, daemons_, self_, owners_);
-  ownerService_.setOwnedShards(assignment.firstOwned);
+  ownerService_.setOwnedShards(assignment.firstOwnedServices);
   ownerService_.setWarmups(assignment.warmups);
   queryContext_.warmups = assignment.warmups;
   sender_.setShares(assignment.shares);
@@ -162,21 +162,21 @@
 }
 
 void RequestGateway::retainConnections(const LeafAssignment& assignment) {
-  LeafLives used;
+  LeafIncarnations used;
   for (const auto& [service, entries] : assignment.leafs) {
     for (const LeafEntry& leaf : entries) {
-      used.insert(leaf.life());
+      used.insert(leaf.incarnation());
     }
   }
-  LeafLives takingWork;
+  LeafIncarnations takingWork;
   for (const auto& [service, entries] : *view_->leafs) {
     for (const LeafEntry& leaf : entries) {
       if (leaf.takesWork()) {
-        takingWork.insert(leaf.life());
+        takingWork.insert(leaf.incarnation());
       }
     }
   }
-  pool_.retain([&](const LeafLife& leaf) {
+  pool_.retain([&](const LeafIncarnation& leaf) {
     if (used.count(leaf) != 0) {
       return LeafPool::LeafUse::kKeep;
     }
@@ -193,7 +193,7 @@
     return;
   }
   for (const auto& [service, entries] : assignment.leafs) {
-    if (owners_.owned(service) && assignment.firstOwned.count(service) == 0) {
+    if (owners_.owned(service) && assignment.firstOwnedServices.count(service) == 0) {
       continue;
     }
     for (const LeafEntry& leaf : entries) {
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -33,8 +33,8 @@
 inline constexpr std::size_t kUsualDaemons = 12;
 
 /// What is assumed of the daemons that share leafs until any are known.
-inline SharingDaemons sharingUntilKnown() {
-  SharingDaemons daemons;
+inline FleetSize sharingUntilKnown() {
+  FleetSize daemons;
   daemons.planned = kUsualDaemons;
   return daemons;
 }
@@ -44,7 +44,7 @@
   /// `ownerBudgets`: those of a shard's owner, while `queryContext` has those of every daemon.
   RequestGateway(boost::asio::io_context& context, const HeaderNames& names,
                  Published<ServingView>& published, const Published<ConfigurationProof>& proof,
-                 const Endpoint& self, QueryContext queryContext, ExtraSendBudgets& ownerBudgets,
+                 const Endpoint& self, QueryContext queryContext, RetryBudgets& ownerBudgets,
                  const FrameSender& sendFrame);
 
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override;
@@ -93,7 +93,7 @@
   bool admit(ArrivedRequest& arrived);
   void rejectCaller(const ArrivedRequest& arrived, AuthorizationProblem problem);
   void onQuota(ArrivedRequest& arrived, const QuotaDecision& decision);
-  void onCallerGone(ArrivedRequest& arrived);
+  void onCallerDisconnected(ArrivedRequest& arrived);
   void begin(ArrivedRequest& arrived);
 
   /// Answers before there is a query. `route`: empty when no configuration is known.
@@ -101,14 +101,14 @@
               LossCause cause, Duration retryAfter);
   /// Answers a request under which leafs have ended and which may not be sent now. False when it may.
   bool rejectEndingLeafs(const ResponseWriter& writer, const LoggedRequest& request, const Route& route,
-                         const RequestQuarantine::Judgement& judgement);
+                         const RequestQuarantine::Assessment& assessment);
   /// The caller's own, and not beyond the route's timeout.
   Moment deadlineOf(const HttpRequest& request, const Route& route, Moment now) const;
 
   // A query and what it asks of the real world: request_queries.cpp.
   void apply(const ActivePointer& active, QueryActions actions);
   void send(const ActivePointer& active, const SendAction& action);
-  void relay(const ActivePointer& active, const std::vector<RelayAction>& relays);
+  void relay(const ActivePointer& active, const std::vector<DelegateAction>& delegations);
   /// Sends by way of merging daemons.
   void sendMerged(const ActivePointer& active, const std::vector<SendAction>& sends);
   void onOutcome(const ActivePointer& active, ExchangeId exchange, const LeafOutcome& outcome);
@@ -143,7 +143,7 @@
   MergeService mergeService_;
   QuarantineLink quarantineLink_;
   QuotaLink quota_;
-  SharingDaemons daemons_ = sharingUntilKnown();
+  FleetSize daemons_ = sharingUntilKnown();
   bool settled_ = false;
   std::function<void()> onStateWanted_;
   RequestCounters counters_;
--- a/src/programs/gateway/request_intake.cpp
+++ b/src/programs/gateway/request_intake.cpp
@@ -45,12 +45,12 @@
 }
 
 bool RequestGateway::rejectEndingLeafs(const ResponseWriter& writer, const LoggedRequest& request,
-                                       const Route& route, const RequestQuarantine::Judgement& judgement) {
-  if (judgement.verdict == RequestQuarantine::Verdict::kNotYet) {
-    refuse(writer, request, route.name, LossCause::kEndsLeafs, judgement.retryAfter);
+                                       const Route& route, const RequestQuarantine::Assessment& assessment) {
+  if (assessment.verdict == RequestQuarantine::Verdict::kDeferred) {
+    refuse(writer, request, route.name, LossCause::kEndsLeafs, assessment.retryAfter);
     return true;
   }
-  if (judgement.verdict != RequestQuarantine::Verdict::kCondemned) {
+  if (assessment.verdict != RequestQuarantine::Verdict::kQuarantined) {
     return false;
   }
   ++counters_.rejectedEndingLeafs;
@@ -87,7 +87,7 @@
     quota_.take(*arrived->tenant,
                 [this, arrived](const QuotaDecision& decision) { onQuota(*arrived, decision); });
   }
-  return [this, arrived] { onCallerGone(*arrived); };
+  return [this, arrived] { onCallerDisconnected(*arrived); };
 }
 
 bool RequestGateway::findRoute(ArrivedRequest& arrived) {
@@ -155,16 +155,16 @@
 bool RequestGateway::admit(ArrivedRequest& arrived) {
   const Moment now = arrived.receivedAt;
   const Route& route = *arrived.route;
-  arrived.judgement = quarantine_.judge(arrived.logged.fingerprint, now);
-  if (rejectEndingLeafs(arrived.writer, arrived.logged, route, arrived.judgement)) {
+  arrived.assessment = quarantine_.assess(arrived.logged.fingerprint, now);
+  if (rejectEndingLeafs(arrived.writer, arrived.logged, route, arrived.assessment)) {
     return false;
   }
-  if (const auto refusal = refuseWhenUnservable(route, *arrived.view, queryContext_, now)) {
+  if (const auto refusal = refuseIfUnservable(route, *arrived.view, queryContext_, now)) {
     ++counters_.refusedUnservable;
     refuse(arrived.writer, arrived.logged, route.name, LossCause::kLeafUnreachable, refusal->retryAfter);
     return false;
   }
-  if (const auto refusal = refuseWhenBusy(route, queryContext_, now)) {
+  if (const auto refusal = refuseIfOverloaded(route, queryContext_, now)) {
     ++counters_.refusedBusy;
     refuse(arrived.writer, arrived.logged, route.name, LossCause::kLeafsTooBusy, refusal->retryAfter);
     return false;
@@ -198,13 +198,13 @@
   log_.onRefused(arrived.logged, arrived.route->name, cause, reply.status, steadyNow());
 }
 
-void RequestGateway::onCallerGone(ArrivedRequest& arrived) {
+void RequestGateway::onCallerDisconnected(ArrivedRequest& arrived) {
   arrived.callerGone = true;
   if (const ActivePointer gone = arrived.active.lock()) {
     ++counters_.callersGone;
-    log_.onCallerGone(loggedAs(*gone->request), *gone->query, steadyNow());
+    log_.onCallerDisconnected(loggedAs(*gone->request), *gone->query, steadyNow());
     countDecisions(gone->query->trace());
-    apply(gone, gone->query->onCallerGone());
+    apply(gone, gone->query->onCallerDisconnected());
   }
 }
 
@@ -217,14 +217,14 @@
   active->token = arrived.token;
   active->request = std::make_shared<const LeafRequestTemplate>(arrived.request, names_);
   active->original = std::make_shared<const HttpRequest>(std::move(arrived.request));
-  const bool trial = arrived.judgement.verdict == RequestQuarantine::Verdict::kTrial;
+  const bool trial = arrived.assessment.verdict == RequestQuarantine::Verdict::kTrial;
   if (trial) {
     ++counters_.trials;
     quarantine_.onTrial(arrived.logged.fingerprint, now);
     quarantineLink_.onChanged();
   }
   active->query = std::make_unique<Query>(arrived.view, *arrived.route, queryContext_, arrived.receivedAt,
-                                          deadline, trial ? Query::Start::kOneLeafFirst : Query::Start::kAll);
+                                          deadline, trial ? Query::Start::kTrial : Query::Start::kAll);
   apply(active, active->query->start(now));
 }
 
--- a/src/programs/gateway/request_log.cpp
+++ b/src/programs/gateway/request_log.cpp
@@ -18,7 +18,7 @@
       return "hedge";
     case Decision::kRetry:
       return "retry";
-    case Decision::kRenew:
+    case Decision::kLateRetry:
       return "retry with time anew";
     case Decision::kNoLeaf:
       return "no usable leaf";
@@ -30,7 +30,7 @@
       return "the owner's result";
     case Decision::kOwnerSilent:
       return "given up: the owner is silent";
-    case Decision::kHeldBack:
+    case Decision::kSuspended:
       return "held back: leafs have ended under the request";
     default:
       return "outcome";
@@ -49,7 +49,7 @@
       return "another instance";
     case LeafOutcome::Kind::kNoAnswer:
       return "no usable answer";
-    case LeafOutcome::Kind::kLeafEnded:
+    case LeafOutcome::Kind::kLeafCrashed:
       return "the leaf ended";
     case LeafOutcome::Kind::kNotSent:
       return "not sent";
@@ -66,7 +66,7 @@
       return "no leaf answered";
     case UnansweredPart::Reason::kNotRun:
       return "not run";
-    case UnansweredPart::Reason::kWithdrawn:
+    case UnansweredPart::Reason::kCancelled:
       return "withdrawn by the daemon that asked";
     default:
       return "its time has passed";
@@ -88,8 +88,8 @@
     fields.push_back({"leaf", event.leaf->entry().id});
     fields.push_back({"address", event.leaf->entry().address.text()});
     fields.push_back({"queue", event.queueLength});
-    fields.push_back({"slowness", event.slowness});
-    fields.push_back({"overdue_ms", inMilliseconds(std::max(event.stalledFor, Duration(0)))});
+    fields.push_back({"slowness", event.latencyRatio});
+    fields.push_back({"overdue_ms", inMilliseconds(std::max(event.overdueFor, Duration(0)))});
   }
   if (event.owner) {
     fields.push_back({"owner", event.owner->text()});
@@ -165,7 +165,7 @@
   }
 }
 
-void RequestLog::onCallerGone(const LoggedRequest& request, const Query& query, Moment now) {
+void RequestLog::onCallerDisconnected(const LoggedRequest& request, const Query& query, Moment now) {
   write(request, query, "the caller left", false, now);
 }
 
@@ -201,7 +201,7 @@
   }
   log(LogLevel::kWarning, "leaf ended",
       {{"leaf", leaf.id},
-       {"born_ms", leaf.bornAt},
+       {"born_ms", leaf.processStartedAt},
        {"service", leaf.service},
        {"address", leaf.address.text()},
        {"under", fingerprints},
--- a/src/programs/gateway/request_log.h
+++ b/src/programs/gateway/request_log.h
@@ -44,7 +44,7 @@
   void onRefused(const LoggedRequest& request, const std::string& route, LossCause cause, unsigned status,
                  Moment now);
   void onAnswer(const LoggedRequest& request, const Query& query, const FinalAnswer& answer, Moment now);
-  void onCallerGone(const LoggedRequest& request, const Query& query, Moment now);
+  void onCallerDisconnected(const LoggedRequest& request, const Query& query, Moment now);
   /// A shard that this daemon served for another one and that ended without an answer.
   void onUnanswered(const LoggedRequest& request, const UnansweredPart& part, Moment now);
   /// A leaf's process has ended under these requests.
--- a/src/programs/gateway/request_queries.cpp
+++ b/src/programs/gateway/request_queries.cpp
@@ -7,11 +7,11 @@
 namespace oakpier::serving {
 
 void RequestGateway::apply(const ActivePointer& active, QueryActions actions) {
-  for (const ExchangeId exchange : actions.abandons) {
+  for (const ExchangeId exchange : actions.cancellations) {
     pool_.abandon(exchange);
   }
-  ownerClient_.cancel(actions.abandons);
-  mergeClient_.cancel(actions.abandons);
+  ownerClient_.cancel(actions.cancellations);
+  mergeClient_.cancel(actions.cancellations);
   std::vector<SendAction> merged;
   for (const SendAction& action : actions.sends) {
     if (action.merger) {
@@ -23,8 +23,8 @@
   if (!merged.empty()) {
     sendMerged(active, merged);
   }
-  if (!actions.relays.empty()) {
-    relay(active, actions.relays);
+  if (!actions.delegations.empty()) {
+    relay(active, actions.delegations);
   }
   ownerClient_.tellOfSilence();
   if (actions.answer) {
@@ -41,14 +41,14 @@
   send.rank = active->rank;
   LeafPool::Listener listener;
   const ExchangeId exchange = action.exchange;
-  listener.onWritten = [active, exchange] { active->query->onWritten(exchange); };
+  listener.onWriteStarted = [active, exchange] { active->query->onWriteStarted(exchange); };
   listener.onOutcome = [this, active, exchange](const LeafOutcome& outcome) {
     onOutcome(active, exchange, outcome);
   };
   sender_.send(send, queryContext_, std::move(listener));
 }
 
-void RequestGateway::relay(const ActivePointer& active, const std::vector<RelayAction>& relays) {
+void RequestGateway::relay(const ActivePointer& active, const std::vector<DelegateAction>& delegations) {
   if (!active->ownerListener) {
     const std::weak_ptr<ActiveQuery> weak = active;
     active->ownerListener = std::make_shared<const OwnerClient::Listener>(
@@ -65,10 +65,10 @@
   order.route = std::shared_ptr<const Route>(active, &active->query->route());
   order.rank = active->rank;
   order.leafDeadline = active->query->leafDeadline();
-  order.lastDeadline = active->query->deadline();
-  order.usefulUntil = active->query->answerBy();
+  order.lateRetryDeadline = active->query->deadline();
+  order.targetDeadline = active->query->answerBy();
   order.listener = active->ownerListener;
-  ownerClient_.send(relays, order);
+  ownerClient_.send(delegations, order);
 }
 
 void RequestGateway::sendMerged(const ActivePointer& active, const std::vector<SendAction>& sends) {
@@ -87,7 +87,7 @@
         }
       });
   for (const SendAction& send : sends) {
-    active->query->onWritten(send.exchange);
+    active->query->onWriteStarted(send.exchange);
   }
   mergeClient_.send(sends, order);
 }
@@ -123,7 +123,7 @@
   for (const TraceEvent& event : trace.events()) {
     counters_.sends += event.decision == Decision::kSend ? 1 : 0;
     counters_.hedges += event.decision == Decision::kHedge ? 1 : 0;
-    const bool retry = event.decision == Decision::kRetry || event.decision == Decision::kRenew;
+    const bool retry = event.decision == Decision::kRetry || event.decision == Decision::kLateRetry;
     counters_.retries += retry ? 1 : 0;
     counters_.budgetEmpty += event.decision == Decision::kBudgetEmpty ? 1 : 0;
   }
@@ -132,7 +132,7 @@
 void RequestGateway::armTimer(const ActivePointer& active) {
   active->timer.arm(active->query->nextDecisionAt(), [this, active] {
     if (!active->query->finished()) {
-      apply(active, active->query->onTime(steadyNow()));
+      apply(active, active->query->onTimer(steadyNow()));
     }
   });
 }
--- a/src/programs/gateway/source_loop.cpp
+++ b/src/programs/gateway/source_loop.cpp
@@ -113,7 +113,7 @@
 
 void SourceLoop::step() {
   const Moment now = steadyNow();
-  askAndSend(follower_.onTime(now));
+  askAndSend(follower_.onTimer(now));
   if (const auto call = follower_.takeCall(now)) {
     client_.call(dialect_.requestFor(*call), call->wait + kCallTimeout,
                  [this, call = *call](std::optional<HttpReply> reply) {
--- a/src/protocol/serving/ending_requests_codec.cpp
+++ b/src/protocol/serving/ending_requests_codec.cpp
@@ -18,7 +18,7 @@
 bool withinBounds(const EndingRequest& request) {
   return request.last_ended_age_us() <= kOldestAge &&
          (request.trials() == 0 || request.last_trial_age_us() <= kOldestAge) &&
-         static_cast<std::size_t>(request.ended_leafs_size()) <= RequestQuarantine::kMostEndedLeafs;
+         static_cast<std::size_t>(request.ended_leafs_size()) <= RequestQuarantine::kMaxCrashedLeafs;
 }
 
 }  // namespace
@@ -30,11 +30,11 @@
     request->set_fingerprint_high(record.fingerprint.high);
     request->set_fingerprint_low(record.fingerprint.low);
     request->set_epoch(record.epoch);
-    for (const std::uint64_t instance : record.endedLeafs) {
+    for (const std::uint64_t instance : record.crashedLeafs) {
       request->add_ended_leafs(instance);
     }
     request->set_trials(record.trials);
-    request->set_last_ended_age_us(ageOf(record.lastEndedAt, now));
+    request->set_last_ended_age_us(ageOf(record.lastCrashAt, now));
     if (record.trials > 0) {
       request->set_last_trial_age_us(ageOf(record.lastTrialAt, now));
     }
@@ -51,10 +51,10 @@
     QuarantineRecord record;
     record.fingerprint = RequestFingerprint{request.fingerprint_high(), request.fingerprint_low()};
     record.epoch = request.epoch();
-    record.endedLeafs.assign(request.ended_leafs().begin(), request.ended_leafs().end());
-    std::sort(record.endedLeafs.begin(), record.endedLeafs.end());
+    record.crashedLeafs.assign(request.ended_leafs().begin(), request.ended_leafs().end());
+    std::sort(record.crashedLeafs.begin(), record.crashedLeafs.end());
     record.trials = request.trials();
-    record.lastEndedAt = momentOf(request.last_ended_age_us(), now);
+    record.lastCrashAt = momentOf(request.last_ended_age_us(), now);
     if (record.trials > 0) {
       record.lastTrialAt = momentOf(request.last_trial_age_us(), now);
     }
--- a/src/state/serving/leaf_directory.h
+++ b/src/state/serving/leaf_directory.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "state/endpoint.h"
-#include "state/serving/leaf_life.h"
+#include "state/serving/leaf_incarnation.h"
 #include "state/serving/route_table.h"
 #include "state/serving/serving_configuration.h"
 #include "state/serving/source_position.h"
@@ -22,8 +22,8 @@
 /// What a leaf says of one life of it.
 struct LeafEntry {
   std::string id;
-  /// When its process began, in milliseconds since 1970; 0: not told. See `LeafLife`.
-  std::uint64_t bornAt = 0;
+  /// When its process began, in milliseconds since 1970; 0: not told. See `LeafIncarnation`.
+  std::uint64_t processStartedAt = 0;
   std::string service;
   Endpoint address;
   std::string zone;
@@ -39,13 +39,14 @@
   SourcePosition position;
 
   bool sameAs(const LeafEntry& other) const {
-    return bornAt == other.bornAt && service == other.service && address == other.address &&
-           zone == other.zone && slots == other.slots && draining == other.draining &&
-           evacuated == other.evacuated;
+    return processStartedAt == other.processStartedAt && service == other.service &&
+           address == other.address && zone == other.zone && slots == other.slots &&
+           draining == other.draining && evacuated == other.evacuated;
   }
-  LeafLife life() const { return LeafLife{id, bornAt, address}; }
-  bool isOf(const LeafLife& life) const {
-    return bornAt == life.bornAt && address == life.address && id == life.id;
+  LeafIncarnation incarnation() const { return LeafIncarnation{id, processStartedAt, address}; }
+  bool isOf(const LeafIncarnation& incarnation) const {
+    return processStartedAt == incarnation.processStartedAt && address == incarnation.address &&
+           id == incarnation.id;
   }
   /// New requests may be sent to it.
   bool takesWork() const { return !draining && !evacuated; }
--- a/src/state/serving/leaf_life.h
+++ b/src/state/serving/leaf_incarnation.h
@@ -16,33 +16,36 @@
 
 namespace oakpier::serving {
 
-struct LeafLife {
+struct LeafIncarnation {
   std::string id;
   /// Start time of the process in milliseconds since 1970, by the clock of its machine; 0 if not reported.
   /// Start times distinguish incarnations but do not order them, since clocks may be set back.
-  std::uint64_t bornAt = 0;
+  std::uint64_t processStartedAt = 0;
   /// A process keeps its address, so another address means another incarnation, even without a start time.
   Endpoint address;
 
-  friend bool operator==(const LeafLife& left, const LeafLife& right) {
-    return left.bornAt == right.bornAt && left.address == right.address && left.id == right.id;
+  friend bool operator==(const LeafIncarnation& left, const LeafIncarnation& right) {
+    return left.processStartedAt == right.processStartedAt && left.address == right.address &&
+           left.id == right.id;
+  }
+  friend bool operator!=(const LeafIncarnation& left, const LeafIncarnation& right) {
+    return !(left == right);
   }
-  friend bool operator!=(const LeafLife& left, const LeafLife& right) { return !(left == right); }
 };
 
 /// Identifies an incarnation to peers: equal on all daemons, and the hash of the id alone if the start time
 /// is not reported.
-inline std::uint64_t stableHash(const LeafLife& life) {
-  const std::uint64_t id = hashText(life.id);
-  return life.bornAt == 0 ? id : hashPair(id, life.bornAt);
+inline std::uint64_t stableHash(const LeafIncarnation& incarnation) {
+  const std::uint64_t id = hashText(incarnation.id);
+  return incarnation.processStartedAt == 0 ? id : hashPair(id, incarnation.processStartedAt);
 }
 
-struct LeafLifeHash {
-  std::size_t operator()(const LeafLife& life) const noexcept {
-    return hashPair(stableHash(life), life.address.packed());
+struct LeafIncarnationHash {
+  std::size_t operator()(const LeafIncarnation& incarnation) const noexcept {
+    return hashPair(stableHash(incarnation), incarnation.address.packed());
   }
 };
 
-using LeafLives = std::unordered_set<LeafLife, LeafLifeHash>;
+using LeafIncarnations = std::unordered_set<LeafIncarnation, LeafIncarnationHash>;
 
 }  // namespace oakpier::serving
--- a/src/transport/leaf_connections.cpp
+++ b/src/transport/leaf_connections.cpp
@@ -206,7 +206,7 @@
   }
 }
 
-void LeafConnections::onTime(Moment now) {
+void LeafConnections::onTimer(Moment now) {
   for (auto& [leaf, idle] : idle_) {
     eraseIf(idle, [now](LeafConnection* connection) {
       connection->ended = connection->ended || now - connection->idleSince > kIdleTime;
--- a/src/transport/leaf_connections.h
+++ b/src/transport/leaf_connections.h
@@ -40,7 +40,7 @@
   void abort(ExchangeId exchange);
 
   /// Frees ended connections, opens waiting ones, closes idle ones. Call every few milliseconds.
-  void onTime(Moment now);
+  void onTimer(Moment now);
 
   std::size_t openCount() const { return connections_.size(); }
 
--- a/src/transport/serving/http_session.cpp
+++ b/src/transport/serving/http_session.cpp
@@ -108,7 +108,7 @@
   if (error) {
     ended_ = true;
     if (state_ == State::kServing) {
-      onCallerGone();
+      onCallerDisconnected();
     } else if (state_ != State::kWriting) {
       close();
     }
@@ -193,7 +193,7 @@
   }
 }
 
-void HttpSession::onCallerGone() {
+void HttpSession::onCallerDisconnected() {
   --service_->inProgress_;
   auto onGone = std::move(onGone_);
   onGone_ = nullptr;
--- a/src/transport/serving/http_session.h
+++ b/src/transport/serving/http_session.h
@@ -44,7 +44,7 @@
   void serve();
   void onWritten(const boost::system::error_code& error);
   void armTimer(Duration duration);
-  void onCallerGone();
+  void onCallerDisconnected();
   void linger();
   void close();
 
--- a/src/transport/serving/leaf_pool.cpp
+++ b/src/transport/serving/leaf_pool.cpp
@@ -84,7 +84,7 @@
 }
 
 LeafPool::ChannelPointer LeafPool::channelOf(const LeafEntry& leaf, std::size_t maximum) {
-  ChannelPointer& channel = channels_[leaf.life()];
+  ChannelPointer& channel = channels_[leaf.incarnation()];
   if (!channel) {
     channel = std::make_shared<Channel>(leaf);
   }
@@ -154,7 +154,7 @@
   std::list<Order> dropped;
   for (auto order = channel.waiting.begin(); order != channel.waiting.end();) {
     const auto next = std::next(order);
-    if (order->deadline - now < std::max(order->leastTime, kShortestDeadline)) {
+    if (order->deadline - now < std::max(order->minTimeLeft, kShortestDeadline)) {
       dropped.splice(dropped.end(), channel.waiting, order);
     }
     order = next;
@@ -183,8 +183,8 @@
   const auto remaining = std::chrono::duration_cast<Duration>(order.deadline - steadyNow());
   const std::string bytes = order.request->bytesFor(channel->leaf.id, remaining);
   ++counters_.exchanges;
-  if (order.listener.onWritten) {
-    order.listener.onWritten();
+  if (order.listener.onWriteStarted) {
+    order.listener.onWriteStarted();
   }
   const auto request = order.request;
   channel->running.push_back(Channel::Running{connection, std::move(order)});
@@ -335,7 +335,7 @@
   if (onLeafEnd_) {
     onLeafEnd_(channel.leaf, under);
   }
-  endBrokenOff(channel, LeafOutcome::Kind::kLeafEnded);
+  endBrokenOff(channel, LeafOutcome::Kind::kLeafCrashed);
 }
 
 void LeafPool::onReady(const ChannelPointer& channel, LeafConnection& connection) {
@@ -389,7 +389,7 @@
     Order order = std::move(*waiting);
     channel->waiting.erase(waiting);
     exchanges_.erase(exchange);
-    order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
+    order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kCancelled));
     return;
   }
   auto timer = std::make_shared<boost::asio::steady_timer>(context_, kAbandonGrace);
@@ -418,12 +418,12 @@
   connection->close();
   auto& connections = channel->connections;
   connections.erase(std::remove(connections.begin(), connections.end(), connection), connections.end());
-  order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
+  order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kCancelled));
   dispatch(channel);
 }
 
-void LeafPool::retain(const std::function<LeafUse(const LeafLife& leaf)>& useOf) {
-  std::vector<LeafLife> finished;
+void LeafPool::retain(const std::function<LeafUse(const LeafIncarnation& leaf)>& useOf) {
+  std::vector<LeafIncarnation> finished;
   for (auto& [life, channel] : channels_) {
     const LeafUse use = useOf(life);
     channel->retired = use != LeafUse::kKeep;
@@ -439,7 +439,7 @@
       finished.push_back(life);
     }
   }
-  for (const LeafLife& life : finished) {
+  for (const LeafIncarnation& life : finished) {
     channels_.erase(life);
   }
 }
--- a/src/transport/serving/leaf_pool.h
+++ b/src/transport/serving/leaf_pool.h
@@ -39,7 +39,7 @@
  public:
   struct Listener {
     /// The first byte of the request is about to be written.
-    std::function<void()> onWritten;
+    std::function<void()> onWriteStarted;
     std::function<void(const LeafOutcome&)> onOutcome;
   };
   struct Order {
@@ -48,7 +48,7 @@
     unsigned rank = 0;
     Moment deadline{};
     /// The request is dropped unsent when less than this is left until the deadline.
-    Duration leastTime{};
+    Duration minTimeLeft{};
     Listener listener;
   };
 
@@ -87,7 +87,7 @@
     /// Requests that wait end unsent, so that they can go to another leaf; the connections close once idle.
     kStop,
   };
-  void retain(const std::function<LeafUse(const LeafLife& leaf)>& useOf);
+  void retain(const std::function<LeafUse(const LeafIncarnation& leaf)>& useOf);
 
   const LeafPoolCounters& counters() const { return counters_; }
 
@@ -130,7 +130,7 @@
   boost::asio::io_context& context_;
   const HeaderNames& names_;
   /// By life: a connection that was opened to an earlier life of a leaf carries nothing for a later one.
-  std::unordered_map<LeafLife, ChannelPointer, LeafLifeHash> channels_;
+  std::unordered_map<LeafIncarnation, ChannelPointer, LeafIncarnationHash> channels_;
   std::unordered_map<ExchangeId, std::weak_ptr<Channel>> exchanges_;
   LeafPoolCounters counters_;
   ReachabilityListener onReachability_;
--- a/tests/coordination/leaf_dispatcher_test.cpp
+++ b/tests/coordination/leaf_dispatcher_test.cpp
@@ -139,7 +139,7 @@
   bench.introduceLeaf();
   const DispatchActions sent = bench.work(1, 0);
   bench.now += std::chrono::milliseconds(100);
-  const DispatchActions actions = bench.dispatcher.onTime(bench.now);
+  const DispatchActions actions = bench.dispatcher.onTimer(bench.now);
   REQUIRE(actions.aborts.size() == 1);
   REQUIRE(actions.replies.at(0).results.results(0).status() == WORK_NO_ANSWER);
   REQUIRE(bench.dispatcher.onAnswer(sent.sends[0].exchange, bench.answerTo(sent.sends[0]), bench.now)
--- a/tests/coordination/membership_test.cpp
+++ b/tests/coordination/membership_test.cpp
@@ -91,7 +91,7 @@
 /// With its first probe at that time; `hour` is later than at any earlier call.
 std::uint64_t digestSentBy(Membership& member, int hour) {
   member.setSeeds({Endpoint(9, 1)});
-  const MembershipActions actions = member.onTime(Moment(std::chrono::hours(hour)));
+  const MembershipActions actions = member.onTimer(Moment(std::chrono::hours(hour)));
   REQUIRE_FALSE(actions.probes.empty());
   return actions.probes.front().probe.digest();
 }
--- a/tests/coordination/repeat_guard_test.cpp
+++ b/tests/coordination/repeat_guard_test.cpp
@@ -139,15 +139,15 @@
     reserve.set_work_id("w-" + id);
     return guard.onReserve(reserve, members, true, now).verdict();
   };
-  REQUIRE(guard.onTime(members, now) == std::vector<Endpoint>{other});
+  REQUIRE(guard.onTimer(members, now) == std::vector<Endpoint>{other});
   now += std::chrono::seconds(10);
-  REQUIRE(guard.onTime(members, now) == std::vector<Endpoint>{other});
+  REQUIRE(guard.onTimer(members, now) == std::vector<Endpoint>{other});
   REQUIRE(verdictOn("new") == RESERVE_ABSTAINED);
   ReservationsReply held;
   held.add_reservations()->set_request_id("old");
   guard.onReservations(other, held, now);
   now += std::chrono::seconds(2);
-  REQUIRE(guard.onTime(members, now).empty());
+  REQUIRE(guard.onTimer(members, now).empty());
   REQUIRE(verdictOn("old") == RESERVE_DUPLICATE);
   REQUIRE(verdictOn("new") == RESERVE_GRANTED);
 }
--- a/tests/serving/coordination/admission_test.cpp
+++ b/tests/serving/coordination/admission_test.cpp
@@ -22,9 +22,9 @@
   const auto view = viewOf({singleRoute("s", true, 2)}, {"s"}, 2);
   QueryWorld world(view);
   const Route& route = view->configuration->routes[0];
-  REQUIRE_FALSE(refuseWhenBusy(route, *world.context, at(1)));
+  REQUIRE_FALSE(refuseIfOverloaded(route, *world.context, at(1)));
   occupy(world.registry, "s", 40);
-  const auto refusal = refuseWhenBusy(route, *world.context, at(1));
+  const auto refusal = refuseIfOverloaded(route, *world.context, at(1));
   REQUIRE(refusal);
   REQUIRE(refusal->retryAfter >= world.context->policy.retryAfter);
   REQUIRE(refusal->retryAfter <= std::chrono::seconds(1));
@@ -36,9 +36,9 @@
   QueryWorld world(view);
   const Route& route = view->configuration->routes[0];
   occupy(world.registry, "s0", 40);
-  REQUIRE_FALSE(refuseWhenBusy(route, *world.context, at(1)));
+  REQUIRE_FALSE(refuseIfOverloaded(route, *world.context, at(1)));
   occupy(world.registry, "s1", 40);
-  REQUIRE(refuseWhenBusy(route, *world.context, at(1)));
+  REQUIRE(refuseIfOverloaded(route, *world.context, at(1)));
 }
 
 TEST_CASE("a service without a reachable leaf is not refused as overloaded", "[serving]") {
@@ -48,7 +48,7 @@
   leaf->onStarted(1, std::chrono::milliseconds(10), at(0));
   leaf->onFinished(1, LeafOutcome::Kind::kNotSent, at(0));
   REQUIRE(leaf->ejected(at(1)));
-  REQUIRE_FALSE(refuseWhenBusy(view->configuration->routes[0], *world.context, at(1)));
+  REQUIRE_FALSE(refuseIfOverloaded(view->configuration->routes[0], *world.context, at(1)));
 }
 
 namespace {
@@ -67,7 +67,7 @@
   QueryWorld world(view);
   const Route& route = view->configuration->routes[0];
   const auto refusal = [&](int moment) {
-    return refuseWhenUnservable(route, *view, *world.context, at(moment));
+    return refuseIfUnservable(route, *view, *world.context, at(moment));
   };
   for (const std::string shard : {"s0", "s1"}) {
     lose(world.registry.leafsOf(shard)[0]);
@@ -91,18 +91,18 @@
   changed.leafs = std::make_shared<const LeafsByService>(leafs);
   QueryWorld world(view);
   const auto& routes = view->configuration->routes;
-  REQUIRE_FALSE(refuseWhenUnservable(routes[0], changed, *world.context, at(1)));
-  REQUIRE(refuseWhenUnservable(routes[1], changed, *world.context, at(1)));
+  REQUIRE_FALSE(refuseIfUnservable(routes[0], changed, *world.context, at(1)));
+  REQUIRE(refuseIfUnservable(routes[1], changed, *world.context, at(1)));
   leafs["s1"].clear();
   changed.leafs = std::make_shared<const LeafsByService>(leafs);
-  REQUIRE(refuseWhenUnservable(routes[0], changed, *world.context, at(1)));
+  REQUIRE(refuseIfUnservable(routes[0], changed, *world.context, at(1)));
 }
 
 TEST_CASE("shards whose leafs are known only to peers count as servable", "[serving]") {
   const auto view = viewOf({gatherRoute({"s0", "s1"}, 1.0)}, {"s0", "s1"}, 1);
   QueryWorld world(view);
   world.registry.reconcile({}, at(0));
-  REQUIRE_FALSE(refuseWhenUnservable(view->configuration->routes[0], *view, *world.context, at(1)));
+  REQUIRE_FALSE(refuseIfUnservable(view->configuration->routes[0], *view, *world.context, at(1)));
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/configuration_prover_test.cpp
+++ b/tests/serving/coordination/configuration_prover_test.cpp
@@ -65,7 +65,7 @@
   daemon.prover.onConfigurationRecord(inFirstEpoch(20), false);
   daemon.prover.onRead(at(2000), at(2001), daemon.actions);
   daemon.prover.onNews(kFirst, at(4500), daemon.actions);
-  daemon.prover.onTime(at(4500), daemon.actions);
+  daemon.prover.onTimer(at(4500), daemon.actions);
   REQUIRE(daemon.prover.proof().provenAt == at(1000));
   REQUIRE(daemon.actions.requests.empty());
   REQUIRE_FALSE(daemon.prover.takeReadWish(at(9000)));
@@ -106,7 +106,7 @@
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
   }
   SECTION("not after its time") {
-    daemon.prover.onTime(at(4000), daemon.actions);
+    daemon.prover.onTimer(at(4000), daemon.actions);
     REQUIRE(daemon.prover.counters().timedOut == 1);
     daemon.prover.onReply(kFirst, replyOf(number, 5, milliseconds(0)), at(4001), daemon.actions);
     REQUIRE(daemon.prover.proof().provenAt == at(1000));
@@ -160,9 +160,9 @@
   }
   SECTION("it does not") {
     REQUIRE(daemon.prover.nextDueAt() == at(3150));
-    daemon.prover.onTime(at(3149), daemon.actions);
+    daemon.prover.onTimer(at(3149), daemon.actions);
     REQUIRE(daemon.actions.replies.empty());
-    daemon.prover.onTime(at(3150), daemon.actions);
+    daemon.prover.onTimer(at(3150), daemon.actions);
     REQUIRE(daemon.actions.replies.at(0).reply.age_us() == 2150000);
     daemon.prover.onRequest(kSecond, requestOf(10), at(3160), daemon.actions);
     REQUIRE(daemon.actions.replies.size() == 2);
@@ -179,23 +179,23 @@
   ProvedDaemon daemon;
   daemon.prover.onNews(kFirst, at(1900), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
-  daemon.prover.onTime(at(3879), daemon.actions);
+  daemon.prover.onTimer(at(3879), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
   REQUIRE(daemon.prover.nextDueAt() == at(3880));
-  daemon.prover.onTime(at(3880), daemon.actions);
+  daemon.prover.onTimer(at(3880), daemon.actions);
   REQUIRE(daemon.actions.requests.size() == 2);
-  daemon.prover.onTime(at(4179), daemon.actions);
+  daemon.prover.onTimer(at(4179), daemon.actions);
   REQUIRE(daemon.actions.requests.size() == 2);
-  daemon.prover.onTime(at(4180), daemon.actions);
+  daemon.prover.onTimer(at(4180), daemon.actions);
   REQUIRE(daemon.actions.requests.size() == 4);
   for (int now = 4181; now < 20000; ++now) {
-    daemon.prover.onTime(at(now), daemon.actions);
+    daemon.prover.onTimer(at(now), daemon.actions);
   }
   REQUIRE(daemon.actions.requests.size() <= 40);
   SECTION("a younger proof ends it") {
     daemon.prover.onRead(at(20000), at(20001), daemon.actions);
     daemon.actions.requests.clear();
-    daemon.prover.onTime(at(22000), daemon.actions);
+    daemon.prover.onTimer(at(22000), daemon.actions);
     REQUIRE(daemon.actions.requests.empty());
   }
 }
@@ -204,7 +204,7 @@
   ProvedDaemon daemon;
   daemon.prover.onVersion(6, false);
   daemon.prover.onNews(kFirst, at(9000), daemon.actions);
-  daemon.prover.onTime(at(9000), daemon.actions);
+  daemon.prover.onTimer(at(9000), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
   REQUIRE_FALSE(daemon.prover.takeReadWish(at(9000)));
   REQUIRE(daemon.prover.nextDueAt() == kNever);
@@ -216,7 +216,7 @@
   ProvedDaemon daemon;
   REQUIRE_FALSE(daemon.prover.takeReadWish(at(1000 + 3840)));
   for (int round = 0; round < 3; ++round) {
-    daemon.prover.onTime(at(1000 + 2880 + 300 * round), daemon.actions);
+    daemon.prover.onTimer(at(1000 + 2880 + 300 * round), daemon.actions);
   }
   REQUIRE_FALSE(daemon.prover.takeReadWish(at(1000 + 3359)));
   REQUIRE(daemon.prover.takeReadWish(at(1000 + 3840)));
@@ -226,9 +226,9 @@
 
 TEST_CASE("a proof is lost when it grows too old, and regained", "[serving]") {
   ProvedDaemon daemon;
-  daemon.prover.onTime(at(5800), daemon.actions);
+  daemon.prover.onTimer(at(5800), daemon.actions);
   REQUIRE(daemon.prover.holds());
-  daemon.prover.onTime(at(5801), daemon.actions);
+  daemon.prover.onTimer(at(5801), daemon.actions);
   REQUIRE_FALSE(daemon.prover.holds());
   daemon.prover.onRead(at(6000), at(6010), daemon.actions);
   REQUIRE(daemon.prover.holds());
--- a/tests/serving/coordination/leaf_assignment_test.cpp
+++ b/tests/serving/coordination/leaf_assignment_test.cpp
@@ -18,7 +18,7 @@
   }
   ShardOwners owners(daemons[number]);
   owners.setDaemons({daemons.begin(), daemons.end()});
-  return assignLeafs(view, SharingDaemons{count, 1, count, 1, {1.5, 5}}, daemons[number], owners);
+  return assignLeafs(view, FleetSize{count, 1, count, 1, {1.5, 5}}, daemons[number], owners);
 }
 
 }  // namespace
@@ -33,7 +33,7 @@
   const LeafAssignment assignment = assignmentOf(0, 4, changed);
   REQUIRE(assignment.leafs.at("s").size() == 2);
   REQUIRE(assignment.leafs.at("t").size() == 2);
-  REQUIRE(assignment.firstOwned.empty());
+  REQUIRE(assignment.firstOwnedServices.empty());
 }
 
 TEST_CASE("the request limit for cold leafs is divided among the daemons that may send to them",
@@ -66,7 +66,7 @@
     std::map<std::string, std::size_t> connections;
     for (std::uint32_t number = 0; number < count; ++number) {
       const LeafAssignment assignment = assignmentOf(number, count, *view);
-      for (const std::string& service : assignment.firstOwned) {
+      for (const std::string& service : assignment.firstOwnedServices) {
         RC_ASSERT(assignment.leafs.at(service).size() == replicas);
         ++firstOwners[service];
       }
--- a/tests/serving/coordination/leaf_knowledge_test.cpp
+++ b/tests/serving/coordination/leaf_status_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Duration kUsual = std::chrono::milliseconds(20);
+constexpr Duration kTypicalLatency = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -17,17 +17,17 @@
   registry.reconcile(leafsOf({"s"}, 2), at(0));
   const auto& leafs = registry.leafsOf("s");
   RandomEngine random(1);
-  const std::vector<LeafLife> tried;
+  const std::vector<LeafIncarnation> tried;
   const std::string zone = "a";
-  const SelectionRequest request{tried, kUsual, zone};
-  leafs[0]->onStarted(1, kUsual, at(0));
-  REQUIRE(leafs[0]->stalledFor(at(10)).count() <= 0);
-  REQUIRE(leafs[0]->stalledFor(at(50)) == std::chrono::milliseconds(30));
+  const SelectionRequest request{tried, kTypicalLatency, zone};
+  leafs[0]->onStarted(1, kTypicalLatency, at(0));
+  REQUIRE(leafs[0]->overdueFor(at(10)).count() <= 0);
+  REQUIRE(leafs[0]->overdueFor(at(50)) == std::chrono::milliseconds(30));
   for (int repeat = 0; repeat < 20; ++repeat) {
     REQUIRE(selectLeaf(leafs, request, random, at(50)) == leafs[1]);
   }
   leafs[0]->onFinished(1, LeafOutcome::Kind::kAnswered, at(60));
-  REQUIRE(leafs[0]->stalledFor(at(60)).count() == 0);
+  REQUIRE(leafs[0]->overdueFor(at(60)).count() == 0);
 }
 
 TEST_CASE("a slow leaf is selected only after a faster one", "[serving]") {
@@ -39,14 +39,14 @@
   for (int number = 0; number < 20; ++number) {
     const int start = number * 200;
     const auto exchange = static_cast<std::uint64_t>(number);
-    leafs[0]->onStarted(exchange, kUsual, at(start));
+    leafs[0]->onStarted(exchange, kTypicalLatency, at(start));
     leafs[0]->onFinished(exchange, LeafOutcome::Kind::kAnswered, at(start + 100));
-    leafs[1]->onStarted(exchange, kUsual, at(start));
+    leafs[1]->onStarted(exchange, kTypicalLatency, at(start));
     leafs[1]->onFinished(exchange, LeafOutcome::Kind::kAnswered, at(start + 20));
   }
-  REQUIRE(leafs[0]->slowness() > leafs[1]->slowness() * 2);
+  REQUIRE(leafs[0]->latencyRatio() > leafs[1]->latencyRatio() * 2);
   for (int draw = 0; draw < 20; ++draw) {
-    REQUIRE(selectLeaf(leafs, {{}, kUsual, zone}, random, at(5000)) == leafs[1]);
+    REQUIRE(selectLeaf(leafs, {{}, kTypicalLatency, zone}, random, at(5000)) == leafs[1]);
   }
 }
 
@@ -56,12 +56,12 @@
   const auto& leafs = registry.leafsOf("s");
   RandomEngine random(1);
   const std::string zone = "a";
-  leafs[0]->onStarted(1, kUsual, at(0));
+  leafs[0]->onStarted(1, kTypicalLatency, at(0));
   leafs[0]->onFinished(1, LeafOutcome::Kind::kNotSent, at(1));
   REQUIRE(leafs[0]->ejected(at(2)));
-  REQUIRE(selectLeaf(leafs, {{}, kUsual, zone}, random, at(2)) == leafs[1]);
-  const std::vector<LeafLife> tried{leafs[1]->entry().life()};
-  REQUIRE(selectLeaf(leafs, {tried, kUsual, zone}, random, at(2)) == leafs[0]);
+  REQUIRE(selectLeaf(leafs, {{}, kTypicalLatency, zone}, random, at(2)) == leafs[1]);
+  const std::vector<LeafIncarnation> tried{leafs[1]->entry().incarnation()};
+  REQUIRE(selectLeaf(leafs, {tried, kTypicalLatency, zone}, random, at(2)) == leafs[0]);
   REQUIRE_FALSE(leafs[0]->ejected(at(5000)));
 }
 
@@ -70,14 +70,14 @@
   LeafsByService directory = leafsOf({"s"}, 3);
   registry.reconcile(directory, at(0));
   const auto before = registry.leafsOf("s");
-  before[2]->onStarted(1, kUsual, at(0));
+  before[2]->onStarted(1, kTypicalLatency, at(0));
   before[2]->onFinished(1, LeafOutcome::Kind::kWrongInstance, at(1));
   directory["s"][0].draining = true;
   directory["s"].erase(directory["s"].begin() + 1);
   registry.reconcile(directory, at(2));
   RandomEngine random(1);
   const std::string zone = "a";
-  REQUIRE(selectLeaf(registry.leafsOf("s"), {{}, kUsual, zone}, random, at(3)) == nullptr);
+  REQUIRE(selectLeaf(registry.leafsOf("s"), {{}, kTypicalLatency, zone}, random, at(3)) == nullptr);
   REQUIRE_FALSE(before[1]->usable());
 }
 
@@ -85,7 +85,7 @@
   LeafRegistry registry;
   registry.reconcile(leafsOf({"s"}, 1), at(0));
   const auto leaf = registry.leafsOf("s").front();
-  leaf->onStarted(1, kUsual, at(0));
+  leaf->onStarted(1, kTypicalLatency, at(0));
   registry.reconcile(leafsOf({"s", "t"}, 1), at(1));
   REQUIRE(registry.leafsOf("s").front() == leaf);
   REQUIRE(leaf->inProgress() == 1);
@@ -113,13 +113,13 @@
   RandomEngine random(1);
   const std::string zone = "a";
   const auto selected = [&](int moment) {
-    return selectLeaf(registry.leafsOf("s"), {{}, kUsual, zone}, random, at(moment)) != nullptr;
+    return selectLeaf(registry.leafsOf("s"), {{}, kTypicalLatency, zone}, random, at(moment)) != nullptr;
   };
   registry.onReachability(leaf->entry(), false, at(0));
   // After one failure the only leaf is still tried.
   REQUIRE(selected(1));
   SECTION("an answer between two failures") {
-    leaf->onStarted(1, kUsual, at(1));
+    leaf->onStarted(1, kTypicalLatency, at(1));
     leaf->onFinished(1, LeafOutcome::Kind::kAnswered, at(2));
     registry.onReachability(leaf->entry(), false, at(3));
     REQUIRE(selected(4));
@@ -134,7 +134,7 @@
   }
   SECTION("broken connections and expired requests do not count") {
     for (std::uint64_t exchange = 1; exchange <= 4; ++exchange) {
-      leaf->onStarted(exchange, kUsual, at(1));
+      leaf->onStarted(exchange, kTypicalLatency, at(1));
       const bool even = exchange % 2 == 0;
       leaf->onFinished(exchange, even ? LeafOutcome::Kind::kNoAnswer : LeafOutcome::Kind::kExpired, at(2));
     }
@@ -156,13 +156,13 @@
     for (LeafRegistry& registry : registries) {
       registry.reconcile(directory, at(0));
       const std::string zone = "a";
-      SelectionRequest request{{}, kUsual, zone};
+      SelectionRequest request{{}, kTypicalLatency, zone};
       request.warmup = &allowance;
       // Every daemon attempts a send every 50 ms.
       for (std::size_t moment = drawBelow(50, random); moment < sends.size(); moment += 50) {
         const Moment now = at(static_cast<int>(moment));
         if (const auto leaf = selectLeaf(registry.leafsOf("s"), request, random, now)) {
-          leaf->onStarted(moment, kUsual, now);
+          leaf->onStarted(moment, kTypicalLatency, now);
           ++sends[moment];
         }
       }
