--- a/tests/serving/coordination/query_test.cpp
+++ b/tests/serving/coordination/query_test.cpp
@@ -21,7 +21,7 @@
 QueryActions startAndWrite(Query& query, Moment now) {
   QueryActions started = query.start(now);
   for (const SendAction& send : started.sends) {
-    query.onWritten(send.exchange);
+    query.onWriteStarted(send.exchange);
   }
   return started;
 }
@@ -37,7 +37,7 @@
   QueryActions last;
   char letter = 'a';
   for (const SendAction& send : started.sends) {
-    query.onWritten(send.exchange);
+    query.onWriteStarted(send.exchange);
     last = query.onOutcome(send.exchange, outcomeOf(Kind::kAnswered, record(letter++)), at(10));
   }
   const auto& answer = std::get<MergedAnswer>(*last.answer);
@@ -53,13 +53,13 @@
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const QueryActions started = startAndWrite(query, at(0));
   query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(5));
-  const QueryActions gone = query.onCallerGone();
+  const QueryActions gone = query.onCallerDisconnected();
   const std::vector<ExchangeId> out{started.sends[1].exchange, started.sends[2].exchange,
                                     started.sends[3].exchange};
-  REQUIRE(gone.abandons == out);
+  REQUIRE(gone.cancellations == out);
   REQUIRE_FALSE(gone.answer);
   REQUIRE(query.finished());
-  REQUIRE(query.onTime(at(150)).sends.empty());
+  REQUIRE(query.onTimer(at(150)).sends.empty());
   REQUIRE(query.nextDecisionAt() == kNever);
 }
 
@@ -71,10 +71,10 @@
   for (std::size_t place = 0; place < 3; ++place) {
     REQUIRE_FALSE(query.onOutcome(started.sends[place].exchange, outcomeOf(Kind::kAnswered), at(10)).answer);
   }
-  REQUIRE_FALSE(query.onTime(at(100)).answer);
-  const QueryActions last = query.onTime(at(190));
+  REQUIRE_FALSE(query.onTimer(at(100)).answer);
+  const QueryActions last = query.onTimer(at(190));
   REQUIRE(std::get<MergedAnswer>(*last.answer).missingShards == 1);
-  REQUIRE(last.abandons == std::vector<ExchangeId>{started.sends[3].exchange});
+  REQUIRE(last.cancellations == std::vector<ExchangeId>{started.sends[3].exchange});
 }
 
 TEST_CASE("with too few shards a query waits and fails at its deadline", "[serving]") {
@@ -82,10 +82,10 @@
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(500));
   const QueryActions started = query.start(at(0));
-  query.onWritten(started.sends[0].exchange);
+  query.onWriteStarted(started.sends[0].exchange);
   query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kAnswered), at(10));
-  REQUIRE_FALSE(query.onTime(at(300)).answer);
-  REQUIRE(std::get<Failure>(*query.onTime(at(500)).answer).timedOut);
+  REQUIRE_FALSE(query.onTimer(at(300)).answer);
+  REQUIRE(std::get<Failure>(*query.onTimer(at(500)).answer).timedOut);
 }
 
 TEST_CASE("a query that cannot get enough shards any more fails immediately", "[serving]") {
@@ -103,7 +103,8 @@
   const QueryActions ended = lost(1, 6);
   REQUIRE(ended.answer);
   REQUIRE_FALSE(std::get<Failure>(*ended.answer).timedOut);
-  REQUIRE(ended.abandons == std::vector<ExchangeId>{started.sends[2].exchange, started.sends[3].exchange});
+  REQUIRE(ended.cancellations ==
+          std::vector<ExchangeId>{started.sends[2].exchange, started.sends[3].exchange});
 }
 
 TEST_CASE("a query that lacks too many shards at the leafs' deadline retries them with a new deadline",
@@ -116,19 +117,19 @@
   query.onOutcome(started.sends[1].exchange, outcomeOf(Kind::kAnswered, record('b')), at(10));
   // Too late for another send within the target latency; the fourth part is still pending.
   REQUIRE(query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kNotExecuted), at(199)).sends.empty());
-  REQUIRE_FALSE(query.onTime(at(199)).answer);
+  REQUIRE_FALSE(query.onTimer(at(199)).answer);
   REQUIRE(query.nextDecisionAt() <= at(200));
-  const QueryActions renewed = query.onTime(at(200));
-  REQUIRE(renewed.sends.size() == 2);
-  for (const SendAction& send : renewed.sends) {
+  const QueryActions retried = query.onTimer(at(200));
+  REQUIRE(retried.sends.size() == 2);
+  for (const SendAction& send : retried.sends) {
     REQUIRE(send.deadline == at(400));
-    query.onWritten(send.exchange);
+    query.onWriteStarted(send.exchange);
   }
-  REQUIRE(query.onTime(at(210)).sends.empty());
+  REQUIRE(query.onTimer(at(210)).sends.empty());
   const QueryActions last =
-      query.onOutcome(renewed.sends[0].exchange, outcomeOf(Kind::kAnswered, record('c')), at(230));
+      query.onOutcome(retried.sends[0].exchange, outcomeOf(Kind::kAnswered, record('c')), at(230));
   REQUIRE(std::get<MergedAnswer>(*last.answer).missingShards == 1);
-  REQUIRE_FALSE(last.abandons.empty());
+  REQUIRE_FALSE(last.cancellations.empty());
 }
 
 TEST_CASE("a query with enough shards does not wait for one that could only be late", "[serving]") {
@@ -152,12 +153,12 @@
   route.attempts = 4;
   Query query(view, route, *world.context, at(0), at(2000));
   const QueryActions started = query.start(at(0));
-  query.onWritten(started.sends[0].exchange);
+  query.onWriteStarted(started.sends[0].exchange);
   query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNoAnswer), at(190));
-  const QueryActions renewed = query.onTime(at(200));
-  REQUIRE(renewed.sends.size() == 1);
-  query.onWritten(renewed.sends[0].exchange);
-  const QueryActions last = query.onOutcome(renewed.sends[0].exchange, outcomeOf(Kind::kNoAnswer), at(395));
+  const QueryActions retried = query.onTimer(at(200));
+  REQUIRE(retried.sends.size() == 1);
+  query.onWriteStarted(retried.sends[0].exchange);
+  const QueryActions last = query.onOutcome(retried.sends[0].exchange, outcomeOf(Kind::kNoAnswer), at(395));
   REQUIRE(last.sends.empty());
   REQUIRE(std::holds_alternative<Failure>(*last.answer));
 }
@@ -178,10 +179,10 @@
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const QueryActions started = query.start(at(0));
-  query.onWritten(started.sends[0].exchange);
+  query.onWriteStarted(started.sends[0].exchange);
   const Moment hedgeAt = query.nextDecisionAt();
   REQUIRE(hedgeAt < at(190));
-  const QueryActions hedged = query.onTime(hedgeAt);
+  const QueryActions hedged = query.onTimer(hedgeAt);
   REQUIRE(hedged.sends.size() == 1);
   REQUIRE(hedged.sends[0].leaf != started.sends[0].leaf);
   const QueryActions last =
@@ -199,20 +200,20 @@
   Query query(view, route, *world.context, at(1000), at(3000));
   const QueryActions started = query.start(at(1000));
   REQUIRE(started.sends[0].deadline == at(1200));
-  REQUIRE(started.sends[0].leastTime == std::chrono::milliseconds(40));
-  query.onWritten(started.sends[0].exchange);
+  REQUIRE(started.sends[0].minTimeLeft == std::chrono::milliseconds(40));
+  query.onWriteStarted(started.sends[0].exchange);
   SECTION("a retry is sent while the time left suffices for the usual latency") {
     const auto retried = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNoAnswer), at(1159));
     REQUIRE(retried.sends.size() == 1);
   }
   SECTION("a later retry is not sent and takes no token") {
-    const double before = world.budgets.fill("s0", at(1161));
+    const double before = world.budgets.fillRatio("s0", at(1161));
     const auto retried = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNoAnswer), at(1161));
     REQUIRE(retried.sends.empty());
-    REQUIRE(world.budgets.fill("s0", at(1161)) == before);
+    REQUIRE(world.budgets.fillRatio("s0", at(1161)) == before);
   }
   SECTION("a later hedge is not sent") {
-    const QueryActions late = query.onTime(at(1165));
+    const QueryActions late = query.onTimer(at(1165));
     REQUIRE(late.sends.empty());
   }
 }
@@ -235,7 +236,7 @@
   }
   REQUIRE(sends == 2);
   REQUIRE(std::holds_alternative<Refusal>(*actions.answer));
-  REQUIRE(world.budgets.fill("s0", at(10)) > 0);
+  REQUIRE(world.budgets.fillRatio("s0", at(10)) > 0);
 }
 
 TEST_CASE("the token of an extra attempt that did not reach a leaf is returned", "[serving]") {
@@ -243,14 +244,14 @@
   QueryWorld world(view, 4);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const QueryActions started = query.start(at(0));
-  query.onWritten(started.sends[0].exchange);
-  const double before = world.budgets.fill("s0", at(1));
-  const QueryActions hedged = query.onTime(query.nextDecisionAt());
+  query.onWriteStarted(started.sends[0].exchange);
+  const double before = world.budgets.fillRatio("s0", at(1));
+  const QueryActions hedged = query.onTimer(query.nextDecisionAt());
   REQUIRE(hedged.sends.size() == 1);
-  REQUIRE(world.budgets.fill("s0", at(1)) < before);
+  REQUIRE(world.budgets.fillRatio("s0", at(1)) < before);
   const Kind unsent = GENERATE(Kind::kExpired, Kind::kNotSent);
   query.onOutcome(hedged.sends[0].exchange, outcomeOf(unsent), at(100));
-  REQUIRE(world.budgets.fill("s0", at(100)) == before);
+  REQUIRE(world.budgets.fillRatio("s0", at(100)) == before);
 }
 
 TEST_CASE("a request that every leaf rejects is refused with a retry delay", "[serving]") {
@@ -260,21 +261,21 @@
   QueryActions actions = query.start(at(0));
   while (!actions.answer) {
     REQUIRE(actions.sends.size() == 1);
-    query.onWritten(actions.sends[0].exchange);
+    query.onWriteStarted(actions.sends[0].exchange);
     actions = query.onOutcome(actions.sends[0].exchange, outcomeOf(Kind::kNotExecuted), at(1));
   }
   REQUIRE(std::get<Refusal>(*actions.answer).retryAfter.count() > 0);
 }
 
 TEST_CASE("a request that is not repeatable is not sent again once it may have been executed", "[serving]") {
-  const Kind kind = GENERATE(Kind::kNoAnswer, Kind::kLeafFailed, Kind::kWithdrawn);
+  const Kind kind = GENERATE(Kind::kNoAnswer, Kind::kLeafFailed, Kind::kCancelled);
   const auto view = viewOf({singleRoute("s", false, 3)}, {"s"}, 4);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const QueryActions started = query.start(at(0));
   REQUIRE(started.sends.size() == 1);
-  query.onWritten(started.sends[0].exchange);
-  REQUIRE(query.onTime(at(1000)).sends.empty());
+  query.onWriteStarted(started.sends[0].exchange);
+  REQUIRE(query.onTimer(at(1000)).sends.empty());
   const QueryActions last = query.onOutcome(started.sends[0].exchange, outcomeOf(kind), at(1001));
   REQUIRE(last.sends.empty());
   REQUIRE(last.answer);
@@ -286,7 +287,7 @@
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const QueryActions started = query.start(at(0));
-  query.onWritten(started.sends[0].exchange);
+  query.onWriteStarted(started.sends[0].exchange);
   const auto last = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kLeafFailed), at(5));
   REQUIRE(std::get<ForwardedAnswer>(*last.answer).reply->status == 500);
 }
@@ -296,11 +297,11 @@
 /// Feeds generated outcomes to one query and checks its invariants at each step.
 class GeneratedRun {
  public:
-  GeneratedRun(const Route& route, std::size_t replicas, double savedSends)
+  GeneratedRun(const Route& route, std::size_t replicas, double retryTokens)
       : view_(viewOf({route}, kShards, replicas)),
-        world_(view_, savedSends),
+        world_(view_, retryTokens),
         route_(view_->configuration->routes[0]),
-        savedSends_(savedSends),
+        retryTokens_(retryTokens),
         query_(view_, route_, *world_.context, at(0), at(kDeadline)) {}
 
   void play() {
@@ -309,7 +310,7 @@
       step();
     }
     checkAnswer();
-    RC_ASSERT(query_.onTime(at(now_ + 1000)).sends.empty());
+    RC_ASSERT(query_.onTimer(at(now_ + 1000)).sends.empty());
   }
 
  private:
@@ -322,7 +323,7 @@
   void step() {
     now_ += *rc::gen::inRange(1, 60);
     if (sent_.empty() || *rc::gen::inRange(0, 3) == 0) {
-      take(query_.onTime(at(now_)));
+      take(query_.onTimer(at(now_)));
       RC_ASSERT(answer_ || now_ < kDeadline);
       return;
     }
@@ -338,9 +339,9 @@
 
   void write(Sent& sent) {
     sent.written = true;
-    query_.onWritten(sent.action.exchange);
+    query_.onWriteStarted(sent.action.exchange);
     const std::string& service = sent.action.leaf->entry().service;
-    RC_ASSERT(++arrivals_[service] - 1 <= savedSends_);
+    RC_ASSERT(++arrivals_[service] - 1 <= retryTokens_);
   }
 
   void finish(const Sent& sent) {
@@ -382,7 +383,7 @@
   std::shared_ptr<const ServingView> view_;
   QueryWorld world_;
   const Route& route_;
-  double savedSends_;
+  double retryTokens_;
   Query query_;
   int now_ = 0;
   std::vector<Sent> sent_;
@@ -402,29 +403,29 @@
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const auto started = query.start(at(0));
   for (const SendAction& send : started.sends) {
-    query.onWritten(send.exchange);
+    query.onWriteStarted(send.exchange);
   }
   // A single crash may have another cause.
-  const auto retried = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kLeafEnded), at(5));
+  const auto retried = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kLeafCrashed), at(5));
   REQUIRE(retried.sends.size() == 1);
-  query.onWritten(retried.sends[0].exchange);
-  const auto held = query.onOutcome(started.sends[1].exchange, outcomeOf(Kind::kLeafEnded), at(6));
-  REQUIRE(held.sends.empty());
-  REQUIRE_FALSE(held.answer);
-  REQUIRE(query.onTime(at(60)).sends.empty());
+  query.onWriteStarted(retried.sends[0].exchange);
+  const auto suspended = query.onOutcome(started.sends[1].exchange, outcomeOf(Kind::kLeafCrashed), at(6));
+  REQUIRE(suspended.sends.empty());
+  REQUIRE_FALSE(suspended.answer);
+  REQUIRE(query.onTimer(at(60)).sends.empty());
 
   SECTION("no leaf answers") {
-    REQUIRE(query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kLeafEnded), at(61)).sends.empty());
-    REQUIRE_FALSE(query.onOutcome(started.sends[3].exchange, outcomeOf(Kind::kLeafEnded), at(62)).answer);
-    const auto last = query.onOutcome(retried.sends[0].exchange, outcomeOf(Kind::kLeafEnded), at(63));
+    REQUIRE(query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kLeafCrashed), at(61)).sends.empty());
+    REQUIRE_FALSE(query.onOutcome(started.sends[3].exchange, outcomeOf(Kind::kLeafCrashed), at(62)).answer);
+    const auto last = query.onOutcome(retried.sends[0].exchange, outcomeOf(Kind::kLeafCrashed), at(63));
     REQUIRE(last.answer);
     REQUIRE(std::holds_alternative<Failure>(*last.answer));
-    REQUIRE(query.endedLeafs() == 4 + 1);
+    REQUIRE(query.crashedLeafs() == 4 + 1);
   }
   SECTION("a leaf answers") {
-    const auto released = query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kAnswered, "b"), at(61));
-    REQUIRE(released.sends.size() == 1);
-    REQUIRE(released.sends[0].leaf->entry().service == "s1");
+    const auto resumed = query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kAnswered, "b"), at(61));
+    REQUIRE(resumed.sends.size() == 1);
+    REQUIRE(resumed.sends[0].leaf->entry().service == "s1");
   }
 }
 
@@ -438,16 +439,16 @@
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const auto started = query.start(at(0));
   for (const SendAction& send : started.sends) {
-    query.onWritten(send.exchange);
+    query.onWriteStarted(send.exchange);
   }
   std::size_t hedges = 0;
   for (int now = 1; now < 150; ++now) {
-    hedges += query.onTime(at(now)).sends.size();
+    hedges += query.onTimer(at(now)).sends.size();
   }
   REQUIRE(hedges == 4);
   query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kAnswered, "b"), at(150));
   for (int now = 151; now < 170; ++now) {
-    hedges += query.onTime(at(now)).sends.size();
+    hedges += query.onTimer(at(now)).sends.size();
   }
   REQUIRE(hedges >= shards.size() - 1);
 }
@@ -456,37 +457,36 @@
   const std::vector<std::string> shards = {"s0", "s1", "s2", "s3"};
   const auto view = viewOf({gatherRoute(shards, 0.5)}, shards, 2);
   QueryWorld world(view);
-  Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000),
-              Query::Start::kOneLeafFirst);
+  Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000), Query::Start::kTrial);
   const auto started = query.start(at(0));
   REQUIRE(started.sends.size() == 1);
   SECTION("nothing more is sent if that leaf crashes") {
-    query.onWritten(started.sends[0].exchange);
-    const auto last = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kLeafEnded), at(5));
+    query.onWriteStarted(started.sends[0].exchange);
+    const auto last = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kLeafCrashed), at(5));
     REQUIRE(last.sends.empty());
     REQUIRE(last.answer);
     REQUIRE(std::holds_alternative<Failure>(*last.answer));
   }
   SECTION("all other shards follow when it answers") {
-    query.onWritten(started.sends[0].exchange);
-    const auto released = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kAnswered, "a"), at(5));
-    REQUIRE(released.sends.size() == 3);
-    REQUIRE_FALSE(released.answer);
+    query.onWriteStarted(started.sends[0].exchange);
+    const auto resumed = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kAnswered, "a"), at(5));
+    REQUIRE(resumed.sends.size() == 3);
+    REQUIRE_FALSE(resumed.answer);
   }
   SECTION("another leaf is tried if it is unreachable") {
     const auto again = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNotSent), at(5));
     REQUIRE(again.sends.size() == 1);
   }
   SECTION("the request is refused as not executed if that leaf rejects it") {
-    query.onWritten(started.sends[0].exchange);
+    query.onWriteStarted(started.sends[0].exchange);
     const auto last = query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kNotExecuted), at(5));
     REQUIRE(last.sends.empty());
     REQUIRE(std::holds_alternative<Refusal>(*last.answer));
   }
   SECTION("no hedge is sent while it is slow") {
-    query.onWritten(started.sends[0].exchange);
+    query.onWriteStarted(started.sends[0].exchange);
     for (int now = 10; now < 400; now += 10) {
-      REQUIRE(query.onTime(at(now)).sends.empty());
+      REQUIRE(query.onTimer(at(now)).sends.empty());
     }
   }
 }
--- a/tests/serving/coordination/request_quarantine_test.cpp
+++ b/tests/serving/coordination/request_quarantine_test.cpp
@@ -19,14 +19,14 @@
 constexpr int kLater = 5000;
 
 Verdict verdictOf(const RequestQuarantine& quarantine, int milliseconds) {
-  return quarantine.judge(kRequest, at(milliseconds)).verdict;
+  return quarantine.assess(kRequest, at(milliseconds)).verdict;
 }
 
 /// `kRequest` has crashed this many leafs.
-RequestQuarantine suspecting(std::uint64_t endedLeafs) {
+RequestQuarantine quarantineWithCrashes(std::uint64_t crashedLeafs) {
   RequestQuarantine quarantine;
-  for (std::uint64_t leaf = 1; leaf <= endedLeafs; ++leaf) {
-    quarantine.onLeafEnded(kRequest, leaf, at(1000));
+  for (std::uint64_t leaf = 1; leaf <= crashedLeafs; ++leaf) {
+    quarantine.onLeafCrashed(kRequest, leaf, at(1000));
   }
   return quarantine;
 }
@@ -34,116 +34,116 @@
 }  // namespace
 
 TEST_CASE("one crashed leaf, even if it crashed twice, does not make a request suspect", "[serving]") {
-  RequestQuarantine quarantine = suspecting(1);
-  quarantine.onLeafEnded(kRequest, 1, at(1100));
-  REQUIRE(verdictOf(quarantine, kLater) == Verdict::kOrdinary);
+  RequestQuarantine quarantine = quarantineWithCrashes(1);
+  quarantine.onLeafCrashed(kRequest, 1, at(1100));
+  REQUIRE(verdictOf(quarantine, kLater) == Verdict::kUnsuspected);
 }
 
 TEST_CASE("a suspect request gets a trial once there was no crash for some time", "[serving]") {
-  RequestQuarantine quarantine = suspecting(20);
-  const auto early = quarantine.judge(kRequest, at(1100));
-  REQUIRE(early.verdict == Verdict::kNotYet);
+  RequestQuarantine quarantine = quarantineWithCrashes(20);
+  const auto early = quarantine.assess(kRequest, at(1100));
+  REQUIRE(early.verdict == Verdict::kDeferred);
   REQUIRE(early.retryAfter == std::chrono::milliseconds(200));
-  quarantine.onLeafEnded(kOther, 77, at(1200));
-  REQUIRE(verdictOf(quarantine, 1400) == Verdict::kNotYet);
+  quarantine.onLeafCrashed(kOther, 77, at(1200));
+  REQUIRE(verdictOf(quarantine, 1400) == Verdict::kDeferred);
   REQUIRE(verdictOf(quarantine, 1600) == Verdict::kTrial);
 }
 
 TEST_CASE("a trial that crashes its leaf quarantines the request until the next trial", "[serving]") {
-  RequestQuarantine quarantine = suspecting(2);
+  RequestQuarantine quarantine = quarantineWithCrashes(2);
   quarantine.onTrial(kRequest, at(kLater));
-  REQUIRE(verdictOf(quarantine, kLater + 1) == Verdict::kNotYet);
-  quarantine.onLeafEnded(kRequest, 3, at(kLater + 10));
-  REQUIRE(verdictOf(quarantine, kLater + 10) == Verdict::kCondemned);
-  REQUIRE(quarantine.condemned(at(kLater + 10)) == 1);
+  REQUIRE(verdictOf(quarantine, kLater + 1) == Verdict::kDeferred);
+  quarantine.onLeafCrashed(kRequest, 3, at(kLater + 10));
+  REQUIRE(verdictOf(quarantine, kLater + 10) == Verdict::kQuarantined);
+  REQUIRE(quarantine.quarantinedCount(at(kLater + 10)) == 1);
   constexpr int kHour = 3600 * 1000;
-  REQUIRE(verdictOf(quarantine, kLater + kHour) == Verdict::kCondemned);
+  REQUIRE(verdictOf(quarantine, kLater + kHour) == Verdict::kQuarantined);
   REQUIRE(verdictOf(quarantine, kLater + 10 + kHour) == Verdict::kTrial);
   quarantine.onTrial(kRequest, at(kLater + 10 + kHour));
-  REQUIRE(verdictOf(quarantine, kLater + 10 + kHour) == Verdict::kNotYet);
-  quarantine.onLeafEnded(kRequest, 4, at(kLater + 20 + kHour));
-  REQUIRE(verdictOf(quarantine, kLater + 20 + kHour) == Verdict::kCondemned);
+  REQUIRE(verdictOf(quarantine, kLater + 10 + kHour) == Verdict::kDeferred);
+  quarantine.onLeafCrashed(kRequest, 4, at(kLater + 20 + kHour));
+  REQUIRE(verdictOf(quarantine, kLater + 20 + kHour) == Verdict::kQuarantined);
 }
 
 TEST_CASE("trials without an answer or a crash become rarer and do not quarantine the request", "[serving]") {
-  RequestQuarantine quarantine = suspecting(20);
+  RequestQuarantine quarantine = quarantineWithCrashes(20);
   int now = kLater;
   for (const int pause : {2000, 8000, 32000}) {
     REQUIRE(verdictOf(quarantine, now) == Verdict::kTrial);
     quarantine.onTrial(kRequest, at(now));
-    REQUIRE(verdictOf(quarantine, now + pause - 1) == Verdict::kNotYet);
+    REQUIRE(verdictOf(quarantine, now + pause - 1) == Verdict::kDeferred);
     now += pause;
   }
 }
 
 TEST_CASE("an answer clears a request, also of earlier evidence that a peer reports later", "[serving]") {
-  RequestQuarantine quarantine = suspecting(3);
+  RequestQuarantine quarantine = quarantineWithCrashes(3);
   const QuarantineRecord old = quarantine.newest(1).front();
   quarantine.onTrial(kRequest, at(kLater));
   quarantine.onAnswered(kRequest, at(kLater + 5));
-  REQUIRE(verdictOf(quarantine, kLater + 10) == Verdict::kOrdinary);
+  REQUIRE(verdictOf(quarantine, kLater + 10) == Verdict::kUnsuspected);
   quarantine.merge(old);
-  REQUIRE(verdictOf(quarantine, kLater + 10) == Verdict::kOrdinary);
+  REQUIRE(verdictOf(quarantine, kLater + 10) == Verdict::kUnsuspected);
 }
 
 TEST_CASE("evidence of several daemons adds up, and changes are reported once", "[serving]") {
-  RequestQuarantine here = suspecting(1);
+  RequestQuarantine here = quarantineWithCrashes(1);
   RequestQuarantine there;
-  there.onLeafEnded(kRequest, 9, at(1000));
-  const auto told = there.takeChanged();
-  REQUIRE(told.size() == 1);
+  there.onLeafCrashed(kRequest, 9, at(1000));
+  const auto reported = there.takeChanged();
+  REQUIRE(reported.size() == 1);
   REQUIRE(there.takeChanged().empty());
   here.takeChanged();
-  here.merge(told.front());
+  here.merge(reported.front());
   REQUIRE(verdictOf(here, kLater) == Verdict::kTrial);
   REQUIRE(here.takeChanged().size() == 1);
-  here.merge(told.front());
+  here.merge(reported.front());
   REQUIRE(here.takeChanged().empty());
 }
 
 TEST_CASE("the number of records is limited, and records expire", "[serving]") {
   RequestQuarantine quarantine;
-  for (std::uint64_t number = 0; number < RequestQuarantine::kMostRecords + 10; ++number) {
-    quarantine.onLeafEnded({number, number}, number, at(static_cast<int>(number)));
+  for (std::uint64_t number = 0; number < RequestQuarantine::kMaxRecords + 10; ++number) {
+    quarantine.onLeafCrashed({number, number}, number, at(static_cast<int>(number)));
   }
-  REQUIRE(quarantine.size() == RequestQuarantine::kMostRecords);
-  REQUIRE(quarantine.newest(1).front().fingerprint.high == RequestQuarantine::kMostRecords + 9);
-  quarantine.forgetOld(at(20 * 60 * 1000));
+  REQUIRE(quarantine.size() == RequestQuarantine::kMaxRecords);
+  REQUIRE(quarantine.newest(1).front().fingerprint.high == RequestQuarantine::kMaxRecords + 9);
+  quarantine.dropExpired(at(20 * 60 * 1000));
   REQUIRE(quarantine.empty());
 }
 
 TEST_CASE("daemons with the same evidence give the same verdict, whatever the order", "[serving]") {
   OAKPIER_PROPERTY("order of evidence", [] {
     const auto count = *rc::gen::inRange<std::size_t>(1, 12);
-    std::vector<RequestQuarantine> witnesses(3);
+    std::vector<RequestQuarantine> observeres(3);
     int now = 1000;
     for (std::size_t step = 0; step < count; ++step) {
-      RequestQuarantine& witness = witnesses[*rc::gen::inRange<std::size_t>(0, 3)];
+      RequestQuarantine& observer = observeres[*rc::gen::inRange<std::size_t>(0, 3)];
       now += *rc::gen::inRange(0, 400);
       switch (*rc::gen::inRange(0, 5)) {
         case 0:
-          witness.onTrial(kRequest, at(now));
+          observer.onTrial(kRequest, at(now));
           break;
         case 1:
-          witness.onAnswered(kRequest, at(now));
+          observer.onAnswered(kRequest, at(now));
           break;
         default:
-          witness.onLeafEnded(kRequest, *rc::gen::inRange<std::uint64_t>(1, 9), at(now));
+          observer.onLeafCrashed(kRequest, *rc::gen::inRange<std::uint64_t>(1, 9), at(now));
       }
     }
-    std::vector<QuarantineRecord> told;
-    for (const RequestQuarantine& witness : witnesses) {
-      for (const QuarantineRecord& record : witness.newest(4)) {
-        told.push_back(record);
+    std::vector<QuarantineRecord> reported;
+    for (const RequestQuarantine& observer : observeres) {
+      for (const QuarantineRecord& record : observer.newest(4)) {
+        reported.push_back(record);
       }
     }
     RequestQuarantine one;
     RequestQuarantine other;
-    for (const QuarantineRecord& record : told) {
+    for (const QuarantineRecord& record : reported) {
       one.merge(record);
     }
-    std::reverse(told.begin(), told.end());
-    for (const QuarantineRecord& record : told) {
+    std::reverse(reported.begin(), reported.end());
+    for (const QuarantineRecord& record : reported) {
       // Encoded as on the wire, and delivered twice.
       for (int time = 0; time < 2; ++time) {
         for (const QuarantineRecord& decoded :
@@ -152,12 +152,12 @@
         }
       }
     }
-    RC_ASSERT(one.judge(kRequest, at(now + 400)).verdict == other.judge(kRequest, at(now + 400)).verdict);
+    RC_ASSERT(one.assess(kRequest, at(now + 400)).verdict == other.assess(kRequest, at(now + 400)).verdict);
   });
 }
 
 TEST_CASE("records outside the limits are dropped when decoded", "[serving]") {
-  EndingRequests message = encodeEndingRequests({suspecting(3).newest(1)}, at(2000));
+  EndingRequests message = encodeEndingRequests({quarantineWithCrashes(3).newest(1)}, at(2000));
   REQUIRE(decodeEndingRequests(message, at(2000)).size() == 1);
   SECTION("an age beyond the retention") {
     message.mutable_requests(0)->set_last_ended_age_us(std::uint64_t{1} << 62);
--- a/tests/serving/coordination/restored_knowledge_test.cpp
+++ b/tests/serving/coordination/restored_knowledge_test.cpp
@@ -21,7 +21,7 @@
 
 LeafEntry leafBorn(std::uint64_t born) {
   LeafEntry entry = leafEntry("one", "s", 1);
-  entry.bornAt = born;
+  entry.processStartedAt = born;
   return entry;
 }
 
@@ -63,15 +63,15 @@
   Restored restored;
   restored.restore({});
   REQUIRE(restored.knowledge.leafsLeaving() == 1);
-  restored.knowledge.onTime(at(kRestoredAt + kWrittenAgain - 1));
+  restored.knowledge.onTimer(at(kRestoredAt + kWrittenAgain - 1));
   REQUIRE(restored.used());
   SECTION("it is not") {
-    restored.knowledge.onTime(at(kRestoredAt + kWrittenAgain));
+    restored.knowledge.onTimer(at(kRestoredAt + kWrittenAgain));
     REQUIRE_FALSE(restored.used());
   }
   SECTION("it is") {
     restored.knowledge.onLeaf(leafBorn(7), after(31));
-    restored.knowledge.onTime(at(kRestoredAt + 60'000));
+    restored.knowledge.onTimer(at(kRestoredAt + 60'000));
     REQUIRE(restored.used());
   }
 }
@@ -81,17 +81,17 @@
   Restored restored;
   const bool removedLongBefore = GENERATE(true, false);
   restored.knowledge.onLeafRemoved("one", before(60), at(removedLongBefore ? 15'000 : kRestoredAt - 1));
-  restored.knowledge.onTime(at(kRestoredAt - 1));
+  restored.knowledge.onTimer(at(kRestoredAt - 1));
   restored.restore({leafBorn(7)});
-  restored.knowledge.onTime(at(kRestoredAt + kLapsed - 1));
+  restored.knowledge.onTimer(at(kRestoredAt + kLapsed - 1));
   REQUIRE_FALSE(restored.used());
   SECTION("it is still listed: it writes on") {
-    restored.knowledge.onTime(at(kRestoredAt + kLapsed));
+    restored.knowledge.onTimer(at(kRestoredAt + kLapsed));
     REQUIRE(restored.used());
   }
   SECTION("it lapses") {
     restored.knowledge.onLeafRemoved("one", after(31), at(kRestoredAt + 3600));
-    restored.knowledge.onTime(at(kRestoredAt + 60'000));
+    restored.knowledge.onTimer(at(kRestoredAt + 60'000));
     REQUIRE_FALSE(restored.used());
     REQUIRE(restored.knowledge.leafsDisputed() == 0);
   }
@@ -108,7 +108,7 @@
 TEST_CASE("another life of a leaf that had gone is used at once", "[serving][epoch]") {
   Restored restored;
   restored.knowledge.onLeafRemoved("one", before(60), at(15'000));
-  restored.knowledge.onTime(at(kRestoredAt - 1));
+  restored.knowledge.onTimer(at(kRestoredAt - 1));
   restored.restore({leafBorn(9)});
   REQUIRE(restored.used());
 }
@@ -120,7 +120,7 @@
   restored.knowledge.onLeaf(draining, before(60));
   restored.restore({leafBorn(7)});
   REQUIRE_FALSE(restored.believed().takesWork());
-  restored.knowledge.onTime(at(kRestoredAt + 60'000));
+  restored.knowledge.onTimer(at(kRestoredAt + 60'000));
   REQUIRE_FALSE(restored.believed().takesWork());
   SECTION("another life does not") {
     restored.knowledge.onLeaf(leafBorn(9), after(31));
@@ -140,15 +140,15 @@
           "[serving][epoch]") {
   Restored restored;
   restored.restore({leafBorn(3)});
-  REQUIRE(restored.believed().bornAt == 7);
+  REQUIRE(restored.believed().processStartedAt == 7);
   SECTION("it is") {
     restored.knowledge.onLeaf(leafBorn(7), after(31));
-    restored.knowledge.onTime(at(kRestoredAt + 60'000));
-    REQUIRE(restored.believed().bornAt == 7);
+    restored.knowledge.onTimer(at(kRestoredAt + 60'000));
+    REQUIRE(restored.believed().processStartedAt == 7);
   }
   SECTION("it is not") {
-    restored.knowledge.onTime(at(kRestoredAt + kWrittenAgain));
-    REQUIRE(restored.believed().bornAt == 3);
+    restored.knowledge.onTimer(at(kRestoredAt + kWrittenAgain));
+    REQUIRE(restored.believed().processStartedAt == 3);
   }
 }
 
@@ -163,12 +163,12 @@
   REQUIRE(restored.knowledge.evacuatedZones() == std::vector<std::string>{"a", "b"});
   REQUIRE(restored.knowledge.nextDueAt() == at(kRestoredAt + kWrittenAgain));
   SECTION("it is not") {
-    restored.knowledge.onTime(at(kRestoredAt + kWrittenAgain));
+    restored.knowledge.onTimer(at(kRestoredAt + kWrittenAgain));
     REQUIRE(restored.knowledge.evacuatedZones() == std::vector<std::string>{"b"});
   }
   SECTION("it is") {
     restored.knowledge.onEvacuation("a", true, after(31));
-    restored.knowledge.onTime(at(kRestoredAt + 60'000));
+    restored.knowledge.onTimer(at(kRestoredAt + 60'000));
     REQUIRE(restored.knowledge.evacuatedZones() == std::vector<std::string>{"a", "b"});
   }
 }
@@ -176,29 +176,29 @@
 TEST_CASE("a source that comes back twice leaves nothing of the first time waiting", "[serving][epoch]") {
   Restored restored;
   restored.knowledge.onLeafRemoved("one", before(60), at(15'000));
-  restored.knowledge.onTime(at(kRestoredAt - 1));
+  restored.knowledge.onTimer(at(kRestoredAt - 1));
   restored.restore({leafBorn(7)});
   REQUIRE(restored.knowledge.leafsDisputed() == 1);
   const SourcePosition again{kEpoch + 2, 25};
   restored.knowledge.onRestored(again, at(kRestoredAt + 500));
   restored.knowledge.onListing({}, again, at(kRestoredAt + 500));
   REQUIRE(restored.knowledge.leafsDisputed() == 0);
-  restored.knowledge.onTime(at(kRestoredAt + 60'000));
+  restored.knowledge.onTimer(at(kRestoredAt + 60'000));
   REQUIRE_FALSE(restored.used());
 }
 
 TEST_CASE("lives that have ended are remembered for a while, and not too many", "[serving][epoch]") {
   DepartedLeafs departed;
-  departed.add(leafBorn(7).life(), at(0));
-  REQUIRE(departed.include(leafBorn(7).life()));
-  REQUIRE_FALSE(departed.include(leafBorn(8).life()));
-  departed.add(leafBorn(8).life(), at(30'000));
-  departed.onTime(at(61'000));
-  REQUIRE(departed.include(leafBorn(8).life()));
-  departed.onTime(at(91'000));
+  departed.add(leafBorn(7).incarnation(), at(0));
+  REQUIRE(departed.include(leafBorn(7).incarnation()));
+  REQUIRE_FALSE(departed.include(leafBorn(8).incarnation()));
+  departed.add(leafBorn(8).incarnation(), at(30'000));
+  departed.onTimer(at(61'000));
+  REQUIRE(departed.include(leafBorn(8).incarnation()));
+  departed.onTimer(at(91'000));
   REQUIRE(departed.size() == 0);
   for (int leaf = 0; leaf < 10'000; ++leaf) {
-    departed.add(leafEntry("leaf-" + std::to_string(leaf), "s", 1).life(), at(100'000));
+    departed.add(leafEntry("leaf-" + std::to_string(leaf), "s", 1).incarnation(), at(100'000));
   }
   REQUIRE(departed.size() <= 4096);
 }
--- a/tests/serving/coordination/extra_send_budget_test.cpp
+++ b/tests/serving/coordination/retry_budget_test.cpp
@@ -1,6 +1,6 @@
 /// The retry budget of one daemon, and the sum over all daemons of a service.
 
-#include "coordination/serving/extra_send_budget.h"
+#include "coordination/serving/retry_budget.h"
 
 #include <catch2/catch.hpp>
 #include <vector>
@@ -16,21 +16,21 @@
 
 /// Extra attempts of `daemons` daemons that start with full budgets and take every token as soon as they can,
 /// while each receives `requests` requests.
-double spentByAll(std::size_t daemons, std::size_t requests, const OperatorExtraSends& total,
+double spentByAll(std::size_t daemons, std::size_t requests, const FleetRetryLimit& total,
                   RandomEngine& random) {
   double spent = 0;
   for (std::size_t number = 0; number < daemons; ++number) {
-    ExtraSendShare share(total, 12);
+    RetryLimitShare share(total, 12);
     share.onDaemonCount(daemons);
-    ExtraSendBudgets budgets(share.bounds(), at(0), random);
+    RetryBudgets budgets(share.limit(), at(0), random);
     const auto spendAll = [&] {
-      while (budgets.spend("s", at(20'000))) {
+      while (budgets.tryWithdraw("s", at(20'000))) {
         spent += 1;
       }
     };
     spendAll();
     for (std::size_t request = 0; request < requests; ++request) {
-      budgets.earn("s", at(20'000));
+      budgets.deposit("s", at(20'000));
       spendAll();
     }
   }
@@ -41,43 +41,43 @@
 
 TEST_CASE("extra attempts never exceed the tokens from requests, nor tokens the capacity", "[serving]") {
   OAKPIER_PROPERTY("budget", [] {
-    const ExtraSendBounds bounds{*rc::gen::element(0.05, 0.2, 0.5), *rc::gen::element(1.0, 3.0), kWindow, {}};
+    const DaemonRetryLimit limit{*rc::gen::element(0.05, 0.2, 0.5), *rc::gen::element(1.0, 3.0), kWindow, {}};
     const auto requests = *rc::gen::container<std::vector<bool>>(300, rc::gen::arbitrary<bool>());
     RandomEngine random(5);
-    ExtraSendBudget budget;
+    RetryBudget budget;
     double earned = 0;
     double spent = 0;
     for (const bool isRequest : requests) {
       if (isRequest) {
-        budget.earn(bounds);
-        earned += bounds.ratio;
-      } else if (budget.spend(bounds, random)) {
+        budget.deposit(limit);
+        earned += limit.ratio;
+      } else if (budget.tryWithdraw(limit, random)) {
         spent += 1;
       }
       RC_ASSERT(spent <= earned + 1e-9);
-      RC_ASSERT(budget.tokens() <= bounds.saved);
+      RC_ASSERT(budget.tokens() <= limit.capacity);
     }
   });
 }
 
 TEST_CASE("the budget of a new process is empty until the operator's window has passed once", "[serving]") {
-  const ExtraSendBounds bounds{0.1, 3.0, kWindow, {}};
+  const DaemonRetryLimit limit{0.1, 3.0, kWindow, {}};
   RandomEngine random(5);
-  ExtraSendBudgets budgets(bounds, at(0), random);
-  REQUIRE_FALSE(budgets.spend("s", at(9'999)));
+  RetryBudgets budgets(limit, at(0), random);
+  REQUIRE_FALSE(budgets.tryWithdraw("s", at(9'999)));
   int spent = 0;
-  while (budgets.spend("s", at(10'000))) {
+  while (budgets.tryWithdraw("s", at(10'000))) {
     ++spent;
   }
   REQUIRE(spent == 3);
-  REQUIRE_FALSE(budgets.spend("s", at(20'000)));
+  REQUIRE_FALSE(budgets.tryWithdraw("s", at(20'000)));
 }
 
 TEST_CASE("all daemons together stay within the operator's limit, whatever their number", "[serving]") {
   OAKPIER_PROPERTY("sum", [] {
     const auto daemons = *rc::gen::inRange<std::size_t>(1, 1500);
     const auto requests = *rc::gen::inRange<std::size_t>(0, 12);
-    const OperatorExtraSends total{0.2, *rc::gen::element(20.0, 56.0, 168.0), kWindow};
+    const FleetRetryLimit total{0.2, *rc::gen::element(20.0, 56.0, 168.0), kWindow};
     RandomEngine random(*rc::gen::inRange<std::uint64_t>(0, 1000));
     const double allowed = total.slack + total.ratio * static_cast<double>(daemons * requests);
     RC_ASSERT(spentByAll(daemons, requests, total, random) <= allowed);
@@ -85,21 +85,21 @@
 }
 
 TEST_CASE("a daemon in a network partition does not use the others' shares", "[serving]") {
-  ExtraSendShare share(OperatorExtraSends{0.2, 168, kWindow}, 12);
+  RetryLimitShare share(FleetRetryLimit{0.2, 168, kWindow}, 12);
   share.onDaemonCount(86);
-  const double saved = share.bounds().saved;
+  const double capacity = share.limit().capacity;
   share.onDaemonCount(1);
-  REQUIRE(share.bounds().saved == saved);
-  REQUIRE(saved * 86 <= 168);
+  REQUIRE(share.limit().capacity == capacity);
+  REQUIRE(capacity * 86 <= 168);
 }
 
 TEST_CASE("a new owner of a service has a small budget until a window has passed", "[serving]") {
-  const ExtraSendShare share(OperatorExtraSends{0.2, 100, kWindow}, 5, ExtraSendShare::Holder::kOwner);
+  const RetryLimitShare share(FleetRetryLimit{0.2, 100, kWindow}, 5, RetryLimitShare::Holder::kOwner);
   RandomEngine random(5);
-  ExtraSendBudgets budgets(share.bounds(), at(0), random);
+  RetryBudgets budgets(share.limit(), at(0), random);
   const auto spentAt = [&](int milliseconds) {
     int spent = 0;
-    while (budgets.spend("s", at(milliseconds))) {
+    while (budgets.tryWithdraw("s", at(milliseconds))) {
       ++spent;
     }
     return spent;
@@ -115,30 +115,30 @@
 }
 
 TEST_CASE("the first window of an owned service starts when ownership is acquired", "[serving]") {
-  const ExtraSendShare share(OperatorExtraSends{0.2, 100, kWindow}, 5, ExtraSendShare::Holder::kOwner);
+  const RetryLimitShare share(FleetRetryLimit{0.2, 100, kWindow}, 5, RetryLimitShare::Holder::kOwner);
   RandomEngine random(5);
-  ExtraSendBudgets budgets(share.bounds(), at(0), random);
+  RetryBudgets budgets(share.limit(), at(0), random);
   const auto spentAt = [&](int milliseconds) {
     int spent = 0;
-    while (budgets.spend("s", at(milliseconds))) {
+    while (budgets.tryWithdraw("s", at(milliseconds))) {
       ++spent;
     }
     return spent;
   };
-  budgets.setHeld({"s"}, at(1'000));
-  budgets.setHeld({"s"}, at(9'000));
+  budgets.setOwned({"s"}, at(1'000));
+  budgets.setOwned({"s"}, at(9'000));
   REQUIRE(spentAt(11'000) == 18);
   // The service was idle but still owned, so the budget is not filled again.
   REQUIRE(spentAt(60'000) == 0);
-  budgets.setHeld({}, at(60'000));
-  budgets.setHeld({"s"}, at(61'000));
+  budgets.setOwned({}, at(60'000));
+  budgets.setOwned({"s"}, at(61'000));
   REQUIRE(spentAt(61'000) == 3);
   REQUIRE(spentAt(70'999) == 0);
 }
 
 TEST_CASE("daemons whose share is below one extra attempt still use it on average", "[serving]") {
   RandomEngine random(5);
-  const OperatorExtraSends total{0.2, 56, kWindow};
+  const FleetRetryLimit total{0.2, 56, kWindow};
   REQUIRE(spentByAll(300, 2, total, random) > 80);
 }
 
--- a/tests/serving/coordination/shard_server_test.cpp
+++ b/tests/serving/coordination/shard_server_test.cpp
@@ -58,7 +58,7 @@
   REQUIRE(started.sends.size() == 1);
   REQUIRE(started.results.empty());
   const ExchangeId exchange = started.sends[0].action.exchange;
-  world.server.onWritten(exchange);
+  world.server.onWriteStarted(exchange);
   const auto done = world.server.onOutcome(
       exchange, outcomeOf(Kind::kAnswered, record('a') + record('c') + record('b')), at(20));
   REQUIRE(done.results.size() == 1);
@@ -87,16 +87,16 @@
   ServerWorld world;
   const auto started = world.server.onWork(kAsker, workOf({"s"}), at(0));
   const ExchangeId first = started.sends[0].action.exchange;
-  world.server.onWritten(first);
+  world.server.onWriteStarted(first);
   const Moment due = world.server.nextDecisionAt();
   REQUIRE(due < at(180));
-  const auto hedged = world.server.onTime(due);
+  const auto hedged = world.server.onTimer(due);
   REQUIRE(hedged.sends.size() == 1);
   const ExchangeId second = hedged.sends[0].action.exchange;
-  world.server.onWritten(second);
+  world.server.onWriteStarted(second);
   const auto done = world.server.onOutcome(second, outcomeOf(Kind::kAnswered, record('a')),
                                            due + std::chrono::milliseconds(5));
-  REQUIRE(done.abandons == std::vector<ExchangeId>{first});
+  REQUIRE(done.cancellations == std::vector<ExchangeId>{first});
   REQUIRE(done.results.size() == 1);
   // The loser's late answer is nobody's.
   REQUIRE(world.server.onOutcome(first, outcomeOf(Kind::kAnswered, record('b')), at(300)).results.empty());
@@ -115,14 +115,14 @@
 
   ServerWorld refused(1);
   const auto started = refused.server.onWork(kAsker, workOf({"s"}), at(0));
-  refused.server.onWritten(started.sends[0].action.exchange);
+  refused.server.onWriteStarted(started.sends[0].action.exchange);
   const auto turnedAway =
       refused.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kNotExecuted), at(5));
   REQUIRE(turnedAway.results[0].results.results(0).status() == OWNER_NOT_RUN);
 
   ServerWorld lost(1);
   const auto begun = lost.server.onWork(kAsker, workOf({"s"}), at(0));
-  lost.server.onWritten(begun.sends[0].action.exchange);
+  lost.server.onWriteStarted(begun.sends[0].action.exchange);
   const auto broken =
       lost.server.onOutcome(begun.sends[0].action.exchange, outcomeOf(Kind::kNoAnswer), at(5));
   REQUIRE(broken.results[0].results.results(0).status() == OWNER_NO_ANSWER);
@@ -135,8 +135,8 @@
   world.context->quarantine = &quarantine;
   OwnerWork work = workOf({"s", "t"});
   const RequestFingerprint fingerprint = fingerprintOf(HttpRequest{"GET", "/all/", {}, ""});
-  quarantine.onLeafEnded(fingerprint, 1, at(0));
-  quarantine.onLeafEnded(fingerprint, 2, at(0));
+  quarantine.onLeafCrashed(fingerprint, 1, at(0));
+  quarantine.onLeafCrashed(fingerprint, 2, at(0));
   SECTION("the asker does not know") {
     const auto refused = world.server.onWork(kAsker, work, at(1000));
     REQUIRE(refused.sends.empty());
@@ -155,19 +155,19 @@
   ServerWorld world(3);
   const auto started = world.server.onWork(kAsker, workOf({"s", "t"}, 3), at(0));
   for (const ServedSend& send : started.sends) {
-    world.server.onWritten(send.action.exchange);
+    world.server.onWriteStarted(send.action.exchange);
   }
   const auto retried =
-      world.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kLeafEnded), at(5));
+      world.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kLeafCrashed), at(5));
   REQUIRE(retried.sends.size() == 1);
-  world.server.onWritten(retried.sends[0].action.exchange);
+  world.server.onWriteStarted(retried.sends[0].action.exchange);
   const auto held =
-      world.server.onOutcome(started.sends[1].action.exchange, outcomeOf(Kind::kLeafEnded), at(6));
+      world.server.onOutcome(started.sends[1].action.exchange, outcomeOf(Kind::kLeafCrashed), at(6));
   REQUIRE(held.sends.empty());
   REQUIRE(held.results.empty());
   const ExchangeId last = retried.sends[0].action.exchange;
   SECTION("and ends it when the last leaf ends, too") {
-    const auto ended = world.server.onOutcome(last, outcomeOf(Kind::kLeafEnded), at(7));
+    const auto ended = world.server.onOutcome(last, outcomeOf(Kind::kLeafCrashed), at(7));
     REQUIRE(ended.sends.empty());
     REQUIRE(ended.results[0].results.results_size() == 2);
     REQUIRE(ended.results[0].results.results(0).status() == OWNER_NO_ANSWER);
@@ -187,18 +187,18 @@
   OwnerCancel cancel;
   cancel.add_exchanges(100);
   cancel.set_sender_run(kRun + 1);
-  REQUIRE(world.server.onCancel(kAsker, cancel).abandons.empty());
+  REQUIRE(world.server.onCancel(kAsker, cancel).cancellations.empty());
   cancel.set_sender_run(kRun);
   const auto cancelled = world.server.onCancel(kAsker, cancel);
-  REQUIRE(cancelled.abandons == std::vector<ExchangeId>{started.sends[0].action.exchange});
+  REQUIRE(cancelled.cancellations == std::vector<ExchangeId>{started.sends[0].action.exchange});
   REQUIRE(cancelled.results.empty());
   REQUIRE(cancelled.unanswered.size() == 1);
-  REQUIRE(cancelled.unanswered[0].reason == UnansweredPart::Reason::kWithdrawn);
+  REQUIRE(cancelled.unanswered[0].reason == UnansweredPart::Reason::kCancelled);
   REQUIRE(cancelled.unanswered[0].service == "s");
   REQUIRE(world.server.inProgress() == 1);
-  const auto expired = world.server.onTime(at(600));
-  REQUIRE(std::count(expired.abandons.begin(), expired.abandons.end(), started.sends[1].action.exchange) ==
-          1);
+  const auto expired = world.server.onTimer(at(600));
+  REQUIRE(std::count(expired.cancellations.begin(), expired.cancellations.end(),
+                     started.sends[1].action.exchange) == 1);
   REQUIRE(expired.results.empty());
   REQUIRE(expired.unanswered[0].reason == UnansweredPart::Reason::kTimePassed);
   REQUIRE(world.server.inProgress() == 0);
@@ -231,28 +231,28 @@
     AskerWorld world({"s"}, 1.0);
     const auto started = world.query->start(at(0));
     REQUIRE(started.sends.empty());
-    REQUIRE(started.relays.size() == 1);
-    const auto next = world.query->onOutcome(started.relays[0].exchange, outcomeOf(kind), at(30));
+    REQUIRE(started.delegations.size() == 1);
+    const auto next = world.query->onOutcome(started.delegations[0].exchange, outcomeOf(kind), at(30));
     if (kind == Kind::kNoAnswer) {
-      REQUIRE(next.relays.empty());
+      REQUIRE(next.delegations.empty());
       REQUIRE(std::holds_alternative<Failure>(*next.answer));
       continue;
     }
     if (kind == Kind::kNotExecuted) {
       // A leaf turned it away: what a second owner sends would be an extra send that nobody paid for.
-      REQUIRE(next.relays.empty());
+      REQUIRE(next.delegations.empty());
       REQUIRE(std::holds_alternative<Refusal>(*next.answer));
       continue;
     }
-    REQUIRE(next.relays.size() == 1);
-    REQUIRE_FALSE(next.relays[0].owner == started.relays[0].owner);
+    REQUIRE(next.delegations.size() == 1);
+    REQUIRE_FALSE(next.delegations[0].owner == started.delegations[0].owner);
     const auto& events = world.query->trace().events();
     REQUIRE(events.size() == 3);
     REQUIRE(events[0].decision == Decision::kDelegate);
-    REQUIRE(*events[0].owner == started.relays[0].owner);
+    REQUIRE(*events[0].owner == started.delegations[0].owner);
     REQUIRE(*events[1].outcome == kind);
-    REQUIRE(*events[2].owner == next.relays[0].owner);
-    const auto last = world.query->onOutcome(next.relays[0].exchange, outcomeOf(kind), at(60));
+    REQUIRE(*events[2].owner == next.delegations[0].owner);
+    const auto last = world.query->onOutcome(next.delegations[0].exchange, outcomeOf(kind), at(60));
     REQUIRE(std::holds_alternative<Refusal>(*last.answer));
   }
 }
@@ -260,22 +260,23 @@
 TEST_CASE("when the caller leaves, owners are told to withdraw", "[serving]") {
   AskerWorld world({"s", "t"}, 1.0);
   const auto started = world.query->start(at(0));
-  world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
-  REQUIRE(world.query->onCallerGone().abandons == std::vector<ExchangeId>{started.relays[1].exchange});
+  world.query->onOutcome(started.delegations[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
+  REQUIRE(world.query->onCallerDisconnected().cancellations ==
+          std::vector<ExchangeId>{started.delegations[1].exchange});
 }
 
 TEST_CASE("a query does not wait for an owner that has fallen silent", "[serving]") {
   for (const double share : {0.5, 1.0}) {
     AskerWorld world({"s", "t"}, share);
     const auto started = world.query->start(at(0));
-    const Endpoint silent = started.relays[1].owner;
+    const Endpoint silent = started.delegations[1].owner;
     world.owners.onSent(silent, at(0));
-    world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
+    world.query->onOutcome(started.delegations[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
     QueryActions actions;
     Moment now = at(10);
     while (!world.query->finished()) {
       now = world.query->nextDecisionAt();
-      actions = world.query->onTime(now);
+      actions = world.query->onTimer(now);
     }
     REQUIRE(now < at(180));
     if (share < 1.0) {
@@ -284,32 +285,32 @@
       REQUIRE_FALSE(std::get<Failure>(*actions.answer).timedOut);
     }
     // It may still be at work.
-    REQUIRE(actions.abandons == std::vector<ExchangeId>{started.relays[1].exchange});
+    REQUIRE(actions.cancellations == std::vector<ExchangeId>{started.delegations[1].exchange});
   }
 }
 
 TEST_CASE("a query waits for an owner that says that it lives", "[serving]") {
   AskerWorld world({"s"}, 1.0);
   const auto started = world.query->start(at(0));
-  world.owners.onSent(started.relays[0].owner, at(0));
-  world.owners.onHeard(started.relays[0].owner, at(0));
+  world.owners.onSent(started.delegations[0].owner, at(0));
+  world.owners.onHeard(started.delegations[0].owner, at(0));
   for (int milliseconds = 50; milliseconds < 950; milliseconds += 50) {
-    REQUIRE_FALSE(world.query->onTime(at(milliseconds)).answer);
+    REQUIRE_FALSE(world.query->onTimer(at(milliseconds)).answer);
   }
 }
 
 TEST_CASE("a query merges what owners answered and says what is missing", "[serving]") {
   AskerWorld world({"s", "t", "u"}, 0.6);
   const auto started = world.query->start(at(0));
-  REQUIRE(started.relays.size() == 3);
-  world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
-  world.query->onOutcome(started.relays[2].exchange, outcomeOf(Kind::kAnswered, record('b')), at(12));
-  const auto due = world.query->onTime(world.query->answerBy());
+  REQUIRE(started.delegations.size() == 3);
+  world.query->onOutcome(started.delegations[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
+  world.query->onOutcome(started.delegations[2].exchange, outcomeOf(Kind::kAnswered, record('b')), at(12));
+  const auto due = world.query->onTimer(world.query->answerBy());
   const auto& merged = std::get<MergedAnswer>(*due.answer);
   REQUIRE(merged.missingShards == 1);
   REQUIRE(merged.records == record('b') + record('a'));
   // What is still out at an owner is withdrawn.
-  REQUIRE(due.abandons == std::vector<ExchangeId>{started.relays[1].exchange});
+  REQUIRE(due.cancellations == std::vector<ExchangeId>{started.delegations[1].exchange});
 }
 
 namespace {
@@ -329,7 +330,7 @@
     if (frames_.empty()) {
       return;
     }
-    const RelayAction relay = frames_.front();
+    const DelegateAction relay = frames_.front();
     frames_.pop_front();
     const int fate = *rc::gen::inRange(0, 4);
     if (fate == 0) {
@@ -352,7 +353,7 @@
     const Kind kind = *rc::gen::element(Kind::kAnswered, Kind::kNoAnswer, Kind::kNotExecuted, Kind::kNotSent);
     ShardServer& server = owners_[ended.owner]->server;
     if (kind != Kind::kNotSent) {
-      server.onWritten(ended.action.exchange);
+      server.onWriteStarted(ended.action.exchange);
       arrivedFrom_[ended.action.leaf->entry().service].insert(ended.owner);
     }
     if (kind == Kind::kNotExecuted || kind == Kind::kNotSent) {
@@ -364,7 +365,7 @@
 
   void passTime(Moment now) {
     for (auto& [owner, world] : owners_) {
-      carry(owner, world->server.onTime(now), now);
+      carry(owner, world->server.onTimer(now), now);
     }
   }
 
@@ -393,7 +394,7 @@
   };
 
   void carry(const QueryActions& actions) {
-    frames_.insert(frames_.end(), actions.relays.begin(), actions.relays.end());
+    frames_.insert(frames_.end(), actions.delegations.begin(), actions.delegations.end());
   }
 
   void carry(const Endpoint& owner, const ShardServerActions& actions, Moment now) {
@@ -425,7 +426,7 @@
   const std::vector<std::string> shards_{"s", "t", "u", "v"};
   AskerWorld asker_;
   std::map<Endpoint, std::unique_ptr<ServerWorld>> owners_;
-  std::deque<RelayAction> frames_;
+  std::deque<DelegateAction> frames_;
   std::vector<Running> running_;
   /// By shard: leafs that may have run the request.
   std::map<std::string, std::set<std::string>> ranAt_;
--- a/tests/serving/coordination/source_epoch_test.cpp
+++ b/tests/serving/coordination/source_epoch_test.cpp
@@ -52,7 +52,7 @@
   FollowerActions answer(const SourceAnswer& answer) {
     now = std::max(now, follower.nextDueAt());
     while (true) {
-      follower.onTime(now);
+      follower.onTimer(now);
       if (auto call = follower.takeCall(now)) {
         lastCall = *call;
         return follower.onAnswer(*call, answer, now);
--- a/tests/serving/coordination/source_follower_test.cpp
+++ b/tests/serving/coordination/source_follower_test.cpp
@@ -94,7 +94,7 @@
     return UnusableLeaf{id, "spoilt"};
   }
   LeafEntry entry = leafEntry(id, "s", 1);
-  entry.bornAt = std::stoull(record.value);
+  entry.processStartedAt = std::stoull(record.value);
   return entry;
 }
 
@@ -223,7 +223,7 @@
         daemon.believed.clear();
         for (const auto& [service, leafs] : *view->leafs) {
           for (const LeafEntry& leaf : leafs) {
-            daemon.believed[leaf.id] = leaf.bornAt;
+            daemon.believed[leaf.id] = leaf.processStartedAt;
           }
         }
       }
@@ -282,7 +282,7 @@
   const Endpoint self(5, 1);
   SourceFollower follower(self, FollowerSettings{}, interpret, RandomEngine(1));
   follower.start({Endpoint(1, 1), Endpoint(2, 1)}, at(1000));
-  REQUIRE(follower.onTime(at(1000)).ask);
+  REQUIRE(follower.onTimer(at(1000)).ask);
   REQUIRE_FALSE(follower.takeCall(at(1000)));
   SECTION("nobody answers") { REQUIRE(follower.takeCall(at(2100))); }
   SECTION("a caller is refused") {
--- a/tests/serving/coordination/source_test.cpp
+++ b/tests/serving/coordination/source_test.cpp
@@ -56,12 +56,12 @@
   REQUIRE(knowledge.nextDueAt() == at(1000));
   SECTION("it comes back") {
     REQUIRE(knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(5)));
-    knowledge.onTime(at(2000));
+    knowledge.onTimer(at(2000));
     REQUIRE(knowledge.leafCount() == 1);
   }
   SECTION("old news of it does not bring it back") {
     REQUIRE_FALSE(knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(3)));
-    knowledge.onTime(at(1000));
+    knowledge.onTimer(at(1000));
     REQUIRE(knowledge.leafCount() == 0);
   }
 }
@@ -259,10 +259,10 @@
   knowledge.onListing({"x", "y"}, inFirstEpoch(2), at(0));
   knowledge.onLeafRemoved("x", inFirstEpoch(3), at(0));
   knowledge.onLeafRemoved("y", inFirstEpoch(4), at(0));
-  knowledge.onTime(at(2400));
+  knowledge.onTimer(at(2400));
   REQUIRE(knowledge.leafCount() == 2);
   knowledge.onLeaf(leafEntry("x", "s", 1), inFirstEpoch(5));
-  knowledge.onTime(at(2600));
+  knowledge.onTimer(at(2600));
   // "y" did not come back.
   REQUIRE(knowledge.leafCount() == 1);
 }
@@ -326,7 +326,7 @@
     // Enough leafs that every daemon can have two connections.
     const std::size_t leafs = std::max<std::size_t>(2, std::size_t{daemons} * 4 / maximum + 1);
     const LeafsByService directory = leafsOf({"s"}, leafs);
-    const ConnectionShare share = shareOf(leafs, maximum, daemons);
+    const ConnectionShare share = connectionShare(leafs, maximum, daemons);
     std::map<std::string, std::size_t> connections;
     for (std::uint32_t number = 0; number < daemons; ++number) {
       const auto subset = chooseSubset(directory.at("s"), share.leafs, Endpoint(number + 1, 9));
--- a/tests/serving/coordination/zone_mergers_test.cpp
+++ b/tests/serving/coordination/zone_mergers_test.cpp
@@ -63,7 +63,7 @@
   };
   REQUIRE(assigned([](LeafStatus&) {}));
   REQUIRE_FALSE(assigned([](LeafStatus& leaf) { leaf.onStarted(1, std::chrono::milliseconds(20), at(0)); }));
-  REQUIRE_FALSE(assigned([](LeafStatus& leaf) { leaf.onLoad({2, 1, 2}, at(100)); }));
+  REQUIRE_FALSE(assigned([](LeafStatus& leaf) { leaf.onLoadReport({2, 1, 2}, at(100)); }));
   REQUIRE_FALSE(assigned([](LeafStatus& leaf) {
     leaf.onStarted(1, std::chrono::milliseconds(20), at(0));
     leaf.onFinished(1, LeafOutcome::Kind::kNotSent, at(90));
--- a/tests/serving/platform/leaf_entries_test.cpp
+++ b/tests/serving/platform/leaf_entries_test.cpp
@@ -232,10 +232,10 @@
 }  // namespace
 
 TEST_CASE("a leaf's entry tells when its process began, where leafs tell that", "[platform][lives]") {
-  REQUIRE(std::get<LeafEntry>(statementOf(kEntry.dump())).bornAt == 1760000000000);
+  REQUIRE(std::get<LeafEntry>(statementOf(kEntry.dump())).processStartedAt == 1760000000000);
   json without = kEntry;
   without.erase("born");
-  REQUIRE(std::get<LeafEntry>(statementOf(without.dump())).bornAt == 0);
+  REQUIRE(std::get<LeafEntry>(statementOf(without.dump())).processStartedAt == 0);
 }
 
 TEST_CASE("an entry with a field missing or of another type names no leaf", "[platform][lives]") {
--- a/tests/serving/programs/causes_test.cpp
+++ b/tests/serving/programs/causes_test.cpp
@@ -50,12 +50,12 @@
       out.insert(out.end(), actions.sends.begin(), actions.sends.end());
       now += *rc::gen::inRange(1, 90);
       if (out.empty() || *rc::gen::inRange(0, 3) == 0) {
-        actions = query.onTime(at(now));
+        actions = query.onTimer(at(now));
         continue;
       }
       const SendAction send = out.back();
       out.pop_back();
-      query.onWritten(send.exchange);
+      query.onWriteStarted(send.exchange);
       const Kind kind = *rc::gen::element(Kind::kAnswered, Kind::kAnswered, Kind::kNoAnswer,
                                           Kind::kNotExecuted, Kind::kLeafFailed);
       actions = query.onOutcome(send.exchange, outcomeOf(kind, std::string(16, 'r')), at(now));
--- a/tests/serving/programs/gateway_log_test.cpp
+++ b/tests/serving/programs/gateway_log_test.cpp
@@ -21,9 +21,9 @@
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const auto started = query.start(at(0));
-  query.onWritten(started.sends[0].exchange);
-  const auto hedged = query.onTime(query.nextDecisionAt());
-  query.onWritten(hedged.sends[0].exchange);
+  query.onWriteStarted(started.sends[0].exchange);
+  const auto hedged = query.onTimer(query.nextDecisionAt());
+  query.onWriteStarted(hedged.sends[0].exchange);
   query.onOutcome(hedged.sends[0].exchange, outcomeOf(LeafOutcome::Kind::kNoAnswer), at(120));
   const auto& events = query.trace().events();
   REQUIRE(events.size() == 3);
--- a/tests/serving/programs/merge_test.cpp
+++ b/tests/serving/programs/merge_test.cpp
@@ -162,7 +162,7 @@
   const Moment due = world.server.nextDecisionAt();
   REQUIRE(due > at(5));
   REQUIRE(due < at(50));
-  MergeServerActions actions = world.server.onTime(due);
+  MergeServerActions actions = world.server.onTimer(due);
   REQUIRE(actions.results.size() == 1);
   world.finishAtMerger(sends[1], outcomeOf(Kind::kAnswered, record('b')), at(60));
   REQUIRE(world.toAsker.size() == 1);
@@ -189,10 +189,10 @@
   world.client.cancel({1});
   REQUIRE(world.toMerger.size() == 1);
   const auto actions = world.server.onCancel(kAsker, world.toMerger.front().merge_cancel());
-  REQUIRE(actions.abandons == std::vector<ExchangeId>{sends[0].action.exchange});
+  REQUIRE(actions.cancellations == std::vector<ExchangeId>{sends[0].action.exchange});
   const auto leaf = world.registry.leafsOf("s0").front();
   REQUIRE(leaf->inProgress() == 1);
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kWithdrawn), at(7));
+  world.finishAtMerger(sends[0], outcomeOf(Kind::kCancelled), at(7));
   world.deliverResults();
   REQUIRE(leaf->inProgress() == 0);
   REQUIRE(world.told.empty());
@@ -221,7 +221,7 @@
   MergeWorld world;
   const auto relist = [](QueryWorld& side, std::uint64_t birth) {
     LeafsByService directory = leafsOf(kShards, 1);
-    directory["s0"][0].bornAt = birth;
+    directory["s0"][0].processStartedAt = birth;
     side.registry.reconcile(directory, at(0));
   };
   relist(world, 1760000060000);
@@ -261,7 +261,7 @@
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const QueryActions started = query.start(at(0));
-  const QueryActions hedged = query.onTime(query.nextDecisionAt());
+  const QueryActions hedged = query.onTimer(query.nextDecisionAt());
   REQUIRE(hedged.sends.size() == kShards.size());
   query.onOutcome(hedged.sends[0].exchange, outcomeOf(Kind::kAnswered, record('x')), at(70));
   query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kAnswered, record('a')), at(70));
--- a/tests/serving/programs/quarantine_link_test.cpp
+++ b/tests/serving/programs/quarantine_link_test.cpp
@@ -51,7 +51,7 @@
   std::size_t countOf(Verdict verdict) const {
     std::size_t count = 0;
     for (const auto& [address, daemon] : daemons_) {
-      count += daemon->quarantine.judge(kRequest, steadyNow()).verdict == verdict ? 1 : 0;
+      count += daemon->quarantine.assess(kRequest, steadyNow()).verdict == verdict ? 1 : 0;
     }
     return count;
   }
@@ -84,10 +84,10 @@
 void condemn(Fleet& fleet, std::uint32_t number) {
   RequestQuarantine& quarantine = fleet.quarantineOf(number);
   const Moment now = steadyNow();
-  quarantine.onLeafEnded(kRequest, 1, now);
-  quarantine.onLeafEnded(kRequest, 2, now);
+  quarantine.onLeafCrashed(kRequest, 1, now);
+  quarantine.onLeafCrashed(kRequest, 2, now);
   quarantine.onTrial(kRequest, now);
-  quarantine.onLeafEnded(kRequest, 3, now);
+  quarantine.onLeafCrashed(kRequest, 3, now);
   fleet.tell(number);
 }
 
@@ -97,20 +97,20 @@
   constexpr std::uint32_t kDaemons = 300;
   Fleet fleet(kDaemons);
   condemn(fleet, 1);
-  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kDaemons; });
+  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kQuarantined) == kDaemons; });
   fleet.quarantineOf(2).onAnswered(kRequest, steadyNow());
   fleet.tell(2);
-  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kOrdinary) == kDaemons; });
+  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kUnsuspected) == kDaemons; });
 }
 
 TEST_CASE("evidence that three daemons have of one leaf each adds up everywhere", "[serving]") {
   constexpr std::uint32_t kDaemons = 20;
   Fleet fleet(kDaemons);
   for (std::uint32_t number = 1; number <= 3; ++number) {
-    fleet.quarantineOf(number).onLeafEnded(kRequest, number, steadyNow());
+    fleet.quarantineOf(number).onLeafCrashed(kRequest, number, steadyNow());
     fleet.tell(number);
   }
-  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kOrdinary) == 0; });
+  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kUnsuspected) == 0; });
 }
 
 TEST_CASE("a daemon that was cut off learns what it missed without asking", "[serving]") {
@@ -121,16 +121,16 @@
   // Each of the others has passed it on to eight; none of these frames is left on the way after that.
   runUntil(fleet.context, [&] { return fleet.frames >= kOthers * 8; });
   fleet.context.poll();
-  REQUIRE(fleet.countOf(Verdict::kCondemned) == kOthers);
+  REQUIRE(fleet.countOf(Verdict::kQuarantined) == kOthers);
   fleet.cutOff(5, false);
-  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kOthers + 1; });
+  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kQuarantined) == kOthers + 1; });
 }
 
 TEST_CASE("what a daemon knows already is not passed on again", "[serving]") {
   constexpr std::uint32_t kDaemons = 60;
   Fleet fleet(kDaemons);
   condemn(fleet, 1);
-  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kDaemons; });
+  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kQuarantined) == kDaemons; });
   // Eight from each daemon for the one change, and the repair's, of which few are due so soon.
   REQUIRE(fleet.frames <= std::size_t{kDaemons} * 10);
 }
--- a/tests/serving/programs/tenant_requests_test.cpp
+++ b/tests/serving/programs/tenant_requests_test.cpp
@@ -134,9 +134,9 @@
   Published<ConfigurationProof> proof{std::make_shared<const ConfigurationProof>()};
   RandomEngine random{7};
   LeafRegistry leafs;
-  ExchangeNumbers exchanges;
-  ExtraSendBudgets budgets{ExtraSendBounds{100, 100, std::chrono::hours(1), {}}, steadyNow(), random};
-  ExtraSendBudgets ownerBudgets{ExtraSendBounds{100, 100, std::chrono::hours(1), {}}, steadyNow(), random};
+  ExchangeIdSource exchanges;
+  RetryBudgets budgets{DaemonRetryLimit{100, 100, std::chrono::hours(1), {}}, steadyNow(), random};
+  RetryBudgets ownerBudgets{DaemonRetryLimit{100, 100, std::chrono::hours(1), {}}, steadyNow(), random};
   std::vector<PeerEnvelope> frames;
   RequestGateway gateway;
   HttpService service;
--- a/tests/serving/support/serving_fixtures.h
+++ b/tests/serving/support/serving_fixtures.h
@@ -93,9 +93,9 @@
 /// The shared state of queries, with an own registry and plenty of budget unless told otherwise.
 class QueryWorld {
  public:
-  explicit QueryWorld(const std::shared_ptr<const ServingView>& view, double savedSends = 100)
+  explicit QueryWorld(const std::shared_ptr<const ServingView>& view, double retryTokens = 100)
       : random(7),
-        budgets(ExtraSendBounds{savedSends, savedSends, std::chrono::hours(1), {}}, at(0), random) {
+        budgets(DaemonRetryLimit{retryTokens, retryTokens, std::chrono::hours(1), {}}, at(0), random) {
     registry.reconcile(*view->leafs, at(0));
     context = std::make_unique<QueryContext>(
         QueryContext{registry, budgets, random, QueryPolicy{}, "a", exchanges, nullptr, {}, nullptr});
@@ -103,8 +103,8 @@
 
   LeafRegistry registry;
   RandomEngine random;
-  ExchangeNumbers exchanges;
-  ExtraSendBudgets budgets;
+  ExchangeIdSource exchanges;
+  RetryBudgets budgets;
   std::unique_ptr<QueryContext> context;
 };
 
--- a/tests/serving/support/source_fleet.cpp
+++ b/tests/serving/support/source_fleet.cpp
@@ -227,7 +227,7 @@
   if (!daemon.alive || daemon.suspended) {
     return;
   }
-  carryOut(number, daemon.follower->onTime(clockOf(number)));
+  carryOut(number, daemon.follower->onTimer(clockOf(number)));
   if (const auto due = daemon.follower->takeCall(clockOf(number))) {
     call(number, *due);
   }
--- a/tests/serving/support/token_fleet.cpp
+++ b/tests/serving/support/token_fleet.cpp
@@ -320,7 +320,7 @@
   at(next, [this, number, run = daemons_[number]->run] {
     if (daemons_[number] != nullptr && daemons_[number]->run == run &&
         daemons_[number]->holder.nextTimeAt() <= now_) {
-      decide(number, daemons_[number]->holder.onTime(now_));
+      decide(number, daemons_[number]->holder.onTimer(now_));
       flush(number);
     }
   });
--- a/tests/serving/transport/leaf_pool_test.cpp
+++ b/tests/serving/transport/leaf_pool_test.cpp
@@ -19,14 +19,14 @@
   }
 
   void send(ExchangeId exchange, const std::string& requestId, const std::string& body = "",
-            Duration timeLeft = std::chrono::seconds(30), Duration leastTime = Duration(0)) {
+            Duration timeLeft = std::chrono::seconds(30), Duration minTimeLeft = Duration(0)) {
     HttpRequest request{"GET", "/x", {{"Host", "h"}, {names.requestId, requestId}}, body};
     LeafPool::Order order;
     order.exchange = exchange;
     order.request = std::make_shared<const LeafRequestTemplate>(request, names);
     order.deadline = steadyNow() + timeLeft;
-    order.leastTime = leastTime;
-    order.listener.onWritten = [this] { ++written; };
+    order.minTimeLeft = minTimeLeft;
+    order.listener.onWriteStarted = [this] { ++written; };
     order.listener.onOutcome = [this](const LeafOutcome& outcome) { outcomes.push_back(outcome); };
     pool.send(leaf, 1, std::move(order));
   }
@@ -179,7 +179,7 @@
   world.awaitRequests(1);
   world.pool.abandon(2);
   REQUIRE(world.outcomes.size() == 1);
-  REQUIRE(world.outcomes[0].kind == Kind::kWithdrawn);
+  REQUIRE(world.outcomes[0].kind == Kind::kCancelled);
   world.connection(0).write(world.reply("one", ""));
   world.awaitOutcomes(2);
   REQUIRE(world.server.requests() == 1);
@@ -215,7 +215,7 @@
   world.awaitRequests(1);
   world.pool.abandon(1);
   runUntil(world.context, [&] { return world.connection(0).ended; });
-  REQUIRE(world.outcomes[0].kind == Kind::kWithdrawn);
+  REQUIRE(world.outcomes[0].kind == Kind::kCancelled);
 }
 
 TEST_CASE("an early answer to a request that is still being written ends the connection", "[serving]") {
@@ -238,7 +238,7 @@
   world.awaitRequests(1);
   world.send(2, "two");
   const auto retainAs = [&](LeafPool::LeafUse use) {
-    world.pool.retain([use](const LeafLife&) { return use; });
+    world.pool.retain([use](const LeafIncarnation&) { return use; });
   };
   SECTION("the leaf takes no work") {
     retainAs(LeafPool::LeafUse::kStop);
@@ -263,11 +263,11 @@
   LeafRegistry registry;
   const auto reconcile = [&] {
     registry.reconcile(LeafsByService{{"s", {world.leaf}}}, steadyNow());
-    world.pool.retain([&](const LeafLife& life) {
+    world.pool.retain([&](const LeafIncarnation& life) {
       return world.leaf.isOf(life) ? LeafPool::LeafUse::kKeep : LeafPool::LeafUse::kStop;
     });
   };
-  world.leaf.bornAt = 1760000000000;
+  world.leaf.processStartedAt = 1760000000000;
   reconcile();
   world.send(1, "one");
   world.awaitRequests(1);
@@ -284,7 +284,7 @@
   }
   const std::size_t sentBefore = world.written;
   const std::size_t connectionsBefore = server.connections().size();
-  world.leaf.bornAt = 1760000060000;
+  world.leaf.processStartedAt = 1760000060000;
   world.leaf.address = server.address();
   world.leaf.warmupLeft = std::chrono::seconds(3);
   reconcile();
@@ -363,7 +363,7 @@
     runUntil(world.context, [&] { return world.server.resets() == 1; });
     world.server.close();
     world.awaitOutcomes(1);
-    REQUIRE(world.outcomes[0].kind == Kind::kLeafEnded);
+    REQUIRE(world.outcomes[0].kind == Kind::kLeafCrashed);
     REQUIRE(under.size() == 1);
   }
   SECTION("the leaf lives and resets all new connections") {
--- a/tests/serving/transport/suspension_test.cpp
+++ b/tests/serving/transport/suspension_test.cpp
@@ -68,9 +68,9 @@
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(1000));
   for (const SendAction& send : query.start(at(0)).sends) {
-    query.onWritten(send.exchange);
+    query.onWriteStarted(send.exchange);
   }
-  const QueryActions late = query.onTime(at(60'000));
+  const QueryActions late = query.onTimer(at(60'000));
   REQUIRE(late.sends.empty());
   REQUIRE(late.answer);
   REQUIRE(std::get<Failure>(*late.answer).timedOut);
