--- a/src/coordination/serving/crash_guard.h
+++ b/src/coordination/serving/crash_guard.h
@@ -14,7 +14,7 @@
 /// Shared by the parts of one request at one daemon. Not thread-safe.
 class CrashGuard {
  public:
-  /// With `trial` (a trial) only one leaf gets the request until it has answered.
+  /// With `trial`, only one leaf gets the request until that leaf has answered.
   explicit CrashGuard(bool trial = false) : trial_(trial) {}
 
   void onOutcome(LeafOutcome::Kind kind) {
--- a/src/coordination/serving/direct_part.h
+++ b/src/coordination/serving/direct_part.h
@@ -6,7 +6,7 @@
 /// sent to another leaf only after every earlier one is known not to have executed it; every send after one
 /// that may have arrived is paid for from the service's budget; nothing is sent to a leaf that usually takes
 /// longer than the time left; an unanswered part is retried at most once after the leafs' deadline; nothing
-/// is sent after the first send while the request's `CrashGuard` holds.
+/// is sent after the first send while the request's `CrashGuard` blocks sends.
 
 #include <optional>
 #include <string>
@@ -48,7 +48,7 @@
     bool finished = false;
     /// The leaf cannot have executed the request.
     bool knownNotRun = false;
-    /// Paid for from the budget of extra attempts.
+    /// Paid for from the retry budget.
     bool paid = false;
   };
 
--- a/src/coordination/serving/leaf_outcome.h
+++ b/src/coordination/serving/leaf_outcome.h
@@ -51,7 +51,7 @@
   std::optional<ReportedLoad> load;
   /// Remaining warm-up time, if the leaf reported it.
   std::optional<Duration> warmupLeft;
-  /// The answer came from a merging daemon. It omits records that rank below those of earlier answers of the
+  /// The answer came from a merge server. It omits records that rank below those of earlier answers of the
   /// same merge, so none of these may be replaced by another leaf's answer.
   bool merged = false;
 };
--- a/src/coordination/serving/leaf_status.h
+++ b/src/coordination/serving/leaf_status.h
@@ -54,8 +54,8 @@
   void onWarmup(Duration left, Moment now) { warmUntil_ = now + left; }
   /// Number of requests sent to the cold leaf within the last second.
   std::size_t coldSendsInLastSecond(Moment now) const;
-  /// Whether a request may be sent to the cold leaf: decided at random with the probability `probability` at
-  /// most once a second, and false on every other call.
+  /// Whether a request may be sent to the cold leaf: true with the given probability at most
+  /// once a second, and false on every other call.
   bool sampleColdSend(double probability, RandomEngine& random, Moment now);
   /// Moving average of the ratio of observed to expected latency; 1 means as expected.
   double latencyRatio() const { return latencyRatio_; }
--- a/src/coordination/serving/query_actions.h
+++ b/src/coordination/serving/query_actions.h
@@ -28,7 +28,7 @@
 struct SendAction {
   ExchangeId exchange = 0;
   std::shared_ptr<LeafStatus> leaf;
-  /// The daemon that forwards the request to the leaf and merges answers; not set when it is sent directly.
+  /// The merge server that forwards the request to the leaf; not set if the request is sent directly.
   std::optional<Endpoint> merger;
   /// The leaf's deadline for the request.
   Moment deadline{};
--- a/src/coordination/serving/query_policy.h
+++ b/src/coordination/serving/query_policy.h
@@ -26,7 +26,7 @@
   /// that are still queued by then, so that an overloaded leaf works only on requests that can be answered in
   /// time.
   double leafDeadlineFactor = 1.0;
-  /// Minimum Retry-After of a rejected request.
+  /// Minimum retry delay of a refused request.
   Duration retryAfter = std::chrono::milliseconds(150);
   /// Reserved before the caller's deadline for the final answer to reach it.
   Duration deadlineMargin = std::chrono::milliseconds(15);
--- a/src/coordination/serving/request_quarantine.h
+++ b/src/coordination/serving/request_quarantine.h
@@ -110,6 +110,7 @@
   Duration trialBackoff(std::uint32_t trials) const;
   bool expired(const QuarantineRecord& record, Moment now) const;
   Entry& entryOf(const RequestFingerprint& fingerprint);
+  /// Drops the record with the oldest crash if there are `kMaxRecords`.
   void evictIfFull();
 
   QuarantineSettings settings_;
--- a/tests/serving/coordination/leaf_restart_test.cpp
+++ b/tests/serving/coordination/leaf_restart_test.cpp
@@ -82,7 +82,7 @@
 TEST_CASE("a leaf that restarts while its entry is removed or draining is used", "[lives]") {
   ServingKnowledge knowledge{KnowledgeSettings{std::chrono::milliseconds(1000)}};
   LeafEntry first = leafStartedAt(kFirstStart);
-  SECTION("gone") {
+  SECTION("removed") {
     knowledge.onLeaf(first, inFirstEpoch(1));
     knowledge.onLeafRemoved("one", inFirstEpoch(2), at(0));
   }
@@ -121,7 +121,7 @@
   REQUIRE(knowledge.leafCount() == 0);
 }
 
-TEST_CASE("a restarted leaf has a new status: warming up, without load, failures or slowness", "[lives]") {
+TEST_CASE("a restarted leaf has a new status: warming up, without load, failures or latencies", "[lives]") {
   LeafRegistry registry;
   registry.reconcile(directoryOf(leafStartedAt(kFirstStart)), at(0));
   const auto earlier = only(registry);
