--- a/src/coordination/serving/admission.cpp
+++ b/src/coordination/serving/admission.cpp
@@ -15,14 +15,14 @@
 /// Maximum retry delay, before the random addition of up to half as much.
 constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
 /// Stands for the answer time of a service without a usable leaf.
-constexpr Duration kUnreachable = std::chrono::seconds(60);
+constexpr Duration kNoUsableLeaf = std::chrono::seconds(60);
 
 Duration expectedPartTime(const std::string& service, const Route& route, QueryContext& context, Moment now) {
-  const Duration typical = context.latencyOf(route).typical();
-  Duration best = kUnreachable;
+  const Duration median = context.latencyOf(route).median();
+  Duration best = kNoUsableLeaf;
   for (const auto& leaf : context.leafs.leafsOf(service)) {
     if (leaf->usable() && !leaf->unreachable(now)) {
-      best = std::min(best, queueingLatency(*leaf, typical, now));
+      best = std::min(best, latencyWithQueue(*leaf, median, now));
     }
   }
   return best;
@@ -36,13 +36,13 @@
       listed != view.leafs->end() && std::any_of(listed->second.begin(), listed->second.end(),
                                                  [](const LeafEntry& leaf) { return leaf.takesWork(); });
   if (!anyTakesWork) {
-    return kUnreachable;
+    return kNoUsableLeaf;
   }
   const LeafRegistry::Leafs& known = context.leafs.leafsOf(service);
   if (known.empty()) {
     return Duration(0);
   }
-  Duration soonest = kUnreachable;
+  Duration soonest = kNoUsableLeaf;
   for (const auto& leaf : known) {
     if (leaf->usable()) {
       soonest = std::min(soonest, leaf->unreachable(now) ? leaf->retryAt() - now : Duration(0));
@@ -109,7 +109,7 @@
 std::optional<Refusal> refuseIfOverloaded(const Route& route, QueryContext& context, Moment now) {
   const Duration expected = expectedAnswerTime(route, context, now);
   const auto bound = Duration(static_cast<std::int64_t>(route.targetLatency.count() * kOverloadFactor));
-  if (expected >= kUnreachable || expected <= bound) {
+  if (expected >= kNoUsableLeaf || expected <= bound) {
     return std::nullopt;
   }
   return Refusal{std::clamp(expected - route.targetLatency, context.policy.retryAfter, kMaxRetryAfter)};
--- a/src/coordination/serving/direct_part.cpp
+++ b/src/coordination/serving/direct_part.cpp
@@ -50,10 +50,10 @@
 bool DirectPart::send(Decision decision, bool paid, Moment now, QueryActions& actions) {
   RouteLatency& latency = context_.latencyOf(route_);
   const Duration timeLeft = deadlines_.leafDeadline - now;
-  const ResponseTimes responseTimes{latency.serviceTime(), latency.sufficientTime()};
+  const LatencyBounds latencyBounds{latency.unloadedLatency(), latency.sufficientTime()};
   const SelectionRequest request{
-      triedLeafs_, latency.typical(), context_.ownZone,           context_.preferredZone,
-      timeLeft,    responseTimes,     context_.warmupOf(service_)};
+      triedLeafs_, latency.median(), context_.ownZone,           context_.preferredZone,
+      timeLeft,    latencyBounds,    context_.warmupOf(service_)};
   auto leaf = selectLeaf(context_.leafs.leafsOf(service_), request, context_.random, now);
   addTraceEvent(leaf ? decision : Decision::kNoLeaf, leaf, now);
   if (!leaf) {
@@ -66,7 +66,7 @@
   attempt.paid = paid;
   leaf->onStarted(attempt.exchange, latency.high(), now);
   triedLeafs_.push_back(leaf->entry().incarnation());
-  const Duration minTimeLeft = minResponseTime(*leaf, responseTimes);
+  const Duration minTimeLeft = minResponseTime(*leaf, latencyBounds);
   actions.sends.push_back(
       SendAction{attempt.exchange, leaf, std::nullopt, deadlines_.leafDeadline, minTimeLeft});
   attempts_.push_back(std::move(attempt));
@@ -78,13 +78,13 @@
 
 Duration DirectPart::hedgeDelay(const RouteLatency& latency, Moment now) {
   const Duration early = std::max(kMinHedgeDelay, latency.high());
-  if (deadlines_.targetDeadline == kNever) {
+  if (deadlines_.answerBy == kNever) {
     return early;
   }
   // The latest time at which another leaf can still be expected to answer in time.
-  const Duration late = deadlines_.targetDeadline - now - latency.high() - kHedgeMargin;
+  const Duration late = deadlines_.answerBy - now - latency.high() - kHedgeMargin;
   if (late <= early) {
-    return std::max(latency.typical() * 3 / 2, late);
+    return std::max(latency.median() * 3 / 2, late);
   }
   const double spent = 1.0 - context_.budgets.fillRatio(service_, now);
   return early + Duration(static_cast<std::int64_t>((late - early).count() * spent));
@@ -93,7 +93,7 @@
 std::size_t DirectPart::countedAttempts() const {
   return static_cast<std::size_t>(
       std::count_if(attempts_.begin(), attempts_.end(),
-                    [](const Attempt& attempt) { return !(attempt.finished && attempt.knownNotRun); }));
+                    [](const Attempt& attempt) { return !(attempt.finished && attempt.knownNotExecuted); }));
 }
 
 bool DirectPart::mayTryAgain() const {
@@ -103,7 +103,7 @@
   if (attempts_.size() >= kMaxSends || countedAttempts() >= route_.attempts) {
     return false;
   }
-  return route_.repeatable || !mayHaveRun();
+  return route_.repeatable || !mayHaveExecuted();
 }
 
 bool DirectPart::sendAgain(Decision decision, Moment now, QueryActions& actions) {
@@ -158,8 +158,8 @@
   lastFailure_ = outcome.kind;
   const bool unsent =
       outcome.kind == LeafOutcome::Kind::kNotSent || outcome.kind == LeafOutcome::Kind::kExpired;
-  attempt->knownNotRun = unsent || outcome.kind == LeafOutcome::Kind::kNotExecuted ||
-                         outcome.kind == LeafOutcome::Kind::kWrongInstance;
+  attempt->knownNotExecuted = unsent || outcome.kind == LeafOutcome::Kind::kNotExecuted ||
+                              outcome.kind == LeafOutcome::Kind::kWrongInstance;
   if (unsent) {
     attempt->written = false;
     if (attempt->paid) {
@@ -236,7 +236,7 @@
     return;
   }
   hedgeAt_ = kNever;
-  const bool inTime = now < deadlines_.targetDeadline;
+  const bool inTime = now < deadlines_.answerBy;
   if (inTime && (sendsBlocked() || !crashGuard_.mayHedge())) {
     hedgeAt_ = now + kHedgeRetry;
     return;
@@ -258,9 +258,9 @@
   return mayRetryLate() ? std::min(hedgeAt_, deadlines_.leafDeadline) : hedgeAt_;
 }
 
-bool DirectPart::mayHaveRun() const {
+bool DirectPart::mayHaveExecuted() const {
   return std::any_of(attempts_.begin(), attempts_.end(),
-                     [](const Attempt& attempt) { return attempt.written && !attempt.knownNotRun; });
+                     [](const Attempt& attempt) { return attempt.written && !attempt.knownNotExecuted; });
 }
 
 bool DirectPart::mayHaveArrived() const {
--- a/src/coordination/serving/direct_part.h
+++ b/src/coordination/serving/direct_part.h
@@ -33,7 +33,7 @@
   void close(QueryActions& actions) override;
   Moment nextDecisionAt() const override;
   bool hasPendingExchange() const override { return anyPending(); }
-  bool mayHaveRun() const override;
+  bool mayHaveExecuted() const override;
   LossCause lossCause() const override;
   /// Whether a leaf may have received the request, even if it did not execute it.
   bool mayHaveArrived() const;
@@ -47,7 +47,7 @@
     bool written = false;
     bool finished = false;
     /// The leaf cannot have executed the request.
-    bool knownNotRun = false;
+    bool knownNotExecuted = false;
     /// Paid for from the retry budget.
     bool paid = false;
   };
--- a/src/coordination/serving/leaf_assignment.cpp
+++ b/src/coordination/serving/leaf_assignment.cpp
@@ -5,12 +5,12 @@
 namespace {
 
 /// Number of daemons that may send to a leaf of the service.
-std::size_t sendersTo(const std::string& service, const FleetSize& daemons, const ShardOwners& owners) {
+std::size_t sendersTo(const std::string& service, const FleetParameters& daemons, const ShardOwners& owners) {
   return owners.owned(service) ? ownersAtOnce(daemons.maxZones) : daemons.maxPlanned;
 }
 
 void assignService(const std::vector<LeafEntry>& leafs, const ServiceDefinition& service,
-                   const FleetSize& daemons, const Endpoint& self, ShardOwners& owners,
+                   const FleetParameters& daemons, const Endpoint& self, ShardOwners& owners,
                    LeafAssignment& assignment) {
   if (!owners.owned(service.name)) {
     const ConnectionShare share = connectionShare(leafs.size(), service.maximumConnections, daemons.planned);
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-LeafAssignment assignLeafs(const ServingView& view, const FleetSize& daemons, const Endpoint& self,
+LeafAssignment assignLeafs(const ServingView& view, const FleetParameters& daemons, const Endpoint& self,
                            ShardOwners& owners) {
   LeafAssignment assignment;
   if (!view.configuration) {
--- a/src/coordination/serving/leaf_assignment.h
+++ b/src/coordination/serving/leaf_assignment.h
@@ -19,7 +19,7 @@
 namespace oakpier::serving {
 
 /// Number of daemons and zones that share the leafs.
-struct FleetSize {
+struct FleetParameters {
   /// Daemons that connections are planned for. Higher than the current number, to allow for growth.
   std::size_t planned = 1;
   std::size_t zones = 1;
@@ -40,7 +40,7 @@
 };
 
 /// Also updates the set of services that have owners in `owners`.
-LeafAssignment assignLeafs(const ServingView& view, const FleetSize& daemons, const Endpoint& self,
+LeafAssignment assignLeafs(const ServingView& view, const FleetParameters& daemons, const Endpoint& self,
                            ShardOwners& owners);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/leaf_selection.cpp
+++ b/src/coordination/serving/leaf_selection.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr Duration kOtherZonePenalty = std::chrono::milliseconds(12);
-constexpr Duration kFurtherZonePenalty = std::chrono::milliseconds(18);
+constexpr Duration kPreferredZonePenalty = std::chrono::milliseconds(12);
+constexpr Duration kOtherZonePenalty = std::chrono::milliseconds(18);
 /// Added for a leaf with an overdue answer.
 constexpr Duration kOverduePenalty = std::chrono::milliseconds(100);
 constexpr Duration kEjectedPenalty = std::chrono::seconds(10);
@@ -20,7 +20,7 @@
   if (zone == request.ownZone) {
     return Duration(0);
   }
-  return zone == request.preferredZone ? kOtherZonePenalty : kFurtherZonePenalty;
+  return zone == request.preferredZone ? kPreferredZonePenalty : kOtherZonePenalty;
 }
 
 /// Whether the limit for cold leafs allows one more request from this daemon to the leaf.
@@ -36,24 +36,24 @@
 
 }  // namespace
 
-Duration minResponseTime(const LeafStatus& leaf, const ResponseTimes& times) {
+Duration minResponseTime(const LeafStatus& leaf, const LatencyBounds& bounds) {
   const double factor = std::max(1.0, leaf.latencyRatio());
-  const auto usual = Duration(static_cast<std::int64_t>(times.serviceTime.count() * factor));
-  return std::min(usual, times.sufficientTime);
+  const auto usual = Duration(static_cast<std::int64_t>(bounds.unloadedLatency.count() * factor));
+  return std::min(usual, bounds.sufficientTime);
 }
 
-Duration queueingLatency(const LeafStatus& leaf, Duration typicalLatency, Moment now) {
+Duration latencyWithQueue(const LeafStatus& leaf, Duration medianLatency, Moment now) {
   const double slots = std::max(1U, leaf.entry().slots);
   const double waiting = std::max(0.0, leaf.queueLength(now) + 1.0 - slots);
   double factor = leaf.latencyRatio() * (1.0 + waiting / slots);
   if (leaf.warmingUp(now)) {
     factor *= kWarmupFactor;
   }
-  return Duration(static_cast<std::int64_t>(typicalLatency.count() * factor));
+  return Duration(static_cast<std::int64_t>(medianLatency.count() * factor));
 }
 
 Duration expectedLatency(const LeafStatus& leaf, const SelectionRequest& request, Moment now) {
-  Duration expected = queueingLatency(leaf, request.typicalLatency, now);
+  Duration expected = latencyWithQueue(leaf, request.medianLatency, now);
   expected += zonePenalty(leaf.entry().zone, request);
   if (leaf.overdueFor(now).count() > 0) {
     expected += kOverduePenalty;
@@ -75,7 +75,7 @@
     if (!mayServe || std::any_of(tried.begin(), tried.end(), isLeaf)) {
       continue;
     }
-    if (request.timeLeft < minResponseTime(*leaf, request.responseTimes)) {
+    if (request.timeLeft < minResponseTime(*leaf, request.latencyBounds)) {
       continue;
     }
     if (!allowsColdSend(*leaf, request.warmup, random, now)) {
--- a/src/coordination/serving/leaf_selection.h
+++ b/src/coordination/serving/leaf_selection.h
@@ -14,9 +14,9 @@
 namespace oakpier::serving {
 
 /// Time that a leaf of average speed needs to answer a request of one route.
-struct ResponseTimes {
+struct LatencyBounds {
   /// Service time and network round trip, without queueing.
-  Duration serviceTime{};
+  Duration unloadedLatency{};
   /// With this much time left, the request may be sent to any leaf.
   Duration sufficientTime{};
 };
@@ -25,25 +25,25 @@
   /// Leafs that the request was already sent to; they are not selected again.
   const std::vector<LeafIncarnation>& triedLeafs;
   /// Median latency of requests of this route.
-  Duration typicalLatency;
+  Duration medianLatency;
   /// The zone of this daemon. Leafs of other zones get a latency penalty.
   const std::string& ownZone;
   /// The other zone with the lowest penalty; may be empty.
   std::string_view preferredZone = {};
   /// Time until the leaf's deadline. Leafs that usually need longer are skipped.
   Duration timeLeft = Duration::max();
-  ResponseTimes responseTimes = {};
+  LatencyBounds latencyBounds = {};
   /// Limit on requests to a cold leaf; null if there is none.
   const WarmupAllowance* warmup = nullptr;
 };
 
 /// Minimum time in which the leaf usually answers, without queueing.
-Duration minResponseTime(const LeafStatus& leaf, const ResponseTimes& times);
+Duration minResponseTime(const LeafStatus& leaf, const LatencyBounds& bounds);
 
 /// Expected latency from the leaf's speed and queue length.
-Duration queueingLatency(const LeafStatus& leaf, Duration typicalLatency, Moment now);
+Duration latencyWithQueue(const LeafStatus& leaf, Duration medianLatency, Moment now);
 
-/// `queueingLatency` plus penalties for other zones, overdue answers and ejected leafs.
+/// `latencyWithQueue` plus penalties for other zones, overdue answers and ejected leafs.
 Duration expectedLatency(const LeafStatus& leaf, const SelectionRequest& request, Moment now);
 
 /// Null if no leaf is eligible.
--- a/src/coordination/serving/leaf_status.cpp
+++ b/src/coordination/serving/leaf_status.cpp
@@ -118,9 +118,9 @@
   onFailure(true, now);
 }
 
-void LeafStatus::onFailure(bool unreachable, Moment now) {
+void LeafStatus::onFailure(bool connectionFailed, Moment now) {
   ++consecutiveFailures_;
-  if (!unreachable && consecutiveFailures_ < kFailuresBeforeEjection) {
+  if (!connectionFailed && consecutiveFailures_ < kFailuresBeforeEjection) {
     return;
   }
   const unsigned factor = std::min(consecutiveFailures_, kMaxEjectionFactor);
--- a/src/coordination/serving/leaf_status.h
+++ b/src/coordination/serving/leaf_status.h
@@ -66,7 +66,7 @@
     Moment startedAt;
     Duration expected;
   };
-  void onFailure(bool unreachable, Moment now);
+  void onFailure(bool connectionFailed, Moment now);
 
   LeafEntry entry_;
   bool removed_ = false;
--- a/src/coordination/serving/merge_server.cpp
+++ b/src/coordination/serving/merge_server.cpp
@@ -118,7 +118,7 @@
     send.exchange = context_.exchanges.next++;
     send.leaf = leaf;
     send.deadline = task->deadline;
-    send.minTimeLeft = minResponseTime(*leaf, {latency.serviceTime(), latency.sufficientTime()});
+    send.minTimeLeft = minResponseTime(*leaf, {latency.unloadedLatency(), latency.sufficientTime()});
     leaf->onStarted(send.exchange, expected, now);
     ++task->openParts;
     parts_.emplace(send.exchange, Part{task, leaf, part.exchange()});
--- a/src/coordination/serving/query.cpp
+++ b/src/coordination/serving/query.cpp
@@ -91,7 +91,7 @@
 void Query::count(const QueryPart& part, std::ptrdiff_t change) {
   partCounts_.answered += part.state() == QueryPart::State::kAnswered ? change : 0;
   partCounts_.settled += part.state() != QueryPart::State::kOpen ? change : 0;
-  partCounts_.settledInTime += part.settledInTime() ? change : 0;
+  partCounts_.settledForTarget += part.settledForTarget() ? change : 0;
 }
 
 template <typename Step>
@@ -132,9 +132,9 @@
       continue;
     }
     QueryPart& part = *found->second;
-    const ExchangeId ended = exchange;
-    const LeafOutcome& how = outcome;
-    advance(part, actions, [&] { part.onOutcome(ended, how, now, actions); });
+    const ExchangeId endedExchange = exchange;
+    const LeafOutcome& leafOutcome = outcome;
+    advance(part, actions, [&] { part.onOutcome(endedExchange, leafOutcome, now, actions); });
     lastAnswered_ = part.state() == QueryPart::State::kAnswered ? &part : lastAnswered_;
   }
   if (wasBlocked && !crashGuard_->blocksSends()) {
@@ -202,8 +202,8 @@
   return missing;
 }
 
-bool Query::mayHaveRun() const {
-  return std::any_of(parts_.begin(), parts_.end(), [](const auto& part) { return part->mayHaveRun(); });
+bool Query::mayHaveExecuted() const {
+  return std::any_of(parts_.begin(), parts_.end(), [](const auto& part) { return part->mayHaveExecuted(); });
 }
 
 bool Query::hasEnoughAnswers() const {
@@ -239,7 +239,7 @@
     finish(merge(), actions);
     return;
   }
-  if (hasEnoughAnswers() && (allSettledInTime() || answerDue_ || now >= deadline_)) {
+  if (hasEnoughAnswers() && (allSettledForTarget() || answerDue_ || now >= deadline_)) {
     finish(merge(), actions);
     return;
   }
@@ -302,7 +302,7 @@
 }
 
 void Query::finishWithoutAnswer(Moment now, QueryActions& actions) {
-  if (mayHaveRun()) {
+  if (mayHaveExecuted()) {
     finish(Failure{now >= deadline_}, actions);
   } else {
     finish(Refusal{context_.policy.retryAfter}, actions);
--- a/src/coordination/serving/query.h
+++ b/src/coordination/serving/query.h
@@ -74,7 +74,7 @@
     std::ptrdiff_t answered = 0;
     std::ptrdiff_t settled = 0;
     /// Parts that cannot get an answer within the target latency any more, or have one.
-    std::ptrdiff_t settledInTime = 0;
+    std::ptrdiff_t settledForTarget = 0;
   };
   /// Runs `step` on the part, then updates the counts and registers the exchanges that it started.
   template <typename Step>
@@ -83,10 +83,10 @@
   void count(const QueryPart& part, std::ptrdiff_t change);
   std::size_t answeredParts() const { return static_cast<std::size_t>(partCounts_.answered); }
   bool allSettled() const { return static_cast<std::size_t>(partCounts_.settled) == parts_.size(); }
-  bool allSettledInTime() const {
-    return static_cast<std::size_t>(partCounts_.settledInTime) == parts_.size();
+  bool allSettledForTarget() const {
+    return static_cast<std::size_t>(partCounts_.settledForTarget) == parts_.size();
   }
-  bool mayHaveRun() const;
+  bool mayHaveExecuted() const;
   bool hasEnoughAnswers() const;
   /// Whether the query would succeed if all open parts were answered. If not, it ends without waiting for its
   /// deadline.
--- a/src/coordination/serving/query_part.h
+++ b/src/coordination/serving/query_part.h
@@ -13,7 +13,7 @@
 
 struct PartDeadlines {
   /// No hedge is sent after this time, as its answer would be late.
-  Moment targetDeadline = kNever;
+  Moment answerBy = kNever;
   /// Deadline of the requests to leafs.
   Moment leafDeadline = kNever;
   /// A query that lacks too many shards at `leafDeadline` continues until this time, and its open parts may
@@ -48,13 +48,13 @@
   /// Whether an exchange is pending.
   virtual bool hasPendingExchange() const = 0;
   /// Whether a leaf may have executed the request.
-  virtual bool mayHaveRun() const = 0;
+  virtual bool mayHaveExecuted() const = 0;
   /// Why the part has no answer, or why its answer was late.
   virtual LossCause lossCause() const = 0;
 
   State state() const { return state_; }
   /// Whether the part is answered, or cannot be answered within the target latency any more.
-  bool settledInTime() const { return state_ != State::kOpen || awaitsLateRetry_; }
+  bool settledForTarget() const { return state_ != State::kOpen || awaitsLateRetry_; }
   /// The answer, or for an exhausted part the error response of a leaf, if any.
   const LeafOutcome& outcome() const { return outcome_; }
   const std::string& service() const { return service_; }
--- a/src/coordination/serving/query_policy.h
+++ b/src/coordination/serving/query_policy.h
@@ -38,25 +38,25 @@
   explicit RouteLatency(Duration targetLatency) : targetLatency_(targetLatency) {}
 
   void record(Duration latency, Moment now) {
-    quick_.record(latency, now);
-    typical_.record(latency, now);
+    firstQuartile_.record(latency, now);
+    median_.record(latency, now);
     high_.record(latency, now);
   }
-  Duration typical() const { return typical_.estimate().value_or(targetLatency_ / 5); }
+  Duration median() const { return median_.estimate().value_or(targetLatency_ / 5); }
   /// Service time and network round trip without queueing, estimated by the first quartile of latencies.
-  Duration serviceTime() const { return quick_.estimate().value_or(targetLatency_ / 5); }
+  Duration unloadedLatency() const { return firstQuartile_.estimate().value_or(targetLatency_ / 5); }
   /// With this much time left, a request may be sent to any leaf, however slow its recent answers, since that
   /// estimate may be outdated. Half the target latency, so that the first send is always allowed.
   Duration sufficientTime() const { return targetLatency_ / 2; }
   /// Latency that most answers of healthy leafs stay below: the 95th percentile, capped at a multiple of the
   /// median. Without the cap, it would rise to the latency of slow leafs once they give more than 5 % of the
   /// answers.
-  Duration high() const { return std::min(high_.estimate().value_or(targetLatency_ / 3), typical() * 5 / 2); }
+  Duration high() const { return std::min(high_.estimate().value_or(targetLatency_ / 3), median() * 5 / 2); }
 
  private:
   Duration targetLatency_;
-  LatencyTracker quick_{0.25};
-  LatencyTracker typical_{0.5};
+  LatencyTracker firstQuartile_{0.25};
+  LatencyTracker median_{0.5};
   LatencyTracker high_{0.95};
 };
 
--- a/src/coordination/serving/relayed_part.cpp
+++ b/src/coordination/serving/relayed_part.cpp
@@ -66,7 +66,7 @@
     return;
   }
   const bool notSent = outcome.kind == LeafOutcome::Kind::kNotSent;
-  last.knownNotRun = notSent || outcome.kind == LeafOutcome::Kind::kNotExecuted;
+  last.knownNotExecuted = notSent || outcome.kind == LeafOutcome::Kind::kNotExecuted;
   const bool timeIsLeft = now < deadlines_.leafDeadline;
   if (!notSent || !timeIsLeft || !delegate(now, actions)) {
     state_ = State::kExhausted;
@@ -80,7 +80,7 @@
   checkAt_ = now + kCheckPeriod;
   const Endpoint& owner = delegations_.back().owner;
   if (context_.owners->silent(owner, now)) {
-    addTraceEvent(Decision::kOwnerSilent, owner, now);
+    addTraceEvent(Decision::kOwnerUnresponsive, owner, now);
     ownerSilent_ = true;
     state_ = State::kExhausted;
   }
@@ -117,9 +117,9 @@
   return state_ == State::kOpen && !delegations_.empty() && !delegations_.back().finished;
 }
 
-bool RelayedPart::mayHaveRun() const {
+bool RelayedPart::mayHaveExecuted() const {
   return std::any_of(delegations_.begin(), delegations_.end(),
-                     [](const Delegation& delegation) { return !delegation.knownNotRun; });
+                     [](const Delegation& delegation) { return !delegation.knownNotExecuted; });
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/relayed_part.h
+++ b/src/coordination/serving/relayed_part.h
@@ -32,7 +32,7 @@
   void close(QueryActions& actions) override;
   Moment nextDecisionAt() const override { return state_ == State::kOpen ? checkAt_ : kNever; }
   bool hasPendingExchange() const override;
-  bool mayHaveRun() const override;
+  bool mayHaveExecuted() const override;
   LossCause lossCause() const override;
 
  private:
@@ -40,7 +40,7 @@
     ExchangeId exchange = 0;
     Endpoint owner;
     bool finished = false;
-    bool knownNotRun = false;
+    bool knownNotExecuted = false;
   };
 
   /// False when no owner is left.
--- a/src/coordination/serving/request_quarantine.cpp
+++ b/src/coordination/serving/request_quarantine.cpp
@@ -28,7 +28,7 @@
 
 bool RequestQuarantine::crashedInTrial(const QuarantineRecord& record) {
   return record.trials > 0 && record.crashedLeafs.size() >= kCrashesBeforeQuarantine &&
-         record.lastCrashAt >= record.lastTrialAt;
+         record.lastEvidenceAt >= record.lastTrialAt;
 }
 
 Duration RequestQuarantine::trialBackoff(std::uint32_t trials) const {
@@ -48,7 +48,7 @@
   const QuarantineRecord& record = found->second.record;
   Moment notBefore = lastCrashAt_ + settings_.crashFreeInterval;
   if (crashedInTrial(record)) {
-    if (now < record.lastCrashAt + settings_.quarantine) {
+    if (now < record.lastEvidenceAt + settings_.quarantineDuration) {
       return {Verdict::kQuarantined, {}};
     }
   } else if (record.trials > 0) {
@@ -77,7 +77,7 @@
   }
   const auto oldest =
       std::min_element(records_.begin(), records_.end(), [](const auto& left, const auto& right) {
-        return left.second.record.lastCrashAt < right.second.record.lastCrashAt;
+        return left.second.record.lastEvidenceAt < right.second.record.lastEvidenceAt;
       });
   records_.erase(oldest);
 }
@@ -88,7 +88,7 @@
   Entry& entry = entryOf(fingerprint);
   const bool wasQuarantined = crashedInTrial(entry.record);
   const bool added = addCrashedLeaf(instance, entry.record.crashedLeafs);
-  entry.record.lastCrashAt = now;
+  entry.record.lastEvidenceAt = now;
   // Peers are notified only of an added leaf or a changed verdict; further crashes do not matter to them.
   entry.changed = entry.changed || added || crashedInTrial(entry.record) != wasQuarantined;
 }
@@ -115,7 +115,7 @@
 
 void RequestQuarantine::merge(const QuarantineRecord& other) {
   if (!other.crashedLeafs.empty()) {
-    lastCrashAt_ = std::max(lastCrashAt_, other.lastCrashAt);
+    lastCrashAt_ = std::max(lastCrashAt_, other.lastEvidenceAt);
   }
   Entry& entry = entryOf(other.fingerprint);
   QuarantineRecord& record = entry.record;
@@ -133,7 +133,7 @@
   }
   entry.changed = entry.changed || other.trials > record.trials;
   record.trials = std::max(record.trials, other.trials);
-  record.lastCrashAt = std::max(record.lastCrashAt, other.lastCrashAt);
+  record.lastEvidenceAt = std::max(record.lastEvidenceAt, other.lastEvidenceAt);
   record.lastTrialAt = std::max(record.lastTrialAt, other.lastTrialAt);
   entry.changed = entry.changed || crashedInTrial(record) != wasQuarantined;
 }
@@ -157,7 +157,7 @@
   const std::size_t kept = std::min(count, records.size());
   std::partial_sort(records.begin(), records.begin() + static_cast<std::ptrdiff_t>(kept), records.end(),
                     [](const QuarantineRecord& left, const QuarantineRecord& right) {
-                      return left.lastCrashAt > right.lastCrashAt;
+                      return left.lastEvidenceAt > right.lastEvidenceAt;
                     });
   records.resize(kept);
   return records;
@@ -165,7 +165,7 @@
 
 bool RequestQuarantine::expired(const QuarantineRecord& record, Moment now) const {
   const Duration kept = record.trials > 0 ? settings_.retention : settings_.suspectRetention;
-  return now - record.lastCrashAt > kept;
+  return now - record.lastEvidenceAt > kept;
 }
 
 void RequestQuarantine::dropExpired(Moment now) {
--- a/src/coordination/serving/request_quarantine.h
+++ b/src/coordination/serving/request_quarantine.h
@@ -27,7 +27,7 @@
 struct QuarantineSettings {
   /// How long a request is refused before the next trial. Bounds both the rate of crashes by a request that
   /// still crashes leafs and the time until a repaired service accepts the request again.
-  Duration quarantine = std::chrono::hours(1);
+  Duration quarantineDuration = std::chrono::hours(1);
   /// A record is dropped this long after the last crash.
   Duration retention = std::chrono::hours(24);
   /// A record without a trial is dropped this long after the last crash.
@@ -50,7 +50,7 @@
   std::vector<std::uint64_t> crashedLeafs;
   std::uint32_t trials = 0;
   /// Time of the last crash, or of the answer that cleared the record.
-  Moment lastCrashAt{};
+  Moment lastEvidenceAt{};
   Moment lastTrialAt{};
 };
 
--- a/src/coordination/serving/request_trace.h
+++ b/src/coordination/serving/request_trace.h
@@ -31,7 +31,7 @@
   /// The owner reported a result.
   kOwnerOutcome,
   /// The owner became unresponsive, and the delegation was given up.
-  kOwnerSilent,
+  kOwnerUnresponsive,
   /// The part was suspended until a leaf answers, as leafs have crashed under the request.
   kSuspended,
 };
@@ -49,7 +49,7 @@
   Duration overdueFor{};
   /// For kOutcome and kOwnerOutcome.
   std::optional<LeafOutcome::Kind> outcome;
-  /// For kDelegate, kOwnerOutcome and kOwnerSilent.
+  /// For kDelegate, kOwnerOutcome and kOwnerUnresponsive.
   std::optional<Endpoint> owner;
 };
 
--- a/src/coordination/serving/retry_budget.h
+++ b/src/coordination/serving/retry_budget.h
@@ -44,12 +44,11 @@
 class RetryLimitShare {
  public:
   /// Which daemons have a budget for a service: all of them, or only its current owner.
-  enum class Holder { kEveryDaemon, kOwner };
+  enum class Scope { kEveryDaemon, kOwner };
 
   /// `assumedDaemons`: minimum number of daemons that the limit is divided among.
-  RetryLimitShare(const FleetRetryLimit& total, std::size_t assumedDaemons,
-                  Holder holder = Holder::kEveryDaemon)
-      : total_(total), maxDaemons_(std::max<std::size_t>(1, assumedDaemons)), holder_(holder) {}
+  RetryLimitShare(const FleetRetryLimit& total, std::size_t assumedDaemons, Scope scope = Scope::kEveryDaemon)
+      : total_(total), maxDaemons_(std::max<std::size_t>(1, assumedDaemons)), scope_(scope) {}
 
   void setTotal(const FleetRetryLimit& total) { total_ = total; }
   void onDaemonCount(std::size_t daemons) { maxDaemons_ = std::max(maxDaemons_, daemons); }
@@ -59,7 +58,7 @@
     // Random decisions add variance to the sum over all daemons, so a larger margin is kept.
     const double used = each * kUsedShare < 1.0 ? kUsedShareIfRandom : kUsedShare;
     DaemonRetryLimit limit{total_.ratio * used, each * used, total_.window, std::nullopt};
-    if (holder_ == Holder::kOwner) {
+    if (scope_ == Scope::kOwner) {
       limit.initialTokens = limit.capacity * kInitialShare;
     }
     return limit;
@@ -74,7 +73,7 @@
 
   FleetRetryLimit total_;
   std::size_t maxDaemons_;
-  Holder holder_;
+  Scope scope_;
 };
 
 /// The budget of one service at one daemon. Not thread-safe.
--- a/src/coordination/serving/shard_server.cpp
+++ b/src/coordination/serving/shard_server.cpp
@@ -34,7 +34,7 @@
   if (part.state() == QueryPart::State::kAnswered) {
     return OWNER_ANSWERED;
   }
-  if (part.mayHaveRun()) {
+  if (part.mayHaveExecuted()) {
     return OWNER_NO_ANSWER;
   }
   return part.mayHaveArrived() ? OWNER_NOT_RUN : OWNER_NOT_SENT;
@@ -116,7 +116,7 @@
     if (anyOut || part.finished) {
       continue;
     }
-    const bool ran = part.exchange->mayHaveRun();
+    const bool ran = part.exchange->mayHaveExecuted();
     OwnerResult& result = addResult(*work, out);
     result.set_exchange(part.askedAs);
     // Not "not sent": the asker would try another owner.
@@ -145,7 +145,7 @@
     finish(part, out);
     return;
   }
-  const bool ran = exchange.mayHaveRun();
+  const bool ran = exchange.mayHaveExecuted();
   giveUp(work, part, ran ? UnansweredPart::Reason::kNoAnswer : UnansweredPart::Reason::kNotRun, out);
 }
 
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -100,7 +100,7 @@
         random_(std::random_device{}()),
         retryLimitShare_(settings.extraSends, kUsualDaemons),
         budgets_(retryLimitShare_.limit(), steadyNow(), random_),
-        ownerShare_(settings.extraSends, kUsualOwners + kOwnersInChange, RetryLimitShare::Holder::kOwner),
+        ownerShare_(settings.extraSends, kUsualOwners + kOwnersInChange, RetryLimitShare::Scope::kOwner),
         ownerBudgets_(ownerShare_.limit(), steadyNow(), random_),
         requests_(requestContext_, names, published_, proof_, settings.peerAddress,
                   QueryContext{leafs_,
--- a/src/programs/gateway/owner_client.cpp
+++ b/src/programs/gateway/owner_client.cpp
@@ -38,7 +38,7 @@
   work.set_target_latency_us(static_cast<std::uint64_t>(order.route->targetLatency.count()));
   work.set_remaining_us(microsecondsUntil(order.leafDeadline, now));
   work.set_renewable_us(microsecondsUntil(order.lateRetryDeadline, now));
-  work.set_useful_us(microsecondsUntil(order.targetDeadline - kReturnMargin, now));
+  work.set_useful_us(microsecondsUntil(order.answerBy - kReturnMargin, now));
   work.set_top_records(static_cast<std::uint32_t>(std::get<GatherTarget>(order.route->target).topRecords));
   work.set_attempts(attempts);
   work.set_vetted(order.vetted);
--- a/src/programs/gateway/owner_client.h
+++ b/src/programs/gateway/owner_client.h
@@ -47,7 +47,7 @@
     Moment leafDeadline{};
     /// As in `PartDeadlines`.
     Moment lateRetryDeadline{};
-    Moment targetDeadline{};
+    Moment answerBy{};
     std::shared_ptr<const Listener> listener;
   };
 
--- a/src/programs/gateway/quarantine_link.cpp
+++ b/src/programs/gateway/quarantine_link.cpp
@@ -93,7 +93,7 @@
 
 void QuarantineLink::logBelief(const QuarantineRecord& record) const {
   const Moment now = steadyNow();
-  const Duration age = now - record.lastCrashAt;
+  const Duration age = now - record.lastEvidenceAt;
   log(LogLevel::kWarning, "leafs end under a request",
       {{"fingerprint", record.fingerprint.text()},
        {"from_now_on", textOf(quarantine_.assess(record.fingerprint, now).verdict)},
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -33,8 +33,8 @@
 inline constexpr std::size_t kUsualDaemons = 12;
 
 /// What is assumed of the daemons that share leafs until any are known.
-inline FleetSize sharingUntilKnown() {
-  FleetSize daemons;
+inline FleetParameters sharingUntilKnown() {
+  FleetParameters daemons;
   daemons.planned = kUsualDaemons;
   return daemons;
 }
@@ -143,7 +143,7 @@
   MergeService mergeService_;
   QuarantineLink quarantineLink_;
   QuotaLink quota_;
-  FleetSize daemons_ = sharingUntilKnown();
+  FleetParameters daemons_ = sharingUntilKnown();
   bool settled_ = false;
   std::function<void()> onStateWanted_;
   RequestCounters counters_;
--- a/src/programs/gateway/request_log.cpp
+++ b/src/programs/gateway/request_log.cpp
@@ -28,7 +28,7 @@
       return "left to the owner";
     case Decision::kOwnerOutcome:
       return "the owner's result";
-    case Decision::kOwnerSilent:
+    case Decision::kOwnerUnresponsive:
       return "given up: the owner is silent";
     case Decision::kSuspended:
       return "held back: leafs have ended under the request";
--- a/src/programs/gateway/request_queries.cpp
+++ b/src/programs/gateway/request_queries.cpp
@@ -66,7 +66,7 @@
   order.rank = active->rank;
   order.leafDeadline = active->query->leafDeadline();
   order.lateRetryDeadline = active->query->deadline();
-  order.targetDeadline = active->query->answerBy();
+  order.answerBy = active->query->answerBy();
   order.listener = active->ownerListener;
   ownerClient_.send(delegations, order);
 }
--- a/src/protocol/serving/ending_requests_codec.cpp
+++ b/src/protocol/serving/ending_requests_codec.cpp
@@ -34,7 +34,7 @@
       request->add_ended_leafs(instance);
     }
     request->set_trials(record.trials);
-    request->set_last_ended_age_us(ageOf(record.lastCrashAt, now));
+    request->set_last_ended_age_us(ageOf(record.lastEvidenceAt, now));
     if (record.trials > 0) {
       request->set_last_trial_age_us(ageOf(record.lastTrialAt, now));
     }
@@ -54,7 +54,7 @@
     record.crashedLeafs.assign(request.ended_leafs().begin(), request.ended_leafs().end());
     std::sort(record.crashedLeafs.begin(), record.crashedLeafs.end());
     record.trials = request.trials();
-    record.lastCrashAt = momentOf(request.last_ended_age_us(), now);
+    record.lastEvidenceAt = momentOf(request.last_ended_age_us(), now);
     if (record.trials > 0) {
       record.lastTrialAt = momentOf(request.last_trial_age_us(), now);
     }
--- a/tests/serving/coordination/admission_test.cpp
+++ b/tests/serving/coordination/admission_test.cpp
@@ -54,7 +54,7 @@
 namespace {
 
 /// Makes this daemon treat the leaf as unreachable.
-void lose(const std::shared_ptr<LeafStatus>& leaf) {
+void makeUnreachable(const std::shared_ptr<LeafStatus>& leaf) {
   leaf->onReachability(false, at(0));
   leaf->onReachability(false, at(0));
 }
@@ -70,12 +70,12 @@
     return refuseIfUnservable(route, *view, *world.context, at(moment));
   };
   for (const std::string shard : {"s0", "s1"}) {
-    lose(world.registry.leafsOf(shard)[0]);
+    makeUnreachable(world.registry.leafsOf(shard)[0]);
   }
   REQUIRE_FALSE(refusal(1));
-  lose(world.registry.leafsOf("s0")[1]);
+  makeUnreachable(world.registry.leafsOf("s0")[1]);
   REQUIRE_FALSE(refusal(1));
-  lose(world.registry.leafsOf("s1")[1]);
+  makeUnreachable(world.registry.leafsOf("s1")[1]);
   REQUIRE(refusal(1));
   REQUIRE(refusal(1)->retryAfter >= world.context->policy.retryAfter);
   REQUIRE(refusal(1)->retryAfter <= std::chrono::milliseconds(1500));
--- a/tests/serving/coordination/hedge_delay_test.cpp
+++ b/tests/serving/coordination/hedge_delay_test.cpp
@@ -13,11 +13,11 @@
     const bool paused = number % 10 == 0;
     latency.record(std::chrono::milliseconds(paused ? 180 : 20), at(number));
   }
-  REQUIRE(latency.typical() == std::chrono::milliseconds(20));
+  REQUIRE(latency.median() == std::chrono::milliseconds(20));
   REQUIRE(latency.high() <= std::chrono::milliseconds(50));
   Query query(view, route, *world.context, at(2000), at(9000));
   query.start(at(2000));
-  REQUIRE(query.nextDecisionAt() >= at(2000) + latency.typical() * 2);
+  REQUIRE(query.nextDecisionAt() >= at(2000) + latency.median() * 2);
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/leaf_assignment_test.cpp
+++ b/tests/serving/coordination/leaf_assignment_test.cpp
@@ -18,7 +18,7 @@
   }
   ShardOwners owners(daemons[number]);
   owners.setDaemons({daemons.begin(), daemons.end()});
-  return assignLeafs(view, FleetSize{count, 1, count, 1, {1.5, 5}}, daemons[number], owners);
+  return assignLeafs(view, FleetParameters{count, 1, count, 1, {1.5, 5}}, daemons[number], owners);
 }
 
 }  // namespace
--- a/tests/serving/coordination/query_test.cpp
+++ b/tests/serving/coordination/query_test.cpp
@@ -53,11 +53,11 @@
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const QueryActions started = startAndWrite(query, at(0));
   query.onOutcome(started.sends[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(5));
-  const QueryActions gone = query.onCallerDisconnected();
-  const std::vector<ExchangeId> out{started.sends[1].exchange, started.sends[2].exchange,
-                                    started.sends[3].exchange};
-  REQUIRE(gone.cancellations == out);
-  REQUIRE_FALSE(gone.answer);
+  const QueryActions disconnected = query.onCallerDisconnected();
+  const std::vector<ExchangeId> pending{started.sends[1].exchange, started.sends[2].exchange,
+                                        started.sends[3].exchange};
+  REQUIRE(disconnected.cancellations == pending);
+  REQUIRE_FALSE(disconnected.answer);
   REQUIRE(query.finished());
   REQUIRE(query.onTimer(at(150)).sends.empty());
   REQUIRE(query.nextDecisionAt() == kNever);
@@ -350,7 +350,7 @@
                                    : *rc::gen::element(Kind::kNotSent, Kind::kExpired);
     if (kind != Kind::kNotSent && kind != Kind::kExpired && kind != Kind::kNotExecuted &&
         kind != Kind::kWrongInstance) {
-      ++mayHaveRun_;
+      ++mayHaveExecuted_;
       const LeafEntry& leaf = sent.action.leaf->entry();
       ranAt_[leaf.service].insert(leaf.id);
       RC_ASSERT(ranAt_[leaf.service].size() <= route_.attempts);
@@ -360,7 +360,7 @@
 
   void take(const QueryActions& actions) {
     for (const SendAction& send : actions.sends) {
-      const bool alone = sent_.empty() && mayHaveRun_ == 0;
+      const bool alone = sent_.empty() && mayHaveExecuted_ == 0;
       RC_ASSERT(route_.repeatable || alone);
       sent_.push_back(Sent{send});
     }
@@ -372,7 +372,7 @@
 
   void checkAnswer() const {
     if (std::holds_alternative<Refusal>(*answer_)) {
-      RC_ASSERT(mayHaveRun_ == 0U);
+      RC_ASSERT(mayHaveExecuted_ == 0U);
     }
     if (const auto* merged = std::get_if<MergedAnswer>(&*answer_)) {
       RC_ASSERT(merged->signatures.size() + merged->missingShards == kShards.size());
@@ -389,7 +389,7 @@
   std::vector<Sent> sent_;
   std::map<std::string, double> arrivals_;
   std::map<std::string, std::set<std::string>> ranAt_;
-  std::size_t mayHaveRun_ = 0;
+  std::size_t mayHaveExecuted_ = 0;
   std::optional<FinalAnswer> answer_;
 };
 
--- a/tests/serving/coordination/request_quarantine_test.cpp
+++ b/tests/serving/coordination/request_quarantine_test.cpp
@@ -115,10 +115,10 @@
 TEST_CASE("daemons with the same evidence give the same verdict, whatever the order", "[serving]") {
   OAKPIER_PROPERTY("order of evidence", [] {
     const auto count = *rc::gen::inRange<std::size_t>(1, 12);
-    std::vector<RequestQuarantine> observeres(3);
+    std::vector<RequestQuarantine> observers(3);
     int now = 1000;
     for (std::size_t step = 0; step < count; ++step) {
-      RequestQuarantine& observer = observeres[*rc::gen::inRange<std::size_t>(0, 3)];
+      RequestQuarantine& observer = observers[*rc::gen::inRange<std::size_t>(0, 3)];
       now += *rc::gen::inRange(0, 400);
       switch (*rc::gen::inRange(0, 5)) {
         case 0:
@@ -132,7 +132,7 @@
       }
     }
     std::vector<QuarantineRecord> reported;
-    for (const RequestQuarantine& observer : observeres) {
+    for (const RequestQuarantine& observer : observers) {
       for (const QuarantineRecord& record : observer.newest(4)) {
         reported.push_back(record);
       }
--- a/tests/serving/coordination/retry_budget_test.cpp
+++ b/tests/serving/coordination/retry_budget_test.cpp
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE("a new owner of a service has a small budget until a window has passed", "[serving]") {
-  const RetryLimitShare share(FleetRetryLimit{0.2, 100, kWindow}, 5, RetryLimitShare::Holder::kOwner);
+  const RetryLimitShare share(FleetRetryLimit{0.2, 100, kWindow}, 5, RetryLimitShare::Scope::kOwner);
   RandomEngine random(5);
   RetryBudgets budgets(share.limit(), at(0), random);
   const auto spentAt = [&](int milliseconds) {
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("the first window of an owned service starts when ownership is acquired", "[serving]") {
-  const RetryLimitShare share(FleetRetryLimit{0.2, 100, kWindow}, 5, RetryLimitShare::Holder::kOwner);
+  const RetryLimitShare share(FleetRetryLimit{0.2, 100, kWindow}, 5, RetryLimitShare::Scope::kOwner);
   RandomEngine random(5);
   RetryBudgets budgets(share.limit(), at(0), random);
   const auto spentAt = [&](int milliseconds) {
--- a/tests/serving/programs/owner_client_test.cpp
+++ b/tests/serving/programs/owner_client_test.cpp
@@ -26,7 +26,7 @@
     order.request = std::make_shared<const HttpRequest>(HttpRequest{"GET", "/all/", {{"X-Id", "7"}}, "body"});
     order.route = std::make_shared<const Route>(gatherRoute({"s", "t", "u"}, 0.5));
     order.leafDeadline = Moment::max();
-    order.targetDeadline = Moment::max();
+    order.answerBy = Moment::max();
     order.listener =
         std::make_shared<const OwnerClient::Listener>([this](const std::vector<ExchangeOutcome>& told) {
           outcomes.insert(outcomes.end(), told.begin(), told.end());
