--- a/src/coordination/serving/admission.cpp
+++ b/src/coordination/serving/admission.cpp
@@ -12,7 +12,7 @@
 
 /// A request is refused if its expected answer time exceeds this multiple of the target latency.
 constexpr double kOverloadFactor = 1.5;
-/// Maximum retry delay, before the random addition of up to half as much.
+/// Maximum retry delay. `refuseIfUnservable` adds up to half as much at random.
 constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
 /// Stands for the answer time of a service without a usable leaf.
 constexpr Duration kNoUsableLeaf = std::chrono::seconds(60);
--- a/src/coordination/serving/crash_guard.h
+++ b/src/coordination/serving/crash_guard.h
@@ -23,7 +23,7 @@
   }
   void onHedge() { ++hedges_; }
   bool isTrial() const { return trial_; }
-  /// While no leaf has answered, all of them may be slow because of the request itself and crash soon, so
+  /// While no leaf has answered, the leafs may be slow because of the request itself, and about to crash, so
   /// only a few hedges are allowed.
   bool mayHedge() const { return !blocksSends() && (answered_ || hedges_ < kMaxHedgesUnanswered); }
   /// Whether further sends are forbidden for now.
@@ -31,8 +31,8 @@
   std::size_t crashedLeafs() const { return crashes_; }
 
  private:
-  /// One crash may have another cause; two under the same request hardly have. A harmless request only waits
-  /// until any of its leafs answers.
+  /// One crash may have another cause; two under the same request are unlikely to be a coincidence. A
+  /// harmless request only waits until any of its leafs answers.
   static constexpr std::size_t kCrashesBeforeBlock = 2;
 
   /// If the request is harmless, one of this many hedges is very likely to be answered soon.
--- a/src/coordination/serving/direct_part.cpp
+++ b/src/coordination/serving/direct_part.cpp
@@ -145,6 +145,7 @@
   crashGuard_.onOutcome(outcome.kind);
   addTraceEvent(Decision::kOutcome, attempt->leaf, now, outcome.kind);
   if (state_ != State::kOpen) {
+    // Other answers of the same merge may omit records that rank below those of this one.
     if (state_ == State::kAnswered && outcome.merged && outcome.kind == LeafOutcome::Kind::kAnswered) {
       outcome_ = outcome;
     }
--- a/src/coordination/serving/direct_part.h
+++ b/src/coordination/serving/direct_part.h
@@ -5,8 +5,9 @@
 /// Invariants: at most `attempts` leafs can have executed the request; a request that is not repeatable is
 /// sent to another leaf only after every earlier one is known not to have executed it; every send after one
 /// that may have arrived is paid for from the service's budget; nothing is sent to a leaf that usually takes
-/// longer than the time left; an unanswered part is retried at most once after the leafs' deadline; nothing
-/// is sent after the first send while the request's `CrashGuard` blocks sends.
+/// longer than the time left; an unanswered part is retried at most once after the leafs' deadline; while the
+/// request's `CrashGuard` blocks sends, nothing is sent after the first send, except that a trial may go to
+/// another leaf if the first one was unreachable.
 
 #include <optional>
 #include <string>
--- a/src/coordination/serving/leaf_assignment.h
+++ b/src/coordination/serving/leaf_assignment.h
@@ -18,7 +18,7 @@
 
 namespace oakpier::serving {
 
-/// Number of daemons and zones that share the leafs.
+/// What the assignment depends on beside the configuration.
 struct FleetParameters {
   /// Daemons that connections are planned for. Higher than the current number, to allow for growth.
   std::size_t planned = 1;
@@ -27,6 +27,7 @@
   /// used until any daemon is known, are high, so that this daemon sends little to cold leafs.
   std::size_t maxPlanned = 1000;
   std::size_t maxZones = 10;
+  /// The operator's limit for cold leafs.
   WarmupTolerance warmup = {};
 };
 
--- a/src/coordination/serving/leaf_outcome.h
+++ b/src/coordination/serving/leaf_outcome.h
@@ -52,7 +52,8 @@
   /// Remaining warm-up time, if the leaf reported it.
   std::optional<Duration> warmupLeft;
   /// The answer came from a merge server. It omits records that rank below those of earlier answers of the
-  /// same merge, so none of these may be replaced by another leaf's answer.
+  /// same merge, so these must all be used: a merged answer replaces an answer to the same part that was sent
+  /// directly, and is never replaced by one.
   bool merged = false;
 };
 
--- a/src/coordination/serving/leaf_selection.cpp
+++ b/src/coordination/serving/leaf_selection.cpp
@@ -8,7 +8,7 @@
 
 constexpr Duration kPreferredZonePenalty = std::chrono::milliseconds(12);
 constexpr Duration kOtherZonePenalty = std::chrono::milliseconds(18);
-/// Added for a leaf with an overdue answer.
+/// A leaf with an overdue answer is expected to stay unresponsive for at least this much longer.
 constexpr Duration kOverduePenalty = std::chrono::milliseconds(100);
 constexpr Duration kEjectedPenalty = std::chrono::seconds(10);
 constexpr double kWarmupFactor = 1.6;
--- a/src/coordination/serving/leaf_selection.h
+++ b/src/coordination/serving/leaf_selection.h
@@ -13,7 +13,7 @@
 
 namespace oakpier::serving {
 
-/// Time that a leaf of average speed needs to answer a request of one route.
+/// Bounds on the time that a leaf of average speed needs to answer a request of one route.
 struct LatencyBounds {
   /// Service time and network round trip, without queueing.
   Duration unloadedLatency{};
@@ -40,7 +40,7 @@
 /// Minimum time in which the leaf usually answers, without queueing.
 Duration minResponseTime(const LeafStatus& leaf, const LatencyBounds& bounds);
 
-/// Expected latency from the leaf's speed and queue length.
+/// Expected latency including the time in the leaf's queue, from its speed and queue length.
 Duration latencyWithQueue(const LeafStatus& leaf, Duration medianLatency, Moment now);
 
 /// `latencyWithQueue` plus penalties for other zones, overdue answers and ejected leafs.
--- a/src/coordination/serving/leaf_status.cpp
+++ b/src/coordination/serving/leaf_status.cpp
@@ -13,7 +13,8 @@
 constexpr double kMaxLatencyRatio = 20.0;
 /// Reported load is ignored after this time.
 constexpr Duration kLoadReportLifetime = std::chrono::milliseconds(150);
-/// Consecutive failures before a leaf is ejected.
+/// Consecutive failures before a reachable leaf is ejected. A leaf that could not be reached is ejected
+/// immediately.
 constexpr unsigned kFailuresBeforeEjection = 3;
 /// Consecutive failed attempts to reach a leaf before it counts as unreachable. A single one may be a
 /// connection that the leaf reset because it has too many.
--- a/src/coordination/serving/leaf_status.h
+++ b/src/coordination/serving/leaf_status.h
@@ -34,7 +34,7 @@
   void onFinished(std::uint64_t exchange, LeafOutcome::Kind kind, Moment now);
   void onLoadReport(const ReportedLoad& load, Moment now);
 
-  /// Reports whether a connection to the leaf could be opened.
+  /// Called when a connection to the leaf was opened or could not be opened.
   void onReachability(bool reachable, Moment now);
 
   std::size_t inProgress() const { return inProgress_.size(); }
@@ -44,11 +44,12 @@
   /// How long the leaf's answer to the most overdue request is overdue; zero if none is.
   Duration overdueFor(Moment now) const;
   bool ejected(Moment now) const { return now < ejectedUntil_; }
-  /// Several attempts in a row to reach the leaf failed. Nothing is sent to it until a connection is
-  /// established or `retryAt` has passed.
+  /// At least twice in a row, a connection could not be opened or a request was cancelled after the leaf had
+  /// long been unresponsive. Nothing is sent to it until a connection is established or `retryAt` has passed.
   bool unreachable(Moment now) const;
   /// When an unreachable leaf is tried again.
   Moment retryAt() const { return ejectedUntil_; }
+  /// Whether the leaf is cold, that is, still warming up after its start.
   bool warmingUp(Moment now) const { return now < warmUntil_; }
   /// The leaf reported its remaining warm-up time.
   void onWarmup(Duration left, Moment now) { warmUntil_ = now + left; }
@@ -78,7 +79,7 @@
   Moment lastAnswerAt_{};
   double latencyRatio_ = 1.0;
   unsigned consecutiveFailures_ = 0;
-  /// Consecutive attempts without a connection or a response.
+  /// Consecutive failed connections and cancelled requests of an unresponsive leaf.
   unsigned consecutiveUnreachable_ = 0;
   Moment ejectedUntil_{};
   ReportedLoad load_;
@@ -95,7 +96,7 @@
   /// Adds the leafs of a service; does nothing if the service already has leafs.
   void add(const std::string& service, const std::vector<LeafEntry>& entries, Moment now);
   const Leafs& leafsOf(const std::string& service) const;
-  /// Reports whether a connection to this incarnation of the leaf could be opened.
+  /// Called when a connection to this incarnation of the leaf was opened or could not be opened.
   void onReachability(const LeafEntry& leaf, bool reachable, Moment now);
 
  private:
--- a/src/coordination/serving/query.cpp
+++ b/src/coordination/serving/query.cpp
@@ -31,8 +31,8 @@
   const auto share = Duration(static_cast<std::int64_t>(target * context.policy.answerMarginShare));
   answerBy_ = receivedAt + route.targetLatency - context.policy.answerMargin - share;
   leafDeadline_ = deadline_;
-  // A trial gets the caller's full deadline: if it timed out before the leaf answers or crashes, it would
-  // prove nothing.
+  // The leaf of a trial gets the whole time of the query: if the trial timed out before the leaf answers or
+  // crashes, it would prove nothing.
   if (isGather() && !isTrial()) {
     const auto useful = Duration(static_cast<std::int64_t>(target * context.policy.leafDeadlineFactor));
     leafDeadline_ = std::min(deadline_, receivedAt + useful);
--- a/src/coordination/serving/query.h
+++ b/src/coordination/serving/query.h
@@ -45,9 +45,11 @@
 
   /// When `onTimer` must be called next.
   Moment nextDecisionAt() const;
-  /// Deadline of the requests to leafs. For a scatter-gather query it is earlier than the caller's deadline:
-  /// later answers have little value and delay newer requests at the leafs.
+  /// Deadline of the requests to leafs. For a scatter-gather query that is not a trial, at most
+  /// `policy.leafDeadlineFactor` target latencies after arrival: later answers have little value and delay
+  /// newer requests at the leafs. Otherwise `deadline()`.
   Moment leafDeadline() const { return leafDeadline_; }
+  /// When the query ends at the latest; earlier than the caller's deadline.
   Moment deadline() const { return deadline_; }
   /// From this time on a scatter-gather query answers as soon as enough shards have answered.
   Moment answerBy() const { return answerBy_; }
@@ -57,7 +59,7 @@
   const SourcePosition& sourcePosition() const { return view_->position; }
   Moment receivedAt() const { return receivedAt_; }
   const RequestTrace& trace() const { return *trace_; }
-  /// How much `answer`, given at `now`, falls short of a complete answer in time, by cause.
+  /// The share of a complete, timely answer that `answer`, given at `now`, lacks, divided by cause.
   Loss lossOf(const FinalAnswer& answer, Moment now) const;
   /// Leafs whose process terminated before it answered this query.
   std::size_t crashedLeafs() const { return crashGuard_->crashedLeafs(); }
@@ -73,7 +75,7 @@
   struct PartCounts {
     std::ptrdiff_t answered = 0;
     std::ptrdiff_t settled = 0;
-    /// Parts that cannot get an answer within the target latency any more, or have one.
+    /// Parts that are answered, exhausted, or open only for a late retry.
     std::ptrdiff_t settledForTarget = 0;
   };
   /// Runs `step` on the part, then updates the counts and registers the exchanges that it started.
@@ -122,6 +124,7 @@
   PartCounts partCounts_;
   /// The part that was answered last.
   const QueryPart* lastAnswered_ = nullptr;
+  /// `answerBy_` has passed.
   bool answerDue_ = false;
   bool finished_ = false;
 };
--- a/src/coordination/serving/query_actions.h
+++ b/src/coordination/serving/query_actions.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Actions that a query requests from its caller, which does the I/O.
+/// Actions that the owner of a query must carry out; the query itself does no I/O.
 
 #include <cstdint>
 #include <memory>
--- a/src/coordination/serving/query_part.h
+++ b/src/coordination/serving/query_part.h
@@ -12,7 +12,8 @@
 namespace oakpier::serving {
 
 struct PartDeadlines {
-  /// No hedge is sent after this time, as its answer would be late.
+  /// When the query answers with the shards received so far, shortly before the target latency. No hedge is
+  /// sent after this time.
   Moment answerBy = kNever;
   /// Deadline of the requests to leafs.
   Moment leafDeadline = kNever;
@@ -53,7 +54,7 @@
   virtual LossCause lossCause() const = 0;
 
   State state() const { return state_; }
-  /// Whether the part is answered, or cannot be answered within the target latency any more.
+  /// Whether the part is answered, exhausted, or open only for a late retry.
   bool settledForTarget() const { return state_ != State::kOpen || awaitsLateRetry_; }
   /// The answer, or for an exhausted part the error response of a leaf, if any.
   const LeafOutcome& outcome() const { return outcome_; }
--- a/src/coordination/serving/query_policy.h
+++ b/src/coordination/serving/query_policy.h
@@ -43,7 +43,8 @@
     high_.record(latency, now);
   }
   Duration median() const { return median_.estimate().value_or(targetLatency_ / 5); }
-  /// Service time and network round trip without queueing, estimated by the first quartile of latencies.
+  /// Latency without queueing, that is, service time plus network round trip, estimated by the first
+  /// quartile.
   Duration unloadedLatency() const { return firstQuartile_.estimate().value_or(targetLatency_ / 5); }
   /// With this much time left, a request may be sent to any leaf, however slow its recent answers, since that
   /// estimate may be outdated. Half the target latency, so that the first send is always allowed.
--- a/src/coordination/serving/request_quarantine.h
+++ b/src/coordination/serving/request_quarantine.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Quarantine for requests that crash the leafs that execute them, from the crashes that this daemon and its
-/// peers have seen.
+/// Detects requests that crash the leafs that execute them, and quarantines them, based on the crashes that
+/// this daemon and its peers have seen.
 ///
 /// Requests are identified by fingerprint, since each attempt has a new id. A crash counts against every
 /// unanswered request at the leaf; an answer from any leaf clears a request. After two crashes without an
@@ -9,10 +9,11 @@
 /// the trial crashes its leaf and at least three leafs have crashed in all, the request is quarantined: all
 /// daemons refuse it until the quarantine expires, and then allow another trial.
 ///
-/// Invariants: crashes before an answer never quarantine the request; the interval between trials grows with
-/// each trial that ends without an answer; merging the records of daemons is commutative.
+/// Invariants: once a leaf has answered a request, crashes from before that answer no longer count against
+/// it; the interval between trials grows with each trial that ends without an answer; the verdict does not
+/// depend on the order in which records are merged.
 ///
-/// Holds at most `kMaxRecords` records; the one with the oldest crash is dropped first.
+/// Holds at most `kMaxRecords` records; the one with the oldest crash or answer is dropped first.
 
 #include <cstdint>
 #include <optional>
@@ -28,9 +29,9 @@
   /// How long a request is refused before the next trial. Bounds both the rate of crashes by a request that
   /// still crashes leafs and the time until a repaired service accepts the request again.
   Duration quarantineDuration = std::chrono::hours(1);
-  /// A record is dropped this long after the last crash.
+  /// A record is dropped this long after the last crash or answer.
   Duration retention = std::chrono::hours(24);
-  /// A record without a trial is dropped this long after the last crash.
+  /// A record without a trial is dropped this long after the last crash or answer.
   Duration suspectRetention = std::chrono::minutes(10);
   /// A trial starts only after this long without a crash, so that another request is unlikely to crash the
   /// trial's leaf. Must exceed the time between the crashes that one request causes.
@@ -45,8 +46,8 @@
   RequestFingerprint fingerprint;
   /// Incremented by an answer. When records are merged, the higher epoch replaces the lower.
   std::uint32_t epoch = 0;
-  /// Hashes of the leaf incarnations that crashed under the request, in ascending order; at most
-  /// `kMaxCrashedLeafs` are kept.
+  /// Hashes of the leaf incarnations that crashed under the request, in ascending order. Of more than
+  /// `kMaxCrashedLeafs`, an unspecified selection is kept.
   std::vector<std::uint64_t> crashedLeafs;
   std::uint32_t trials = 0;
   /// Time of the last crash, or of the answer that cleared the record.
@@ -110,7 +111,7 @@
   Duration trialBackoff(std::uint32_t trials) const;
   bool expired(const QuarantineRecord& record, Moment now) const;
   Entry& entryOf(const RequestFingerprint& fingerprint);
-  /// Drops the record with the oldest crash if there are `kMaxRecords`.
+  /// Drops the record with the oldest crash or answer if there are `kMaxRecords`.
   void evictIfFull();
 
   QuarantineSettings settings_;
--- a/src/coordination/serving/request_trace.h
+++ b/src/coordination/serving/request_trace.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Trace of the decisions for one request, kept in memory until the request ends and logged only then if
-/// needed.
+/// Trace of the decisions for one request, kept in memory until the request ends, and logged then if it
+/// failed or its answer was late or partial.
 
 #include <memory>
 #include <optional>
--- a/src/coordination/serving/retry_budget.h
+++ b/src/coordination/serving/retry_budget.h
@@ -34,8 +34,9 @@
   double capacity = 3.0;
   /// Length of the window in which the operator counts extra attempts.
   Duration window = std::chrono::seconds(10);
-  /// Set if services move between daemons: the tokens that a daemon starts with when it takes over a service.
-  /// The previous owner may have used the rest in the current window.
+  /// Set if services move between daemons: the tokens that a daemon starts with when it takes over a service
+  /// (none in the first window of its process). The previous owner may have used the rest in the current
+  /// window.
   std::optional<double> initialTokens;
 };
 
@@ -140,8 +141,8 @@
   double tokens_ = 0.0;
   bool filled_ = false;
   bool owned_ = false;
-  /// Start of the daemon's first window with the service. Reset if it uses the service again after an idle
-  /// window without owning it.
+  /// Start of the daemon's first window with the service. Reset at the first use after a window without use,
+  /// unless the daemon owns the service.
   Moment acquiredAt_{};
   Moment usedAt_{};
 };
--- a/src/coordination/serving/warmup_allowance.h
+++ b/src/coordination/serving/warmup_allowance.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Limits the rate of requests from this daemon to a cold leaf, so that all daemons together stay within the
-/// operator's limit. A leaf that is still warming up fails under a much higher rate.
+/// Limits the rate of requests from this daemon to a cold leaf, that is, one that is still warming up, so
+/// that all daemons together stay within the operator's limit. A cold leaf fails under a much higher rate.
 
 #include <algorithm>
 #include <cmath>
--- a/tests/serving/coordination/admission_test.cpp
+++ b/tests/serving/coordination/admission_test.cpp
@@ -41,7 +41,7 @@
   REQUIRE(refuseIfOverloaded(route, *world.context, at(1)));
 }
 
-TEST_CASE("a service without a reachable leaf is not refused as overloaded", "[serving]") {
+TEST_CASE("a service without a reachable leaf is not refused as overloaded but tried", "[serving]") {
   const auto view = viewOf({singleRoute("s", true, 2)}, {"s"}, 1);
   QueryWorld world(view);
   const auto leaf = world.registry.leafsOf("s").front();
--- a/tests/serving/coordination/request_quarantine_test.cpp
+++ b/tests/serving/coordination/request_quarantine_test.cpp
@@ -22,7 +22,7 @@
   return quarantine.assess(kRequest, at(milliseconds)).verdict;
 }
 
-/// `kRequest` has crashed this many leafs.
+/// A quarantine in which `kRequest` has crashed this many leafs.
 RequestQuarantine quarantineWithCrashes(std::uint64_t crashedLeafs) {
   RequestQuarantine quarantine;
   for (std::uint64_t leaf = 1; leaf <= crashedLeafs; ++leaf) {
@@ -33,7 +33,8 @@
 
 }  // namespace
 
-TEST_CASE("one crashed leaf, even if it crashed twice, does not make a request suspect", "[serving]") {
+TEST_CASE("one crashed leaf, even if its crash is reported twice, does not make a request suspect",
+          "[serving]") {
   RequestQuarantine quarantine = quarantineWithCrashes(1);
   quarantine.onLeafCrashed(kRequest, 1, at(1100));
   REQUIRE(verdictOf(quarantine, kLater) == Verdict::kUnsuspected);
--- a/tests/serving/coordination/retry_budget_test.cpp
+++ b/tests/serving/coordination/retry_budget_test.cpp
@@ -39,7 +39,8 @@
 
 }  // namespace
 
-TEST_CASE("extra attempts never exceed the tokens from requests, nor tokens the capacity", "[serving]") {
+TEST_CASE("extra attempts never exceed the tokens earned, nor does the bucket exceed its capacity",
+          "[serving]") {
   OAKPIER_PROPERTY("budget", [] {
     const DaemonRetryLimit limit{*rc::gen::element(0.05, 0.2, 0.5), *rc::gen::element(1.0, 3.0), kWindow, {}};
     const auto requests = *rc::gen::container<std::vector<bool>>(300, rc::gen::arbitrary<bool>());
@@ -84,7 +85,7 @@
   });
 }
 
-TEST_CASE("a daemon in a network partition does not use the others' shares", "[serving]") {
+TEST_CASE("a daemon on one side of a network partition does not use the others' shares", "[serving]") {
   RetryLimitShare share(FleetRetryLimit{0.2, 168, kWindow}, 12);
   share.onDaemonCount(86);
   const double capacity = share.limit().capacity;
@@ -136,7 +137,8 @@
   REQUIRE(spentAt(70'999) == 0);
 }
 
-TEST_CASE("daemons whose share is below one extra attempt still use it on average", "[serving]") {
+TEST_CASE("daemons whose share is below one token make that share of extra attempts on average",
+          "[serving]") {
   RandomEngine random(5);
   const FleetRetryLimit total{0.2, 56, kWindow};
   REQUIRE(spentByAll(300, 2, total, random) > 80);
