--- a/src/coordination/serving/departed_leafs.cpp
+++ b/src/coordination/serving/departed_leafs.cpp
@@ -4,10 +4,10 @@
 
 namespace {
 
-/// A source comes back from a copy that is some seconds old, and forgets its own history after 20 s on the
-/// deployments that tell a time.
+/// Longer than the age of a backup, which is some seconds, and than the source's history, which is 20 s on
+/// deployments that state it.
 constexpr Duration kRemembered = std::chrono::seconds(60);
-/// As many ends of records as are kept for daemons that ask. By arithmetic, 250 bytes each, about a megabyte.
+/// As many as the relay keeps deletions. At 250 bytes each, about 1 MB.
 constexpr std::size_t kMostRemembered = 4096;
 
 }  // namespace
--- a/src/coordination/serving/departed_leafs.h
+++ b/src/coordination/serving/departed_leafs.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Remembers for a while which lives of leafs have ended, so that a source that comes back from an older copy
-/// cannot bring them back.
+/// Tombstones of removed leaf incarnations, so that a source that is restored from an older backup does not
+/// bring them back.
 ///
-/// Invariant: what is remembered is bounded, in time and number.
+/// Invariant: tombstones are bounded in age and number.
 
 #include <cstddef>
 #include <deque>
@@ -18,13 +18,13 @@
 /// Not thread-safe.
 class DepartedLeafs {
  public:
-  /// The life of the leaf has ended just now.
+  /// The incarnation was removed at `now`.
   void add(const LeafLife& life, Moment now);
-  /// This life of the leaf has ended lately.
+  /// Whether the incarnation has a tombstone.
   bool include(const LeafLife& life) const;
-  /// Forgets what is too old.
+  /// Drops expired tombstones.
   void onTime(Moment now);
-  /// Leafs of which an ended life is remembered.
+  /// Number of leafs with a tombstone.
   std::size_t size() const { return byId_.size(); }
 
  private:
@@ -36,7 +36,7 @@
   void forgetOldest();
 
   std::map<std::string, Departure> byId_;
-  /// In the order of departure; an id that departed again stands here twice.
+  /// In the order of removal; contains an id twice if it was removed again.
   std::deque<Departure> order_;
 };
 
--- a/src/coordination/serving/epoch_watch.h
+++ b/src/coordination/serving/epoch_watch.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Judges what the epoch in each answer of the configuration source means for what is known here.
+/// Compares the epoch that an answer of the configuration source reports with the known one.
 ///
-/// Invariant: once an epoch was told, an answer without a usable one is never taken for one of the known
-/// epoch. Whether a rise skips some epochs does not matter for what is done: the source is listed anew.
+/// Invariant: once an epoch was reported, an answer without a usable one never counts as of the known epoch.
+/// Skipped epochs make no difference: any newer epoch causes a new listing.
 
 #include <cstdint>
 
@@ -12,24 +12,24 @@
 namespace oakpier::serving {
 
 enum class EpochVerdict {
-  /// Of the epoch that is known, or of a source that has never told one, or there is no answer to judge.
+  /// The known epoch, or none from a source that has never reported one, or there is no answer.
   kKnown,
-  /// The source has come back from a copy since.
+  /// The source was restored from a backup since.
   kNewer,
-  /// Made before the source came back.
+  /// The answer is from before the source was restored.
   kOlder,
   kMissing,
   kMalformed,
 };
 
 struct EpochCounters {
-  /// Answers that told an epoch, whichever.
+  /// Answers that reported an epoch.
   std::uint64_t told = 0;
-  /// Times that a newer epoch than the known one became known.
+  /// Times that the known epoch was replaced by a newer one.
   std::uint64_t restorations = 0;
-  /// Epochs that were never heard of, as the next one was already told.
+  /// Epochs that were never seen, because a later one was reported first.
   std::uint64_t skipped = 0;
-  /// Answers of an older epoch, without one though one was told before, and with one that is no number.
+  /// Answers of an older epoch, without an epoch after one was reported, and with a malformed one.
   std::uint64_t older = 0;
   std::uint64_t missing = 0;
   std::uint64_t malformed = 0;
@@ -37,9 +37,9 @@
 
 class EpochWatch {
  public:
-  /// An answer came that tells this, while the source's state of `known` is known.
+  /// `known`: the epoch of what is known here.
   EpochVerdict judge(const ToldEpoch& told, std::uint64_t known);
-  /// The source's state of one epoch was taken over after that of another.
+  /// The known epoch changed from `before` to `now`.
   void onRestored(std::uint64_t before, std::uint64_t now);
   const EpochCounters& counters() const { return counters_; }
 
--- a/src/coordination/serving/forwarding_tree.cpp
+++ b/src/coordination/serving/forwarding_tree.cpp
@@ -5,7 +5,7 @@
 std::vector<Endpoint> forwardTo(DaemonOrder members, const Endpoint& root, const Endpoint& self) {
   members.add(root);
   members.add(self);
-  // Places are counted from the root on.
+  // Ranks are counted from the root.
   const std::size_t count = members.size();
   const std::size_t first = members.placeOf(root);
   const std::size_t own = (members.placeOf(self) + count - first) % count;
--- a/src/coordination/serving/forwarding_tree.h
+++ b/src/coordination/serving/forwarding_tree.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Whom a daemon passes news on to. All daemons that know the same members agree on one tree, rooted at the
-/// daemon that brought the news, in which each has a bounded number of children. Places go on from the root
-/// in the order of daemons, so that below a strong root the strong come first.
+/// The peers to which a daemon forwards an update. Daemons with the same member list compute the same tree of
+/// bounded degree, rooted at the reader. Its nodes are filled from the root in the order of daemons,
+/// cyclically, so that below a root of high capacity those of high capacity come first.
 
 #include <vector>
 
@@ -13,7 +13,7 @@
 
 inline constexpr std::size_t kForwardingDegree = 8;
 
-/// `members`: serving daemons, with or without the root and `self`.
+/// `members`: serving daemons, with or without `root` and `self`.
 std::vector<Endpoint> forwardTo(DaemonOrder members, const Endpoint& root, const Endpoint& self);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/peer_recovery.h
+++ b/src/coordination/serving/peer_recovery.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// How a daemon that has just started comes to know what the configuration source holds: it asks other
-/// daemons for all they know, and lists the source itself only when none has answered for a while. Seeds list
-/// it at once, as after a start of all daemons nobody knows anything: a moment without a view costs requests,
-/// three listings cost little.
+/// How a daemon gets the records of the configuration source at its start: it requests them from peers, and
+/// lists the source itself only if none replies in time. Seeds list the source immediately, because after a
+/// start of all daemons nobody could reply. A few listings cost little, but requests fail while there is no
+/// configuration.
 ///
-/// Invariant: a daemon that gets no answer lists the source after a bounded time.
+/// Invariant: a daemon that gets no reply lists the source after a bounded time.
 
 #include <optional>
 #include <vector>
@@ -17,14 +17,15 @@
 namespace oakpier::serving {
 
 struct PeerRecoverySettings {
-  /// Between requests to other daemons. The first may come before the seed has started.
+  /// Between requests to peers. The first may be sent before the seed has started.
   Duration askPeriod = std::chrono::milliseconds(100);
-  /// How long others wait for an answer: a seed's listing and the way of its answer on a tenth of a
-  /// processor.
+  /// How long daemons that are no seeds wait for a reply: time for a seed's listing and its reply, both on a
+  /// tenth of a CPU.
   Duration patience = std::chrono::milliseconds(300);
-  /// They list up to this much later, so that they don't all call at once.
+  /// They list the source after a further random delay up to this, so that they do not all call
+  /// simultaneously.
   Duration longestSpread = std::chrono::milliseconds(700);
-  /// Daemons that are assumed to start at once.
+  /// Number of daemons that are assumed to start simultaneously.
   std::size_t assumedDaemons = 100;
 };
 
@@ -33,19 +34,20 @@
   PeerRecovery(const Endpoint& self, const PeerRecoverySettings& settings)
       : self_(self), settings_(settings) {}
 
-  /// `seeds`: daemons to ask first; this one may be among them. Without any the source is listed at once.
+  /// `seeds`: the peers to request from first; may contain this daemon. If there are no others, the source is
+  /// listed immediately.
   void start(const std::vector<Endpoint>& seeds, Moment now, RandomEngine& random);
-  /// Other daemons that may be asked. The first that are known are asked at once.
+  /// Peers that can be requested from. The first time that there are any, a request is due immediately.
   void setMembers(const std::vector<Endpoint>& members);
 
-  /// The daemon to ask now, if one is due.
+  /// The peer to send a request to now, if one is due.
   std::optional<Endpoint> takeAsk(Moment now, RandomEngine& random);
   Moment nextAskAt() const { return nextAskAt_; }
-  /// Another daemon, for who cannot read the source; a seed while no other is known.
+  /// A random peer; a seed while no members are known.
   std::optional<Endpoint> drawOther(RandomEngine& random) const;
-  /// Seeds, and a daemon without any, read for the others from their start on.
+  /// This daemon is a seed or has none: it reads the source for the others from its start.
   bool readsFirst() const { return readsFirst_; }
-  /// From then on this daemon lists the source itself.
+  /// When this daemon lists the source itself unless it got a reply.
   Moment listAt() const { return listAt_; }
 
  private:
--- a/src/coordination/serving/reader_election.h
+++ b/src/coordination/serving/reader_election.h
@@ -1,11 +1,12 @@
 #pragma once
 
-/// Decides which daemon reads the configuration source for all. The first in order does (`DaemonOrder`); when
-/// its news is overdue others take over, a few at first, and one that has taken over goes on until it hears a
-/// reader before it.
+/// Decides which daemon reads the configuration source for all. The first in `DaemonOrder` does. When its
+/// updates are overdue, others take over, staggered so that only a few call at a time; a daemon that took
+/// over remains reader until it receives an update from a reader that ranks before it.
 ///
-/// Invariants: whatever daemons are lost or refused, one that can reach the source and hears no news reads
-/// after a bounded time; of daemons that hear each other and hold equal member tables one goes on reading.
+/// Invariants: a daemon that can reach the source and receives no updates reads after a bounded time,
+/// whichever others fail or are refused by the source. Of daemons that can reach each other and agree on the
+/// members, one remains reader.
 
 #include "coordination/serving/daemon_order.h"
 #include "state/endpoint.h"
@@ -15,22 +16,22 @@
 namespace oakpier::serving {
 
 struct ReaderElectionSettings {
-  /// News that is this late counts as overdue: some hops between daemons that may have to wait for the next
-  /// tenth of a second of their processor's quota.
+  /// Updates count as overdue when they are this late: time for some hops between daemons that may be
+  /// throttled by their CPU quota until its next period of 100 ms.
   Duration newsGrace = std::chrono::milliseconds(200);
-  /// The daemons next in order take over one after the other, a call and a way through the tree apart.
+  /// The next daemons in order take over this much apart: time for a call and for its result to pass the
+  /// forwarding tree.
   Duration staggerStep = std::chrono::milliseconds(120);
   std::size_t staggeredDaemons = 4;
-  /// All others draw a delay beyond that, longer the more there are, up to a bound.
+  /// All others draw a random delay beyond that. Its maximum grows with their number, up to a bound.
   Duration spreadPerDaemon = std::chrono::milliseconds(5);
   Duration longestSpread = std::chrono::milliseconds(600);
-  /// After failed calls a daemon waits at most this long for each daemon that may call as well, so that an
-  /// outage is not met by a storm of calls; between these bounds, as the source's return must be noticed
-  /// soon.
+  /// The maximum backoff after failed calls grows with the number of daemons, which limits the rate of calls
+  /// during an outage. It stays between these bounds, so that the source's return is noticed soon.
   Duration backoffPerDaemon = std::chrono::milliseconds(10);
   Duration leastLongestBackoff = std::chrono::milliseconds(1000);
   Duration mostLongestBackoff = std::chrono::milliseconds(1500);
-  /// A daemon that knows no other for this long since its start is taken to be the only one.
+  /// A daemon that knows no peers for this long after its start assumes that it is the only one.
   Duration aloneAfter = std::chrono::seconds(3);
 };
 
@@ -39,31 +40,32 @@
   ReaderElection(const Endpoint& self, const ReaderElectionSettings& settings)
       : self_(self), settings_(settings) {}
 
-  /// `others`: other daemons are expected, as the settings name some.
+  /// `others`: peers are expected, because the settings name some.
   void start(bool others, Moment now);
-  /// Serving daemons, this one included.
+  /// `members`: serving daemons, including this one.
   void setMembers(DaemonOrder members);
-  /// This daemon's place among the members.
+  /// This daemon's rank among the members; 0 is the first.
   std::size_t place() const { return place_; }
 
-  /// News of another daemon's reading was taken over.
+  /// An update read by another daemon was applied.
   void onNews(const Endpoint& reader);
-  /// This daemon has read and goes on, until it hears a reader before it.
+  /// This daemon has read the source and remains reader until it receives an update from a reader that ranks
+  /// before it.
   void takeOver() { tookOver_ = true; }
-  /// The source has answered a call of this daemon.
+  /// A call of this daemon succeeded.
   void onAnswer() { lastCallFailed_ = false; }
-  /// A call of this daemon has failed; it leaves reading to others until one succeeds.
+  /// A call of this daemon failed: it is not the reader until one succeeds.
   void onFailure();
 
-  /// This daemon reads on whatever news it hears.
+  /// This daemon is the reader, whether or not it receives updates of others.
   bool reads(Moment now) const;
-  /// How long news may be overdue before this daemon reads.
+  /// How long updates must be overdue before this daemon reads.
   Duration stagger(Moment now, RandomEngine& random) const;
-  /// The longest wait after a failed call.
+  /// The maximum backoff after a failed call.
   Duration longestBackoff() const;
 
  private:
-  /// The first, as far as the others are known.
+  /// This daemon is first in order; one without known peers only after `aloneAfter`.
   bool first(Moment now) const;
 
   Endpoint self_;
--- a/src/coordination/serving/serving_knowledge.cpp
+++ b/src/coordination/serving/serving_knowledge.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// With the reading daemon lost, others know what it would have told after this time.
+/// How late an update is received at most if the reader was lost.
 constexpr Duration kLatestNews = std::chrono::seconds(2);
 
-/// The view needs digests of keys only. What it leaves out cannot be logged or passed on by mistake, and is
-/// not held a second time: the source's record stays in memory for daemons that ask for everything.
+/// The view needs only the digests of keys. Leaving out the keys prevents that they are logged or sent by
+/// mistake, and saves a second copy: the relay still holds the source's record.
 std::shared_ptr<const ServingConfiguration> withoutKeys(
     std::shared_ptr<const ServingConfiguration> configuration) {
   if (configuration->tenants.empty()) {
--- a/src/coordination/serving/source_follower.cpp
+++ b/src/coordination/serving/source_follower.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Entries of leafs that one answer or message may report as unusable: any writer can make any number of
-/// them, and each is a line in the log of every daemon.
+/// Limit of the invalid leaf entries reported per answer or message: writers can make any number of them, and
+/// each is a log line at every daemon.
 constexpr std::size_t kMostProblemsTold = 8;
 
 }  // namespace
@@ -115,7 +115,7 @@
   if (!toldBefore && epochs_.counters().told > 0) {
     actions.notices.emplace_back(EpochsTold{told.epoch});
   }
-  // To a daemon that knows nothing yet every epoch is newer.
+  // To a daemon that has no state yet, every epoch is newer.
   const bool expected = verdict == EpochVerdict::kNewer && known().revision == 0;
   const EpochNotice notice{verdict, told.epoch, known()};
   const bool noticed = notice.verdict == lastNotice_.verdict && notice.told == lastNotice_.told;
@@ -129,11 +129,11 @@
 void SourceFollower::onFailure(SourceFailure failure, bool restored, Moment now, FollowerActions& actions) {
   ++counters_.failures;
   election_.onFailure();
-  // Whoever is refused by a source that has come back knows that the changes since are of no use.
+  // An error answer of a newer epoch means that the changes since the known position are useless.
   const SourceFailure consequence = restored ? SourceFailure::kHistoryGone : failure;
   reader_.onFailure(consequence, election_.longestBackoff(), now);
-  // A daemon that the source refuses hears only the tree of forwarding, and below a daemon that has died
-  // unnoticed nothing of it: it asks, so that no version passes it by.
+  // A daemon whose calls fail depends on the forwarding tree, which is interrupted below a daemon whose crash
+  // is not detected yet. A request to a peer covers that gap.
   actions.ask = recovery_.drawOther(random_);
   counters_.newsAsked += actions.ask ? 1 : 0;
 }
@@ -141,7 +141,7 @@
 void SourceFollower::onSourceBack(Moment now) {
   election_.onAnswer();
   listing_.clear();
-  // The first in order lists for all; the others only if they do not hear of it.
+  // The first in order lists for all; the others only if they do not receive the result in time.
   reader_.listAnew(election_.stagger(now, random_), now);
 }
 
@@ -149,7 +149,7 @@
                             FollowerActions& actions) {
   const bool begins = call.kind == SourceCall::Kind::kList && call.afterKey.empty();
   if (!begins && epoch != call.epoch) {
-    // Revisions of one epoch, or the rest of its listing, mean nothing in another.
+    // Revisions, and the rest of a listing, are valid within one epoch only.
     if (epoch > known().epoch) {
       onSourceBack(now);
     } else {
@@ -211,7 +211,7 @@
                                FollowerActions& actions) {
   const SourcePosition position{call.epoch, page.revision};
   const bool nothingNew = position <= known();
-  // News may have told more meanwhile; then the page is old and could bring back what is gone.
+  // An update may have brought a later position meanwhile; the older page could then restore deleted records.
   if (position >= known()) {
     const std::vector<SourceRecord> newest = newestOf(page.records, call.epoch);
     takeOver(newest, now, actions);
@@ -221,10 +221,10 @@
     }
   }
   reader_.onPage(page, call.epoch, now);
-  // Also if the page is old: what was acknowledged before the call was sent is in it, or was told by news.
+  // Also if the page is old: writes acknowledged before the call was made are in it or were in the update.
   prover_.onRead(callSentAt_, now, actions.proofs);
   if (readsForItself_ && nothingNew) {
-    // Others hear the reader; a second one would only double the frames of the tree.
+    // The reader's updates reach all peers; forwarding this result too would only double the traffic.
     leaveReadingToOthers(now, now);
   } else {
     election_.takeOver();
@@ -257,7 +257,7 @@
 
 void SourceFollower::beginEpoch(const SourcePosition& position, const SourcePosition& before, Moment now) {
   epochBegan_ = position;
-  // To a daemon that has just started, any epoch but the first may have begun just now.
+  // This daemon cannot tell when the epoch began: after its own start, it may have begun just now.
   prover_.holdClaims(now + writtenAgainWithin_);
   if (before.revision > 0) {
     epochs_.onRestored(before.epoch, position.epoch);
@@ -276,7 +276,7 @@
     keys.insert(record.key);
     takeOver(record, now, actions, listed);
   }
-  // The configuration in force is kept for others also where the source has lost it.
+  // The configuration in effect is kept for peers also if the source has lost it.
   keys.insert(configurationKey_);
   relay_.dropUnlisted(keys, position);
   knowledge_.onListing(listed.leafs, position, now);
@@ -383,7 +383,7 @@
   const SourcePosition before = known();
   const SourcePosition told{news.epoch(), news.revision()};
   if (told == before) {
-    // All of its records are known already; it only shows that nothing has changed since.
+    // A confirmation that nothing has changed: all of its records are known.
     return;
   }
   if (news.whole()) {
--- a/src/coordination/serving/source_follower.h
+++ b/src/coordination/serving/source_follower.h
@@ -1,13 +1,13 @@
 #pragma once
 
-/// Keeps what a daemon believes up to date from its own calls to the configuration source and from other
-/// daemons' news. The whole decision side of the control thread; answers, news and time go in, calls and
-/// messages come out.
+/// Keeps this daemon's copy of the configuration source's records up to date, from its own calls to the
+/// source and from updates of peers. It makes all decisions of the control thread and does no I/O: answers,
+/// updates and the time go in, calls and messages come out. Not thread-safe.
 ///
-/// Invariant: a record that the source has held unchanged since a place in its history up to `known` is
-/// believed, and one that it removed by then is not believed for longer than the removal delay. When the
-/// source comes back from a copy, what it has lost is believed on until it is written again or that is
-/// overdue (see `ServingKnowledge`); a version of the configuration is never given up for an older one.
+/// Invariants: a record that the source has held unchanged since a position up to `known` is in effect here;
+/// one that it deleted by then is in effect no longer than the removal delay. When the source is restored
+/// from a backup, what the backup lacks stays in effect until it is rewritten or the time to do so is over
+/// (see `ServingKnowledge`). The configuration version never decreases.
 
 #include <functional>
 #include <memory>
@@ -38,11 +38,11 @@
 
 struct FollowerActions {
   std::vector<OutgoingNews> news;
-  /// Ask this daemon for everything after what is known here.
+  /// The peer to request all records after the known position from.
   std::optional<Endpoint> ask;
-  /// Records and configurations that were refused, in plain words; of many leafs' entries some.
+  /// Reasons why records and configurations were rejected. Limited in number for the records of leafs.
   std::vector<std::string> problems;
-  /// The connection to the source may lead to a copy of it that is outdated: the next call opens another.
+  /// The connection may lead to an outdated replica of the source: the next call opens a new one.
   bool reconnect = false;
   std::vector<SourceNotice> notices;
   ProofActions proofs;
@@ -54,14 +54,14 @@
   std::uint64_t newsAccepted = 0;
   std::uint64_t newsAsked = 0;
   std::uint64_t configurationsRefused = 0;
-  /// Records that were read or heard and cannot be used; each time that they came.
+  /// Received records that cannot be used; a record counts each time that it is received.
   std::uint64_t unusableRecords = 0;
-  /// Entries that told of another life of a leaf than the one that was known.
+  /// Leaf entries of another incarnation than the known one.
   std::uint64_t leafsBornAgain = 0;
-  /// Listings that were older than what was known.
+  /// Listings that were older than the known position.
   std::uint64_t listingsOutdated = 0;
   EpochCounters epochs;
-  /// Everything that the source held there is known.
+  /// All records of the source up to this position are known.
   SourcePosition known;
   ProofCounters proofs;
 };
@@ -73,81 +73,84 @@
   SourceFollower(const Endpoint& self, const FollowerSettings& settings, Interpreter interpret,
                  RandomEngine random);
 
-  /// `seeds`: daemons to learn from first; this one may be among them. Without this call the source is listed
-  /// at once.
+  /// `seeds`: the peers to request the state from first; may contain this daemon. Without this call the
+  /// source is listed immediately.
   void start(const std::vector<Endpoint>& seeds, Moment now);
-  /// A caller had to be refused for want of a configuration: the source is listed at once, as an answer of
-  /// another daemon may take longer than callers wait.
+  /// A request was refused because no configuration is known. The source is then listed immediately: a reply
+  /// of a peer may take longer than callers wait.
   void onStateWanted(Moment now);
   /// The call to make now, if one is due.
   std::optional<SourceCall> takeCall(Moment now);
   FollowerActions onAnswer(const SourceCall& call, const SourceAnswer& answer, Moment now);
   FollowerActions onNews(const Endpoint& sender, const SourceNews& news, Moment now);
-  /// What a daemon that asked is to be told; empty while nothing is known, or when it is to ask another one.
+  /// The reply to a peer that requests the records it lacks; empty while none are known, while no newer ones
+  /// are known, and when too many complete states were sent just now.
   std::optional<OutgoingNews> onNewsRequest(const Endpoint& sender, const SourceNewsRequest& request,
                                             Moment now);
   FollowerActions onProofRequest(const Endpoint& sender, const ConfigurationProofRequest& request,
                                  Moment now);
   FollowerActions onProofReply(const Endpoint& sender, const ConfigurationProofReply& reply, Moment now);
   FollowerActions onTime(Moment now);
-  /// When `onTime` or `takeCall` has something to do.
+  /// When `onTime` or `takeCall` next has something to do.
   Moment nextDueAt() const;
-  /// Serving daemons.
+  /// `members`: serving daemons, including this one.
   void setMembers(const DaemonOrder& members);
 
-  /// The newest view if it has changed since the last call; else null.
+  /// The current view if it has changed since the last call; else null.
   std::shared_ptr<const ServingView> takeChangedView() { return knowledge_.takeChangedView(known()); }
   bool complete() const { return knowledge_.complete(); }
   std::uint64_t configurationVersion() const { return knowledge_.configurationVersion(); }
   std::size_t leafCount() const { return knowledge_.leafCount(); }
   std::set<std::string> leafIds() const { return knowledge_.leafIds(); }
   std::vector<std::string> evacuatedZones() const { return knowledge_.evacuatedZones(); }
-  /// Everything that the source held there is known; revision 0 while nothing is.
+  /// All records of the source up to this position are known; revision 0 while none are.
   const SourcePosition& known() const { return reader_.known(); }
-  /// The source has not answered this daemon's last calls.
+  /// This daemon's last call to the source failed.
   bool sourceLost() const { return reader_.failuresInRow() > 0; }
   std::size_t place() const { return election_.place(); }
   const ConfigurationProof& proof() const { return prover_.proof(); }
-  /// The proof is within its bound.
+  /// The freshness proof is younger than its bound.
   bool proofHolds() const { return prover_.holds(); }
   void setProver(const ProverSettings& settings) { prover_.setSettings(settings); }
   FollowerCounters counters() const;
 
  private:
-  /// What the answer tells of the epoch, with a notice when that is not what was told before.
+  /// Compares an answer's epoch with the known one. Adds a notice unless it is the expected one or equals
+  /// that of the previous answer.
   EpochVerdict judgeEpoch(const ToldEpoch& told, FollowerActions& actions);
-  /// `restored`: it came with a newer epoch.
+  /// `restored`: the answer reported a newer epoch.
   void onFailure(SourceFailure failure, bool restored, Moment now, FollowerActions& actions);
   void onPage(const SourceCall& call, const SourcePage& page, std::uint64_t epoch, Moment now,
               FollowerActions& actions);
   void onListingPage(const SourceCall& call, const SourcePage& page, std::uint64_t epoch, Moment now,
                      FollowerActions& actions);
   void onListingComplete(const SourcePosition& knownBefore, Moment now, FollowerActions& actions);
-  /// The source has come back from a copy, as an answer tells that does not continue what was asked for.
+  /// An answer reports a newer epoch and does not continue the call: the source was restored from a backup.
   void onSourceBack(Moment now);
-  /// The last record of each key, as of `epoch`.
+  /// The last record of each key. `epoch` is set in the result.
   static std::vector<SourceRecord> newestOf(const std::vector<SourceRecord>& records, std::uint64_t epoch);
-  /// Records that are all that the source held at `position`; everything up to `before` was known.
+  /// Applies a complete listing as of `position`. `before` is the known position until then.
   void takeOverListing(const std::vector<SourceRecord>& records, const SourcePosition& position,
                        const SourcePosition& before, Moment now, FollowerActions& actions);
-  /// The first listing of an epoch is taken over next.
+  /// Prepares for the first listing of a newer epoch.
   void beginEpoch(const SourcePosition& position, const SourcePosition& before, Moment now);
   void takeOver(const std::vector<SourceRecord>& records, Moment now, FollowerActions& actions);
-  /// What the records of a listing name; what they do not name is gone.
+  /// What a complete listing contains; everything else is deleted.
   struct ListedNames {
     std::vector<std::string> leafs;
     std::set<std::string> evacuatedZones;
   };
-  /// Adds what the record lists to `listed`.
+  /// Adds what the record names to `listed`.
   void takeOver(const SourceRecord& record, Moment now, FollowerActions& actions, ListedNames& listed);
-  /// The record may be passed on: it is not of an older configuration than the one in force.
+  /// The record may be forwarded: it is not an older configuration than the one in effect.
   bool keepsUp(const SourceStatement& statement) const;
   void takeOverNews(const SourceNews& news, Moment now, FollowerActions& actions);
   void takeOverUnusable(const UnusableLeaf& leaf, const SourcePosition& position, FollowerActions& actions);
   void takeOverConfiguration(ServingConfiguration configuration, const SourceRecord& record,
                              FollowerActions& actions);
   void onChanges(const SourceCall& call, const SourcePage& page, Moment now, FollowerActions& actions);
-  /// Unless this daemon is the one that reads, its next call waits for overdue news.
+  /// Unless this daemon is the reader, postpones its next call until the reader's next update is overdue.
+  /// `freshAt`: when the reader last read.
   void leaveReadingToOthers(Moment freshAt, Moment now);
 
   Interpreter interpret_;
@@ -159,20 +162,20 @@
   SourceRelay relay_;
   ConfigurationProver prover_;
   EpochWatch epochs_;
-  /// On the answer before, whether it was told or not.
+  /// Of the previous answer, whether it was reported or not.
   EpochNotice lastNotice_;
-  /// Of the call in progress.
+  /// When the call in progress was made.
   Moment callSentAt_{};
-  /// Of the first page of the listing in progress.
+  /// When the first page of the listing in progress was requested.
   Moment listingSentAt_{};
-  /// The call in progress was made for this daemon's own proof only; another reads for all.
+  /// The call in progress only renews this daemon's freshness proof; another daemon is the reader.
   bool readsForItself_ = false;
-  /// The listing in progress; it is taken over when it is whole.
+  /// Records of the listing in progress, applied when it is complete.
   std::vector<SourceRecord> listing_;
   SourcePosition listingPosition_;
-  /// As of which the known epoch was first taken over.
+  /// The position of the first listing that was applied in the known epoch.
   SourcePosition epochBegan_;
-  /// Of the record that gave the configuration in force; empty while none is.
+  /// Key of the record that holds the configuration in effect; empty while there is none.
   std::string configurationKey_;
   Duration writtenAgainWithin_;
   FollowerCounters counters_;
--- a/src/coordination/serving/source_notices.h
+++ b/src/coordination/serving/source_notices.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What an operator should see of the following of the configuration source; each becomes a line of the log.
+/// Events in following the configuration source that are logged for the operator.
 
 #include <cstddef>
 #include <cstdint>
@@ -10,34 +10,34 @@
 
 namespace oakpier::serving {
 
-/// The source told an epoch that is not the known one, or none that can be used. Told when it changes.
+/// The source reported an unknown epoch, or none that can be used. Raised once per change.
 struct EpochNotice {
   EpochVerdict verdict = EpochVerdict::kKnown;
-  /// As told; 0 when it is missing or malformed.
+  /// As reported; 0 if it is missing or malformed.
   std::uint64_t told = 0;
   SourcePosition known;
 };
 
-/// A listing was read that is older than what is known, and is not taken over.
+/// A listing was discarded because it is older than the known position.
 struct OutdatedListing {
   SourcePosition listed;
   SourcePosition known;
 };
 
-/// What a source holds that has come back from a copy was taken over.
+/// The records of a source that was restored from a backup were applied.
 struct SourceRestored {
   SourcePosition before;
   SourcePosition now;
-  /// In force; the source may hold an older one until the operator has written it again.
+  /// The configuration in effect. The source may hold an older one until the operator rewrites it.
   std::uint64_t configurationVersion = 0;
   std::size_t leafsListed = 0;
-  /// Used on although they are not listed, until they are written again or that is overdue.
+  /// Kept in use although the backup lacks them, until they are rewritten or the time to do so is over.
   std::size_t leafsAwaited = 0;
-  /// Of which the source says something older than what is believed.
+  /// For which the backup holds an older entry than the known one.
   std::size_t leafsDisputed = 0;
 };
 
-/// The source tells epochs, which not all sources do. Told once.
+/// The source supports epochs, which not every source does. Raised once.
 struct EpochsTold {
   std::uint64_t first = 0;
 };
--- a/src/coordination/serving/source_reader.cpp
+++ b/src/coordination/serving/source_reader.cpp
@@ -93,7 +93,7 @@
 
 void SourceReader::leaveToOther(Moment freshAt, Duration stagger) {
   next_ = nextFor(Duration(0));
-  // Others' news may be old already, as while the source is down: a wait after failed calls is kept.
+  // The last update may be old already, as during an outage of the source: the backoff still applies.
   nextCallAt_ = std::max(freshAt + settings_.pace + settings_.wait + stagger, backoffUntil_);
 }
 
@@ -107,7 +107,7 @@
   const unsigned doublings = std::min(failuresInRow_, kMostDoublings);
   ++failuresInRow_;
   const Duration longest = std::min(longestBackoff, settings_.shortestBackoff * (1U << doublings));
-  // Evenly spread, so that daemons that failed together do not come back together.
+  // Uniform jitter over the upper half, so that daemons whose calls failed together do not retry together.
   const auto half = static_cast<std::size_t>(longest.count() / 2);
   nextCallAt_ = now + longest / 2 + Duration(static_cast<std::int64_t>(drawBelow(half + 1, random_)));
   backoffUntil_ = nextCallAt_;
--- a/src/coordination/serving/source_reader.h
+++ b/src/coordination/serving/source_reader.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/// Decides when the configuration source is asked for what: first a listing, then the changes since.
+/// Schedules the calls to the configuration source: a listing first, then the changes since.
 ///
-/// Invariants: one call at a time; after a failure the next call waits longer, up to a bound; a listing is
-/// followed by the changes since its first page, as its pages are no snapshot; the known position never
-/// goes back.
+/// Invariants: one call at a time; after each failure in a row the backoff grows up to a bound; a listing is
+/// followed by the changes since its first page, because its pages are not one snapshot; the known position
+/// never decreases.
 
 #include <algorithm>
 #include <cstdint>
@@ -19,23 +19,22 @@
 struct SourceCall {
   enum class Kind { kList, kChanges };
   Kind kind = Kind::kList;
-  /// For kList: the last key of the page before; empty for the first page.
+  /// For kList: the last key of the previous page; empty for the first page.
   std::string afterKey;
-  /// For kChanges.
+  /// For kChanges: the changes after this revision are requested.
   std::uint64_t afterRevision = 0;
-  /// For kChanges: how long the source may wait for a change before it answers with none.
+  /// For kChanges: how long the source may hold the call open until there is a change (long poll).
   Duration wait{};
-  /// Of `afterRevision`, or of the listing's first page. An answer of another epoch does not continue what
-  /// the call asked to continue.
+  /// The epoch of `afterRevision`, or of the listing's first page. An answer of another epoch does not
+  /// continue this call.
   std::uint64_t epoch = 0;
 };
 
 struct SourceReaderSettings {
-  /// Between the answer to a call for changes and the next, so that changes in quick succession are read
-  /// together.
+  /// Time from the answer to a call for changes to the next call. Batches changes in quick succession.
   Duration pace = std::chrono::milliseconds(250);
-  /// How long the source may wait for a change. Bounds how long a lost answer, or the loss of the daemon that
-  /// reads for the others, stays unnoticed; one daemon calls about once in this time.
+  /// How long the source may hold a call for changes open. Bounds how long a lost answer, or the loss of the
+  /// reader, goes unnoticed. The reader makes about one call in this time.
   Duration wait = std::chrono::milliseconds(1000);
   Duration shortestBackoff = std::chrono::milliseconds(150);
 };
@@ -48,37 +47,38 @@
   std::optional<SourceCall> takeCall(Moment now);
   Moment nextCallAt() const { return inProgress_ ? kNever : nextCallAt_; }
 
-  /// `epoch`: of the answer; for all but the first page of a listing that of the call.
+  /// Ends the call. `epoch`: of the answer; the same as the call's, except for a listing's first page.
   void onPage(const SourcePage& page, std::uint64_t epoch, Moment now);
-  /// The call has ended; its answer does not continue what was asked for, as the source has come back from a
-  /// copy. What it holds now is listed, no sooner than `after` from now.
+  /// Ends the call whose answer does not continue it because the source was restored from a backup. A new
+  /// listing starts after `after`.
   void listAnew(Duration after, Moment now);
-  /// The call has ended; news has told of a newer epoch meanwhile, so that its answer is of no use.
+  /// Ends the call and ignores its answer, because an update has meanwhile reported a newer epoch.
   void dropAnswer(Moment now);
-  /// `longestBackoff`: the next call waits no longer.
+  /// Ends the call. `longestBackoff`: upper bound of the time until the next one.
   void onFailure(SourceFailure failure, Duration longestBackoff, Moment now);
 
-  /// No call before that moment.
+  /// No call before `moment`.
   void holdUntil(Moment moment) { nextCallAt_ = std::max(nextCallAt_, moment); }
-  /// The first call is due by that moment, whatever was said of holding it.
+  /// The next call is due no later than `moment`, also if `holdUntil` was called.
   void callBy(Moment moment) { nextCallAt_ = std::min(nextCallAt_, moment); }
-  /// The changes are wanted now, without waiting for one; a wait after failed calls is kept.
+  /// Makes the next call due now, and answered without waiting for a change. A backoff after failed calls
+  /// still applies.
   void readNow(Moment now);
-  /// Another daemon has told everything up to `position`.
+  /// An update of a peer was applied: everything up to `position` is known.
   void onNews(const SourcePosition& position);
-  /// Another daemon goes on reading and last did so at `freshAt`: this daemon's own next call waits until the
-  /// other's next news is overdue by `stagger`. It then asks for an answer at once, as others wait for it
-  /// too.
+  /// Another daemon is the reader and last read at `freshAt`: this daemon's next call waits until the
+  /// reader's next update is overdue by `stagger`. The source then answers it without waiting for a change,
+  /// because peers are waiting for the result as well.
   void leaveToOther(Moment freshAt, Duration stagger);
 
-  /// The page that was just handed in ends a whole listing.
+  /// The last page completed a listing.
   bool listingComplete() const { return listingComplete_; }
-  /// Everything up to there is known; revision 0 before the first listing.
+  /// Everything up to this position is known; revision 0 before the first listing.
   const SourcePosition& known() const { return known_; }
   unsigned failuresInRow() const { return failuresInRow_; }
 
  private:
-  /// The changes since what is known, or a listing where the source does not tell these any more.
+  /// A call for the changes since the known position, or a listing if the source no longer has that history.
   SourceCall nextFor(Duration wait) const;
 
   SourceReaderSettings settings_;
@@ -88,15 +88,15 @@
   /// The call in progress.
   SourceCall current_;
   bool listingComplete_ = false;
-  /// Of the first page of the listing in progress.
+  /// The position of the first page of the listing in progress.
   SourcePosition listing_;
   SourcePosition known_;
-  /// The source does not tell the changes since then any more: unless others tell of a later place, it is
-  /// listed.
+  /// The source no longer has the changes since this position. While it is still the known one, the source is
+  /// listed instead.
   std::optional<SourcePosition> historyGoneAt_;
   unsigned failuresInRow_ = 0;
   Moment nextCallAt_{};
-  /// No call before, as the last one has failed.
+  /// The backoff after the last failed call ends then.
   Moment backoffUntil_{};
 };
 
--- a/src/coordination/serving/source_records.h
+++ b/src/coordination/serving/source_records.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the read-only configuration source holds, as its readers see it.
+/// Records and answers of the read-only configuration source.
 
 #include <cstdint>
 #include <string>
@@ -16,50 +16,50 @@
 struct SourceRecord {
   std::string key;
   std::string value;
-  /// The source's revision at the record's last change.
+  /// The source's revision at the last change of the record.
   std::uint64_t revision = 0;
-  /// The record was removed.
+  /// The record was deleted.
   bool gone = false;
-  /// Of `revision`.
+  /// The epoch of `revision`.
   std::uint64_t epoch = 0;
 
   SourcePosition position() const { return SourcePosition{epoch, revision}; }
 };
 
-/// Part of a listing, or the changes since a revision.
+/// A page of a listing, or the changes since a revision.
 struct SourcePage {
   std::vector<SourceRecord> records;
-  /// More follows after the last key.
+  /// There are records after the last key.
   bool more = false;
-  /// The source's revision at the answer.
+  /// The source's revision at the time of the answer.
   std::uint64_t revision = 0;
-  /// Records of the answer without a readable key or revision; they are not among `records`.
+  /// Number of records without a readable key or revision, which `records` does not contain.
   std::size_t unreadable = 0;
 };
 
 enum class SourceFailure {
-  /// The changes since the revision asked for are no longer kept; list anew.
+  /// The source does not have the changes since the requested revision; a new listing is needed.
   kHistoryGone,
-  /// Too many calls.
+  /// The source rejected the call because there are too many.
   kThrottled,
   kUnavailable,
-  /// Silence, a broken connection or an answer that cannot be read.
+  /// A timeout, a broken connection or an answer that cannot be parsed.
   kNoAnswer,
-  /// An answer that the source made before it came back from a copy.
+  /// The answer is of an epoch before the known one.
   kOlderEpoch,
-  /// An answer of which cannot be said to which epoch it belongs.
+  /// The answer has no usable epoch.
   kNoUsableEpoch,
 };
 
-/// What an answer says of the epoch of the source's history. Each time that the source comes back from an
-/// older copy of its records a new epoch begins: revisions go back then and are given out again.
+/// The epoch that an answer reports. A new epoch begins whenever the source is restored from a backup: its
+/// revisions then go back and are assigned again.
 struct ToldEpoch {
   enum class Kind {
-    /// There is no answer that could tell one.
+    /// There is no answer.
     kUnanswered,
-    /// The answer names none.
+    /// The answer contains no epoch.
     kMissing,
-    /// What it names is no whole number, or it names several.
+    /// The answer contains several epochs, or one that is not an integer.
     kMalformed,
     kTold,
   };
@@ -69,51 +69,51 @@
   static ToldEpoch of(std::uint64_t epoch) { return ToldEpoch{Kind::kTold, epoch}; }
 };
 
-/// An answer of the source, or the lack of one.
+/// An answer of the source, or the reason why there is none.
 struct SourceAnswer {
   using Content = std::variant<SourcePage, SourceFailure>;
 
-  // NOLINTNEXTLINE(google-explicit-constructor): a page is an answer of a source that tells no epoch.
+  // NOLINTNEXTLINE(google-explicit-constructor): a bare page is the answer of a source without epochs.
   SourceAnswer(SourcePage page) : content(std::move(page)) {}
-  // NOLINTNEXTLINE(google-explicit-constructor): a failure alone stands for the lack of an answer.
+  // NOLINTNEXTLINE(google-explicit-constructor): a bare failure means that there was no answer.
   SourceAnswer(SourceFailure failure) : content(failure), epoch{ToldEpoch::Kind::kUnanswered, 0} {}
   SourceAnswer(Content answerContent, ToldEpoch toldEpoch)
       : content(std::move(answerContent)), epoch(toldEpoch) {}
 
   Content content;
-  /// Refusals tell it as well.
+  /// Error answers may report it too.
   ToldEpoch epoch;
 };
 
-/// A record that says that a leaf is no longer listed.
+/// A leaf's record was deleted.
 struct LeafRemoval {
   std::string id;
 };
 
-/// The operator wants nothing new sent to the leafs of a zone.
+/// The operator evacuates a zone: its leafs get no new requests.
 struct ZoneEvacuation {
   std::string zone;
 };
 
-/// The operator has taken the evacuation of a zone back.
+/// The operator has ended the evacuation of a zone.
 struct ZoneEvacuationEnd {
   std::string zone;
 };
 
-/// A record that is known but cannot be used.
+/// A record of a known kind whose value is invalid.
 struct UnusableRecord {
   std::string problem;
-  /// It would be a configuration: perhaps a newer one than any that is known.
+  /// The record's key is that of a configuration, which may be newer than any known one.
   bool isConfiguration = false;
 };
 
-/// A leaf's record that something else than the leaf has written: it names no leaf to use.
+/// A leaf's record that was not written by a leaf. No leaf may be used because of it.
 struct UnusableLeaf {
   std::string id;
   std::string problem;
 };
 
-/// What one record means; empty for records that do not concern the gateway.
+/// The meaning of one record; `std::monostate` for records that do not concern the gateway.
 using SourceStatement = std::variant<std::monostate, ServingConfiguration, LeafEntry, LeafRemoval,
                                      ZoneEvacuation, ZoneEvacuationEnd, UnusableRecord, UnusableLeaf>;
 
--- a/src/coordination/serving/source_relay.cpp
+++ b/src/coordination/serving/source_relay.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/// A daemon asks for what it missed no more often than this.
+/// Minimum time between requests for missing records.
 constexpr Duration kAskPeriod = std::chrono::milliseconds(300);
-/// News of a known revision is passed on only if the source said it later by more than this: several daemons
-/// may read at once.
+/// An update of a known revision is forwarded only if it was read later by more than this, because there may
+/// be several readers.
 constexpr Duration kFreshnessStep = std::chrono::milliseconds(100);
-/// A whole state is some ten kilobytes, compressed once: no more than this many are told in this time, so
-/// that a start of many daemons neither fills a small link nor a tenth of a processor. Those that were told
-/// help.
+/// Rate limit of complete states, which have some ten kilobytes each, compressed once: a start of many
+/// daemons must saturate neither a small link nor a tenth of a CPU. Daemons that received one reply to
+/// others.
 constexpr std::size_t kMostWholeStates = 16;
 constexpr Duration kWholeStatePeriod = std::chrono::milliseconds(200);
-/// Ends of records that are remembered for daemons that missed them.
+/// Number of deletions kept for replies to peers.
 constexpr std::size_t kMostGone = 4096;
 
 void addRecord(const SourceRecord& record, SourceNews& news) {
@@ -34,7 +34,7 @@
 
 SourcePosition positionOf(const SourceNews& news) { return SourcePosition{news.epoch(), news.revision()}; }
 
-/// Without its records.
+/// An update without records.
 SourceNews newsAt(const SourcePosition& position) {
   SourceNews news;
   news.set_epoch(position.epoch);
@@ -74,7 +74,7 @@
 }
 
 void SourceRelay::dropUnlisted(const std::set<std::string>& keys, const SourcePosition& position) {
-  // Which records went, and when, is not told by a listing.
+  // A listing does not tell which records were deleted, nor when.
   gone_.clear();
   goneSince_ = std::max(goneSince_, position);
   for (auto record = records_.begin(); record != records_.end();) {
@@ -122,7 +122,7 @@
                                  Moment now) {
   RelayActions actions;
   const SourcePosition told = positionOf(news);
-  // News of an older epoch tells what the source has lost or written again since.
+  // An update of an older epoch contains what the source has lost, or what has been rewritten since.
   if (told.revision == 0 || told.epoch < known.epoch) {
     return actions;
   }
@@ -211,7 +211,7 @@
 
 void SourceRelay::addChangesSince(const SourcePosition& position, SourceNews& news) const {
   for (const auto& [key, record] : records_) {
-    // What the source has lost is told to everybody: whoever has listed the source does not know it.
+    // Records that the source has lost go to every peer: one that has listed the restored source lacks them.
     const bool lostBySource = record.epoch < position.epoch;
     if (record.position() > position || lostBySource) {
       addRecord(record, news);
--- a/src/coordination/serving/source_relay.h
+++ b/src/coordination/serving/source_relay.h
@@ -1,16 +1,19 @@
 #pragma once
 
-/// Passes what one daemon read from the configuration source on to the others, so that few read and all
-/// know, and a daemon that the source refuses still learns.
+/// Forwards the reader's updates to all daemons, so that few read the source, and daemons whose calls the
+/// source refuses are up to date too.
 ///
-/// Invariants: news is taken over only when nothing before it is missing; a daemon that misses something asks
-/// for what it has missed; a daemon forwards news only if it tells of a newer position, or tells the
-/// known one as of later by `kFreshnessStep`, or tells the same but from a reader earlier in order, than what
-/// it has forwarded, and never news of an older epoch than it knows; whole states that were asked for are
-/// sent to a bounded number of daemons in a time.
+/// Invariants:
+/// - An update is applied only if no earlier change is missing; a daemon with a gap requests the missing
+///   records.
+/// - A daemon forwards an update only if, compared with the last one it forwarded, it is of a newer position,
+///   or was read more than `kFreshnessStep` later at the same position, or is of the same position and of a
+///   reader that ranks before the last one's. It never forwards updates of an older epoch than the known one.
+/// - The rate of complete states sent in reply to requests is bounded.
 ///
-/// Each reader's news travels along a tree of its own. Where several read at once, the last rule of
-/// forwarding makes all daemons forward the news of the first of them, so that its whole tree is reached.
+/// The updates of each reader follow a tree rooted at it. If there are several readers, the rule on ranks
+/// makes all daemons forward the updates of the first of them in rank, so that its tree is covered
+/// completely.
 
 #include <map>
 #include <optional>
@@ -34,9 +37,9 @@
 
 struct RelayActions {
   std::vector<OutgoingNews> news;
-  /// Ask this daemon for everything after what is known here.
+  /// The peer to request all records after the known position from.
   std::optional<Endpoint> ask;
-  /// The news may be taken over: every record in it, and for whole news nothing else is listed.
+  /// The update may be applied: it leaves no gap after the known position, or contains the complete state.
   bool accepted = false;
 };
 
@@ -44,35 +47,34 @@
  public:
   explicit SourceRelay(const Endpoint& self) : self_(self) {}
 
-  /// `members`: serving daemons, as for `forwardTo`.
+  /// `members`: serving daemons, in the order from which the trees are built.
   void setMembers(DaemonOrder members) { members_ = std::move(members); }
 
-  /// This daemon has read the changes between a revision and a position of the same epoch; `records` are
-  /// those worth passing on.
+  /// This daemon has read the changes between a revision and a position of the same epoch. `records` are
+  /// those to forward.
   RelayActions onRead(std::uint64_t afterRevision, const SourcePosition& position,
                       const std::vector<SourceRecord>& records, Moment now);
-  /// This daemon has listed a source that came back from a copy: all that is kept here is told along the
-  /// tree, so that one listing serves all daemons.
+  /// This daemon has listed a source that was restored from a backup: sends the complete state down the tree,
+  /// so that the other daemons need not list it.
   std::vector<OutgoingNews> onRestored(const SourcePosition& known, Moment now);
-  /// `known`: everything up to it is known here.
+  /// `known`: everything up to this position is known here.
   RelayActions onNews(const Endpoint& sender, const SourceNews& news, const SourcePosition& known,
                       Moment now);
-  /// What a daemon that knows everything up to `askers` has missed; everything when that cannot be told any
-  /// more, as after a change of the epoch. Empty when too many were told everything just now: they ask
-  /// another daemon.
+  /// The changes after `askers`, the position known to the peer, or the complete state if those changes are
+  /// not kept, as after a change of the epoch. Empty if the rate of complete states is exceeded: the peer
+  /// then retries with another daemon.
   std::optional<OutgoingNews> missedBy(const Endpoint& to, const SourcePosition& askers,
                                        const SourcePosition& known, Moment now);
-  /// A daemon asks while nothing, or nothing newer than it knows, is known here; it is told once something
-  /// is.
+  /// Defers the reply to a request until something newer than the requester's position is known here.
   void keepWaiting(const Endpoint& asker);
-  /// For those who were kept waiting.
+  /// Replies to the deferred requests.
   std::vector<OutgoingNews> answerWaiting(const SourcePosition& known, Moment now);
 
-  /// Keeps a record, or its end, for daemons that ask.
+  /// Stores a record, or its deletion, for replies to peers.
   void keep(const SourceRecord& record);
-  /// Forgets records that a whole listing as of `position` did not name, newer ones excepted.
+  /// Removes records that a complete listing as of `position` does not contain, except newer ones.
   void dropUnlisted(const std::set<std::string>& keys, const SourcePosition& position);
-  /// When the source last said what is known here.
+  /// When the source last confirmed what is known here.
   Moment freshAt() const { return freshAt_; }
   void setFreshAt(Moment moment) { freshAt_ = moment; }
 
@@ -80,17 +82,17 @@
   std::uint64_t ageAt(Moment now) const;
   void addChangesSince(const SourcePosition& position, SourceNews& news) const;
   void addAll(SourceNews& news) const;
-  /// Whether one more daemon may be told everything now.
+  /// Returns whether the rate of complete states permits one more now, and counts it.
   bool takeWholeTurn(Moment now);
-  /// Passes on what nobody here has passed on yet.
+  /// Forwards an update unless an equal or newer one was forwarded.
   void forward(const SourceNews& news, Moment now, RelayActions& actions);
 
   Endpoint self_;
   DaemonOrder members_;
   std::map<std::string, SourceRecord> records_;
-  /// Keys of records that are gone, by the position at which they went.
+  /// Keys of deleted records, by the position of their deletion.
   std::map<SourcePosition, std::string> gone_;
-  /// Every record that went after this position, in its epoch, is in `gone_`.
+  /// `gone_` holds all deletions of the known epoch after this position.
   SourcePosition goneSince_;
   Moment freshAt_{};
   SourcePosition forwarded_;
@@ -98,7 +100,7 @@
   Endpoint forwardedReader_;
   Moment askedAt_{};
   std::set<Endpoint> waiting_;
-  /// Daemons that were told everything since `wholeSince_`.
+  /// Complete states sent since `wholeSince_`.
   std::size_t wholeTold_ = 0;
   Moment wholeSince_{};
 };
--- a/src/coordination/serving/suppression_delay.h
+++ b/src/coordination/serving/suppression_delay.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Random delays for something that one of many daemons should do: of any number of daemons only a few draw a
-/// short delay, so that the others hear of it in time to leave it (timer-based feedback suppression with
-/// exponentially distributed timers, as used for reliable multicast).
+/// Random delays for an action that one of many daemons should take: only a few draw a short delay, so that
+/// the others are notified before theirs is over and need not act (timer-based feedback suppression with
+/// exponentially distributed timers, as in reliable multicast).
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,7 @@
 
 namespace oakpier::serving {
 
-/// From zero to `longest`; of `count` daemons about one draws zero.
+/// Between zero and `longest`. Of `count` daemons about one draws zero.
 inline Duration suppressionDelay(Duration longest, std::size_t count, RandomEngine& random) {
   const double drawn = std::uniform_real_distribution<double>(1e-9, 1.0)(random);
   const double share = 1.0 + std::log(drawn) / std::log(static_cast<double>(std::max<std::size_t>(2, count)));
--- a/tests/serving/coordination/epoch_watch_test.cpp
+++ b/tests/serving/coordination/epoch_watch_test.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("a source that tells no epoch has one for good", "[serving][epoch]") {
+TEST_CASE("answers without an epoch are accepted if none was ever reported", "[serving][epoch]") {
   EpochWatch watch;
   REQUIRE(ToldEpoch{}.kind == ToldEpoch::Kind::kMissing);
   REQUIRE(watch.judge(kMissing, 0) == EpochVerdict::kKnown);
@@ -20,7 +20,7 @@
   REQUIRE(watch.counters().missing == 0);
 }
 
-TEST_CASE("an epoch is newer, known or older than the one that is known", "[serving][epoch]") {
+TEST_CASE("a reported epoch is newer than, equal to or older than the known one", "[serving][epoch]") {
   EpochWatch watch;
   REQUIRE(watch.judge(ToldEpoch::of(4), 0) == EpochVerdict::kNewer);
   REQUIRE(watch.judge(ToldEpoch::of(4), 4) == EpochVerdict::kKnown);
@@ -30,7 +30,7 @@
   REQUIRE(watch.counters().told == 4);
 }
 
-TEST_CASE("epochs that were never heard of are counted", "[serving][epoch]") {
+TEST_CASE("skipped epochs are counted", "[serving][epoch]") {
   EpochWatch watch;
   watch.onRestored(4, 5);
   REQUIRE(watch.counters().restorations == 1);
@@ -40,20 +40,20 @@
   REQUIRE(watch.counters().skipped == 2);
 }
 
-TEST_CASE("once told, an epoch that is missing or malformed is not taken for the known one",
+TEST_CASE("after an epoch was reported, a missing or malformed one does not count as known",
           "[serving][epoch]") {
   EpochWatch watch;
   REQUIRE(watch.judge(kMalformed, 0) == EpochVerdict::kMalformed);
   watch.judge(ToldEpoch::of(0), 0);
   REQUIRE(watch.judge(kMissing, 0) == EpochVerdict::kMissing);
   REQUIRE(watch.judge(kMalformed, 0) == EpochVerdict::kMalformed);
-  // The lack of an answer says nothing.
+  // Without an answer there is nothing to compare.
   REQUIRE(watch.judge(kUnanswered, 0) == EpochVerdict::kKnown);
   REQUIRE(watch.counters().missing == 1);
   REQUIRE(watch.counters().malformed == 2);
 }
 
-TEST_CASE("an epoch that another daemon has told counts as told", "[serving][epoch]") {
+TEST_CASE("an epoch received from a peer counts as reported", "[serving][epoch]") {
   EpochWatch watch;
   REQUIRE(watch.judge(kMissing, 3) == EpochVerdict::kMissing);
 }
--- a/tests/serving/coordination/restored_knowledge_test.cpp
+++ b/tests/serving/coordination/restored_knowledge_test.cpp
@@ -1,4 +1,5 @@
-/// What is believed of leafs and evacuations when the source comes back from a copy that contradicts it.
+/// Leafs and evacuations in effect after the source is restored from a backup that contradicts the known
+/// state.
 
 #include <catch2/catch.hpp>
 
@@ -11,7 +12,7 @@
 namespace {
 
 constexpr std::uint64_t kEpoch = 4;
-/// In milliseconds.
+/// Times in milliseconds.
 constexpr int kRestoredAt = 20'000;
 constexpr int kWrittenAgain = 2500;
 constexpr int kLapsed = 6100;
@@ -25,14 +26,14 @@
   return entry;
 }
 
-/// A daemon that knows one leaf, and a source that is listed when it has come back.
+/// The state of a daemon that knows one leaf, and a source that can be restored.
 class Restored {
  public:
   Restored() {
     knowledge.onListing({}, before(1), at(0));
     knowledge.onLeaf(leafBorn(7), before(50));
   }
-  /// The source comes back; `listed` are the leafs that its copy names.
+  /// The source is restored from a backup that contains `listed`.
   void restore(const std::vector<LeafEntry>& listed) {
     knowledge.onRestored(after(30), at(kRestoredAt));
     std::vector<std::string> ids;
@@ -58,26 +59,24 @@
 
 }  // namespace
 
-TEST_CASE("a leaf that the copy lacks is used on until it would have been written again",
-          "[serving][epoch]") {
+TEST_CASE("a leaf that the backup lacks stays in use until rewrites are due", "[serving][epoch]") {
   Restored restored;
   restored.restore({});
   REQUIRE(restored.knowledge.leafsLeaving() == 1);
   restored.knowledge.onTime(at(kRestoredAt + kWrittenAgain - 1));
   REQUIRE(restored.used());
-  SECTION("it is not") {
+  SECTION("it is not rewritten") {
     restored.knowledge.onTime(at(kRestoredAt + kWrittenAgain));
     REQUIRE_FALSE(restored.used());
   }
-  SECTION("it is") {
+  SECTION("it is rewritten") {
     restored.knowledge.onLeaf(leafBorn(7), after(31));
     restored.knowledge.onTime(at(kRestoredAt + 60'000));
     REQUIRE(restored.used());
   }
 }
 
-TEST_CASE("a leaf that had gone is not brought back by a copy until it must have lapsed",
-          "[serving][epoch]") {
+TEST_CASE("a removed leaf in the backup is not used until its entry would have expired", "[serving][epoch]") {
   Restored restored;
   const bool removedLongBefore = GENERATE(true, false);
   restored.knowledge.onLeafRemoved("one", before(60), at(removedLongBefore ? 15'000 : kRestoredAt - 1));
@@ -85,27 +84,27 @@
   restored.restore({leafBorn(7)});
   restored.knowledge.onTime(at(kRestoredAt + kLapsed - 1));
   REQUIRE_FALSE(restored.used());
-  SECTION("it is still listed: it writes on") {
+  SECTION("its entry is still listed") {
     restored.knowledge.onTime(at(kRestoredAt + kLapsed));
     REQUIRE(restored.used());
   }
-  SECTION("it lapses") {
+  SECTION("its entry expires") {
     restored.knowledge.onLeafRemoved("one", after(31), at(kRestoredAt + 3600));
     restored.knowledge.onTime(at(kRestoredAt + 60'000));
     REQUIRE_FALSE(restored.used());
     REQUIRE(restored.knowledge.leafsDisputed() == 0);
   }
-  SECTION("it writes again") {
+  SECTION("it is rewritten") {
     restored.knowledge.onLeaf(leafBorn(7), after(31));
     REQUIRE(restored.used());
   }
-  SECTION("another life of it is listed later") {
+  SECTION("another incarnation is listed later") {
     restored.knowledge.onLeaf(leafBorn(9), after(31));
     REQUIRE(restored.used());
   }
 }
 
-TEST_CASE("another life of a leaf that had gone is used at once", "[serving][epoch]") {
+TEST_CASE("another incarnation of a removed leaf is used immediately", "[serving][epoch]") {
   Restored restored;
   restored.knowledge.onLeafRemoved("one", before(60), at(15'000));
   restored.knowledge.onTime(at(kRestoredAt - 1));
@@ -113,7 +112,7 @@
   REQUIRE(restored.used());
 }
 
-TEST_CASE("a leaf that drained drains on, whatever the copy says", "[serving][epoch]") {
+TEST_CASE("a draining leaf keeps draining, even if the backup says otherwise", "[serving][epoch]") {
   Restored restored;
   LeafEntry draining = leafBorn(7);
   draining.draining = true;
@@ -122,13 +121,13 @@
   REQUIRE_FALSE(restored.believed().takesWork());
   restored.knowledge.onTime(at(kRestoredAt + 60'000));
   REQUIRE_FALSE(restored.believed().takesWork());
-  SECTION("another life does not") {
+  SECTION("another incarnation does not drain") {
     restored.knowledge.onLeaf(leafBorn(9), after(31));
     REQUIRE(restored.believed().takesWork());
   }
 }
 
-TEST_CASE("a copy's word that a leaf drains is believed at once", "[serving][epoch]") {
+TEST_CASE("draining in the backup applies immediately", "[serving][epoch]") {
   Restored restored;
   LeafEntry draining = leafBorn(7);
   draining.draining = true;
@@ -136,23 +135,23 @@
   REQUIRE_FALSE(restored.believed().takesWork());
 }
 
-TEST_CASE("an earlier life that the copy tells waits for the later one to be written again",
+TEST_CASE("an earlier incarnation in the backup is used only if the later one is not rewritten",
           "[serving][epoch]") {
   Restored restored;
   restored.restore({leafBorn(3)});
   REQUIRE(restored.believed().bornAt == 7);
-  SECTION("it is") {
+  SECTION("the later one is rewritten") {
     restored.knowledge.onLeaf(leafBorn(7), after(31));
     restored.knowledge.onTime(at(kRestoredAt + 60'000));
     REQUIRE(restored.believed().bornAt == 7);
   }
-  SECTION("it is not") {
+  SECTION("the later one is not rewritten") {
     restored.knowledge.onTime(at(kRestoredAt + kWrittenAgain));
     REQUIRE(restored.believed().bornAt == 3);
   }
 }
 
-TEST_CASE("a zone that either calls evacuated is, until it would have been written again",
+TEST_CASE("a zone evacuated by the backup or the known state stays so until rewrites are due",
           "[serving][epoch]") {
   Restored restored;
   restored.knowledge.onEvacuation("a", true, before(60));
@@ -162,18 +161,18 @@
   restored.knowledge.onEvacuationListing({"b"}, after(30), at(kRestoredAt));
   REQUIRE(restored.knowledge.evacuatedZones() == std::vector<std::string>{"a", "b"});
   REQUIRE(restored.knowledge.nextDueAt() == at(kRestoredAt + kWrittenAgain));
-  SECTION("it is not") {
+  SECTION("it is not rewritten") {
     restored.knowledge.onTime(at(kRestoredAt + kWrittenAgain));
     REQUIRE(restored.knowledge.evacuatedZones() == std::vector<std::string>{"b"});
   }
-  SECTION("it is") {
+  SECTION("it is rewritten") {
     restored.knowledge.onEvacuation("a", true, after(31));
     restored.knowledge.onTime(at(kRestoredAt + 60'000));
     REQUIRE(restored.knowledge.evacuatedZones() == std::vector<std::string>{"a", "b"});
   }
 }
 
-TEST_CASE("a source that comes back twice leaves nothing of the first time waiting", "[serving][epoch]") {
+TEST_CASE("a second restoration drops the pending entries of the first", "[serving][epoch]") {
   Restored restored;
   restored.knowledge.onLeafRemoved("one", before(60), at(15'000));
   restored.knowledge.onTime(at(kRestoredAt - 1));
@@ -187,7 +186,7 @@
   REQUIRE_FALSE(restored.used());
 }
 
-TEST_CASE("lives that have ended are remembered for a while, and not too many", "[serving][epoch]") {
+TEST_CASE("tombstones of leafs expire and are limited in number", "[serving][epoch]") {
   DepartedLeafs departed;
   departed.add(leafBorn(7).life(), at(0));
   REQUIRE(departed.include(leafBorn(7).life()));
--- a/tests/serving/coordination/source_epoch_test.cpp
+++ b/tests/serving/coordination/source_epoch_test.cpp
@@ -1,4 +1,4 @@
-/// What a daemon makes of each answer of a source that tells epochs, and of other daemons' news of them.
+/// How a daemon handles answers of a source with epochs, and updates from peers about them.
 
 #include <catch2/catch.hpp>
 
@@ -41,7 +41,7 @@
   return told(SourcePage{std::move(records), more, revision}, epoch);
 }
 
-/// The daemon that reads for all, with one other; it knows version 28 at revision 78.
+/// The reader and one other daemon. The reader knows version 28 at revision 78.
 class Reader {
  public:
   Reader() : follower(kSelf, FollowerSettings{}, interpret, RandomEngine(1)) {
@@ -74,14 +74,14 @@
 
 }  // namespace
 
-TEST_CASE("whatever answer tells a newer epoch, the source is listed anew", "[serving][epoch]") {
+TEST_CASE("any answer of a newer epoch causes a new listing", "[serving][epoch]") {
   Reader reader;
-  SECTION("history is gone") { reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 1)); }
+  SECTION("history is unavailable") { reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 1)); }
   SECTION("throttled") { reader.answer(told(SourceFailure::kThrottled, kEpoch + 1)); }
   SECTION("unavailable") { reader.answer(told(SourceFailure::kUnavailable, kEpoch + 1)); }
-  SECTION("changes, as the revision was given out again") {
+  SECTION("changes, because the revision was assigned again") {
     reader.answer(page({version(31, 79)}, 79, kEpoch + 1));
-    // They are the changes after another place.
+    // These changes do not continue the known position.
     REQUIRE(reader.follower.configurationVersion() == 28);
   }
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch, 78});
@@ -89,7 +89,7 @@
   REQUIRE(reader.lastCall.kind == SourceCall::Kind::kList);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
   REQUIRE(reader.follower.counters().epochs.restorations == 1);
-  // What was in force stays, and the other daemon is told all of it.
+  // The configuration stays in effect, and the peer is sent the complete state.
   REQUIRE(reader.follower.configurationVersion() == 28);
   REQUIRE(actions.news.size() == 1);
   REQUIRE(actions.news[0].news.whole());
@@ -99,7 +99,7 @@
   REQUIRE(reader.lastCall.afterRevision == 70);
 }
 
-TEST_CASE("answers of an older epoch, or of none that can be used, are no answers", "[serving][epoch]") {
+TEST_CASE("answers of an older epoch or without a usable one count as failures", "[serving][epoch]") {
   Reader reader;
   const SourcePage changes{{version(31, 90)}, false, 90};
   const auto refused =
@@ -113,13 +113,13 @@
   REQUIRE(actions.notices.size() == 1);
   const EpochCounters counters = reader.follower.counters().epochs;
   REQUIRE(counters.older + counters.missing + counters.malformed == 1);
-  // The next answer of the known epoch is one.
+  // The next answer of the known epoch is accepted.
   reader.answer(page({version(31, 79)}, 79, kEpoch));
   REQUIRE(reader.lastCall.kind == SourceCall::Kind::kChanges);
   REQUIRE(reader.follower.configurationVersion() == 31);
 }
 
-TEST_CASE("epochs that were skipped are counted and change nothing else", "[serving][epoch]") {
+TEST_CASE("skipped epochs are counted and have no other effect", "[serving][epoch]") {
   Reader reader;
   reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 3));
   reader.answer(page({version(28, 20)}, 20, kEpoch + 3));
@@ -128,7 +128,7 @@
   REQUIRE(reader.follower.counters().epochs.skipped == 2);
 }
 
-TEST_CASE("a listing over which the source comes back is begun anew", "[serving][epoch]") {
+TEST_CASE("a listing is restarted if the source is restored meanwhile", "[serving][epoch]") {
   Reader reader;
   reader.answer(told(SourceFailure::kHistoryGone, kEpoch));
   reader.answer(page({{"a", "", 5, false}}, 80, kEpoch, true));
@@ -139,11 +139,11 @@
   reader.answer(page({version(29, 60)}, 70, kEpoch + 1));
   REQUIRE(reader.lastCall.afterKey.empty());
   REQUIRE(reader.follower.configurationVersion() == 29);
-  // "a" was of the earlier epoch's listing.
+  // "a" was in the listing of the previous epoch.
   REQUIRE(reader.follower.leafCount() == 0);
 }
 
-TEST_CASE("an answer to a call of before the epoch's news is dropped", "[serving][epoch]") {
+TEST_CASE("an answer to a call made before an update of a newer epoch is ignored", "[serving][epoch]") {
   Reader reader;
   const Moment due = reader.follower.nextDueAt();
   const auto call = *reader.follower.takeCall(due);
@@ -154,13 +154,13 @@
   news.set_reader(reader.kOther.text());
   reader.follower.onNews(reader.kOther, news, due);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
-  // "After 78" of the epoch before holds neither 71 nor what else came between.
+  // The changes after revision 78 of the previous epoch lack revision 71 and others.
   reader.follower.onAnswer(call, page({version(31, 79)}, 79, kEpoch + 1), due);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
   REQUIRE(reader.follower.configurationVersion() == 28);
 }
 
-TEST_CASE("news of an older epoch is neither believed nor passed on", "[serving][epoch]") {
+TEST_CASE("updates of an older epoch are neither applied nor forwarded", "[serving][epoch]") {
   Reader reader;
   reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 1));
   reader.answer(page({version(28, 60)}, 70, kEpoch + 1));
@@ -180,7 +180,7 @@
   REQUIRE_FALSE(actions.ask);
 }
 
-TEST_CASE("whoever hears of a newer epoch asks for the whole state, and gets it", "[serving][epoch]") {
+TEST_CASE("an update of a newer epoch causes a request for the complete state", "[serving][epoch]") {
   Reader reader;
   SourceNews news;
   news.set_epoch(kEpoch + 1);
@@ -193,7 +193,7 @@
   SourceNewsRequest request;
   request.set_known_epoch(kEpoch);
   request.set_known_revision(78);
-  SECTION("a daemon of the newer epoch tells everything, though its revision is lower") {
+  SECTION("a daemon of the newer epoch sends all records, even if its revision is lower") {
     Reader other;
     other.answer(told(SourceFailure::kHistoryGone, kEpoch + 1));
     other.answer(page({version(24, 60)}, 70, kEpoch + 1));
@@ -203,19 +203,19 @@
     REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
     REQUIRE(reader.follower.configurationVersion() == 28);
   }
-  SECTION("a daemon of the older epoch has nothing to tell one of the newer") {
+  SECTION("a daemon of the older epoch sends no reply to one of the newer") {
     request.set_known_epoch(kEpoch + 1);
     request.set_known_revision(3);
     REQUIRE_FALSE(reader.follower.onNewsRequest(reader.kOther, request, reader.now));
   }
 }
 
-TEST_CASE("a starting daemon is told the configuration that the source has lost", "[serving][epoch]") {
+TEST_CASE("a starting daemon is sent the configuration that the source has lost", "[serving][epoch]") {
   Reader reader;
   reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 1));
   reader.answer(page({version(24, 60)}, 70, kEpoch + 1));
   SourceNewsRequest request;
-  SECTION("it knows nothing") {}
+  SECTION("it has no state") {}
   SECTION("it has listed the source itself") {
     request.set_known_epoch(kEpoch + 1);
     request.set_known_revision(70);
@@ -226,10 +226,10 @@
   REQUIRE(recordsOf(all->news)[0].position() == SourcePosition{kEpoch, 78});
 }
 
-TEST_CASE("a read proves nothing until the operator had time to write again what the source lost",
+TEST_CASE("a read proves freshness only after the operator had time to rewrite lost records",
           "[serving][epoch]") {
   Reader reader;
-  // To a daemon that has just started the epoch may have begun just now.
+  // After a daemon's start, the epoch may have begun just now.
   REQUIRE(reader.follower.proof().version == 0);
   reader.now += kWrittenAgainWithin;
   reader.answer(page({}, 78, kEpoch));
@@ -239,19 +239,19 @@
   reader.answer(page({version(28, 60)}, 70, kEpoch + 1));
   reader.answer(page({}, 70, kEpoch + 1));
   REQUIRE(reader.follower.proof().provenAt == provenAt);
-  SECTION("the operator writes again") {
+  SECTION("the operator rewrites it") {
     reader.answer(page({version(31, 71)}, 71, kEpoch + 1));
     REQUIRE(reader.follower.proof().version == 31);
     REQUIRE(reader.follower.proof().provenAt > provenAt);
   }
-  SECTION("it had the time") {
+  SECTION("the time to rewrite is over") {
     reader.now += kWrittenAgainWithin;
     reader.answer(page({}, 70, kEpoch + 1));
     REQUIRE(reader.follower.proof().provenAt > provenAt);
   }
 }
 
-TEST_CASE("what the source tells of its epoch is noticed once, and not by a daemon that has just started",
+TEST_CASE("a change of the epoch is logged once, and not by a daemon that has just started",
           "[serving][epoch]") {
   Reader reader;
   const auto refused = told(SourceFailure::kThrottled, kEpoch + 1);
@@ -267,14 +267,14 @@
   REQUIRE(std::get<EpochsTold>(notices[0]).first == kEpoch);
 }
 
-TEST_CASE("in its first epoch of all a source can have lost nothing", "[serving][epoch]") {
+TEST_CASE("a read in epoch 0 proves freshness immediately", "[serving][epoch]") {
   SourceFollower follower(Endpoint(1, 1), FollowerSettings{}, interpret, RandomEngine(1));
   const auto call = *follower.takeCall(at(1000));
   follower.onAnswer(call, page({version(28, 78)}, 78, 0), at(1001));
   REQUIRE(follower.proof().version == 28);
 }
 
-TEST_CASE("news of one revision in two epochs is packed twice", "[serving][epoch]") {
+TEST_CASE("updates of one revision in two epochs are packed separately", "[serving][epoch]") {
   NewsPacker packer;
   SourceNews news;
   news.set_epoch(kEpoch);
@@ -292,7 +292,7 @@
   REQUIRE(unpackNews(second)->epoch() == kEpoch + 1);
 }
 
-TEST_CASE("one listing serves many daemons when the source comes back", "[serving][epoch]") {
+TEST_CASE("few daemons list the source when it is restored", "[serving][epoch]") {
   SourceFleetSettings settings;
   settings.daemons = GENERATE(8U, 74U, 295U, 1000U);
   settings.firstEpoch = 3;
--- a/tests/serving/coordination/source_fleet_test.cpp
+++ b/tests/serving/coordination/source_fleet_test.cpp
@@ -12,16 +12,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// From a change at the source to its being in force at a daemon for which nothing was disturbed.
+/// From a change at the source until it is in effect at a daemon, without faults.
 constexpr Duration kQuietBound = milliseconds(500);
-/// The same while readers die and the source refuses some; daemons in touch are bound by 3 s.
+/// The same while readers crash and the source refuses some daemons; the operator's bound is 3 s.
 constexpr Duration kTroubledBound = milliseconds(2900);
-/// A daemon counts as in touch when this much time has passed without trouble for it or the source.
+/// A daemon is checked when it has been running without faults at it or the source for this long.
 constexpr Duration kContact = seconds(4);
 
-/// The operator's bound on a change at daemons in touch.
+/// The operator's bound on the time until a change is in effect at connected daemons.
 constexpr Duration kConfigurationBound = seconds(3);
-/// Writers write again within this time what a source that comes back from a copy has lost.
+/// Time in which writers rewrite what a restored source has lost.
 constexpr Duration kWrittenAgain = seconds(2);
 constexpr std::size_t kLeafs = 40;
 
@@ -32,7 +32,7 @@
   return settings;
 }
 
-/// Daemons that should have the version by now and do not.
+/// Connected daemons with an older version.
 std::size_t laggards(const SourceFleet& fleet, std::uint64_t version) {
   std::size_t count = 0;
   for (std::size_t number = 0; number < fleet.size(); ++number) {
@@ -42,7 +42,7 @@
   return count;
 }
 
-/// Daemons that believe something else of the evacuation of zone "a" than the source has held for long.
+/// Connected daemons whose known evacuation of zone "a" differs from the source's.
 std::size_t wrongAboutEvacuation(const SourceFleet& fleet, bool evacuated) {
   const std::vector<std::string> expected =
       evacuated ? std::vector<std::string>{"a"} : std::vector<std::string>{};
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-TEST_CASE("few daemons call the source and all know its changes soon", "[serving]") {
+TEST_CASE("few daemons call the source and all receive its changes soon", "[serving]") {
   const auto daemons = GENERATE(1U, 7U, 60U, 295U, 1000U);
   SourceFleetSettings settings = fleetOf(daemons);
   settings.leafs = 1300;
@@ -88,13 +88,10 @@
   REQUIRE(fleet.calls() - before <= 60);
 }
 
-// What was seen: on a quiet day fleets of 74 daemons made 51 to 79 calls to the source in 20 s, of 300 up to
-// 149, where one reader makes 16. Nothing failed, but each call is paid for, and each reader's news goes
-// through all daemons. What happened: after the start several daemons read; each hears the reader before it
-// and stops, but has a call out that waits at the source for a second; the answer to it made the daemon a
-// reader again. Evidence: with daemons that go on reading only if they have heard no reader before them since
-// they called, 16 calls in each of 48 fleets.
-TEST_CASE("on a quiet day one daemon reads the source for all", "[open][readers]") {
+// Known failure: the answer to a call that was in progress makes a daemon the reader again after it has
+// received an update from one that ranks before it. Several readers then make up to 149 calls in 20 s in a
+// fleet of 300, where one makes 16.
+TEST_CASE("without faults and changes, a single daemon reads the source", "[open][readers]") {
   const auto daemons = GENERATE(7U, 74U, 300U);
   const bool tenants = GENERATE(false, true);
   const auto random = GENERATE(1U, 2U, 3U);
@@ -108,11 +105,11 @@
   constexpr std::size_t kSeconds = 20;
   fleet.runFor(seconds(kSeconds));
   CAPTURE(daemons, tenants, random);
-  // A call waits for a second at the source.
+  // The source holds a call open for a second.
   REQUIRE(fleet.calls() - before <= kSeconds);
 }
 
-TEST_CASE("without a living seed every daemon comes to know the source", "[serving]") {
+TEST_CASE("without a running seed every daemon still gets the source's state", "[serving]") {
   SourceFleetSettings settings = fleetOf(60);
   settings.seeds = 0;
   SourceFleet fleet(settings);
@@ -120,7 +117,7 @@
   REQUIRE(allComplete(fleet));
 }
 
-TEST_CASE("a daemon that starts among others learns from them at once", "[serving]") {
+TEST_CASE("a daemon that starts in a running fleet gets the state from peers", "[serving]") {
   SourceFleet fleet(fleetOf(295));
   fleet.runFor(seconds(12));
   const std::size_t calls = fleet.calls();
@@ -136,7 +133,7 @@
   REQUIRE(fleet.calls() - calls <= 30);
 }
 
-TEST_CASE("the death of readers holds no version back", "[serving]") {
+TEST_CASE("crashes of readers delay no version", "[serving]") {
   const auto daemons = GENERATE(7U, 60U, 295U);
   SourceFleet fleet(fleetOf(daemons, 5));
   fleet.runFor(seconds(12));
@@ -149,8 +146,7 @@
   }
 }
 
-TEST_CASE("a source that refuses some daemons, the first readers among them, holds no version back",
-          "[serving]") {
+TEST_CASE("a source that refuses some daemons, including the first-ranked, delays no version", "[serving]") {
   SourceFleet fleet(fleetOf(60, 9));
   fleet.runFor(seconds(12));
   for (std::size_t number = 0; number < 20; ++number) {
@@ -163,8 +159,8 @@
   }
 }
 
-TEST_CASE("the death of the strong, who read first, holds no version back", "[serving]") {
-  // Every ninth is strong: the fourth, the thirteenth and so on.
+TEST_CASE("crashes of high-capacity readers delay no version", "[serving]") {
+  // Daemons 3, 12, 21 and so on have a high capacity.
   const std::size_t firstStrong = 3;
   const std::size_t period = 9;
   SourceFleetSettings settings = fleetOf(74, 5);
@@ -194,7 +190,7 @@
   }
 }
 
-TEST_CASE("while the source is down few calls are made, and its return is noticed soon", "[serving]") {
+TEST_CASE("calls are rare during an outage of the source, and its return is noticed soon", "[serving]") {
   SourceFleet fleet(fleetOf(295, 3));
   fleet.runFor(seconds(12));
   const std::size_t before = fleet.calls();
@@ -208,7 +204,7 @@
   REQUIRE(laggards(fleet, version) == 0);
 }
 
-TEST_CASE("the evacuation of a zone and its end reach every daemon, also those that start meanwhile",
+TEST_CASE("evacuations and their ends reach every daemon, including those that start meanwhile",
           "[serving]") {
   const auto daemons = GENERATE(1U, 7U, 76U, 295U, 1000U);
   CAPTURE(daemons);
@@ -224,12 +220,12 @@
     fleet.runFor(kContact);
     REQUIRE(wrongAboutEvacuation(fleet, true) == 0);
   }
-  SECTION("it is taken back") {
+  SECTION("it ends") {
     fleet.setEvacuated("a", false);
     fleet.runFor(kQuietBound);
     REQUIRE(wrongAboutEvacuation(fleet, false) == 0);
   }
-  SECTION("it is taken back while nobody can read the source, which then has no history") {
+  SECTION("it ends while the source is down, which then has no history") {
     fleet.setSourceDown(true);
     fleet.setEvacuated("a", false);
     fleet.forgetHistory();
@@ -242,7 +238,7 @@
 
 namespace {
 
-/// A fleet with generated deaths, starts, refusals and outages.
+/// A fleet with generated crashes, starts, refusals and outages.
 class GeneratedFleet {
  public:
   explicit GeneratedFleet(const SourceFleetSettings& settings) : fleet_(settings) {}
@@ -260,15 +256,15 @@
       fleet_.setEvacuated("a", evacuated);
       fleet_.runFor(milliseconds(*rc::gen::inRange(100, 1500)));
       if (*rc::gen::inRange(0, 3) == 0) {
-        // The source loses even the last version, which was acknowledged.
+        // The source loses even the last version, although it was acknowledged.
         restore();
       }
       recover();
-      // What was acknowledged and lost is in force in time from when it is written again.
+      // A version that was lost is in effect within the bound, counted from when it is rewritten.
       fleet_.runFor(restored_ ? std::max(kContact, kWrittenAgain + kConfigurationBound) : kContact);
       RC_ASSERT(laggards(fleet_, version) == 0U);
       if (restored_) {
-        // An evacuation that a copy lacks is kept until it would have been written again.
+        // An evacuation that the backup lacks stays in effect until it would have been rewritten.
         fleet_.runFor(kWrittenAgainWithin);
         restored_ = false;
       }
@@ -317,7 +313,7 @@
     }
   }
 
-  /// The source goes away and comes back from a copy, once or several times within a second.
+  /// The source goes down and is restored from a backup, once or several times within a second.
   void restore() {
     restored_ = true;
     const int times = *rc::gen::element(1, 1, 1, 2, 3);
@@ -371,8 +367,8 @@
     }
   }
 
-  /// Dead daemons start again, those that stood still go on, cuts heal, and the source answers; it may go on
-  /// refusing some.
+  /// Starts most crashed daemons, resumes suspended ones, and repairs links and the source, which may still
+  /// refuse some daemons.
   void recover() {
     fleet_.setSourceDown(false);
     fleet_.mendCuts();
@@ -385,7 +381,7 @@
     acceptSome();
   }
 
-  /// Nobody can know what the source tells nobody.
+  /// At least one daemon must be able to read the source.
   void acceptSome() {
     bool anyAccepted = false;
     for (std::size_t number = 0; number < fleet_.size(); ++number) {
@@ -396,24 +392,24 @@
     }
   }
 
-  /// Whatever has happened, somebody reads on.
+  /// After any faults there is still a reader.
   void checkStillFollowing() {
     fleet_.runFor(seconds(10));
     const std::uint64_t version = fleet_.changeConfiguration();
     fleet_.runFor(kTroubledBound);
     RC_ASSERT(laggards(fleet_, version) == 0U);
-    // Whatever the source has lost was written again or has lapsed.
+    // Records that the source has lost are rewritten or expired by now.
     RC_ASSERT(fleet_.wrongAboutLeafs() == 0U);
   }
 
   SourceFleet fleet_;
-  /// The source has come back from a copy in this step.
+  /// The source was restored from a backup in this step.
   bool restored_ = false;
 };
 
 }  // namespace
 
-TEST_CASE("whatever dies, is lost or refused, living daemons have the newest version within the bound",
+TEST_CASE("despite crashes, losses and refusals, running daemons have the newest version within the bound",
           "[serving]") {
   OAKPIER_PROPERTY("fleet", [] {
     SourceFleetSettings settings;
@@ -427,7 +423,8 @@
   });
 }
 
-TEST_CASE("the same holds where daemons differ in what they can carry", "[serving]") {
+TEST_CASE("daemons of different capacities have the newest version within the bound despite faults",
+          "[serving]") {
   OAKPIER_PROPERTY("fleet", [] {
     SourceFleetSettings settings;
     settings.daemons = *rc::gen::element<std::size_t>(2, 7, 8, 28, 74, 120);
--- a/tests/serving/coordination/source_follower_test.cpp
+++ b/tests/serving/coordination/source_follower_test.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// A record's value that no leaf has written.
+/// The value of a leaf's record that no leaf has written.
 const char* const kSpoilt = "spoilt";
 
-/// Births of leafs by their ids.
+/// Birth times by leaf id.
 using Births = std::map<std::string, std::uint64_t>;
 
-/// A source that keeps its history, with leaf records only. A record's value is the leaf's birth.
+/// A source with leaf records only, that keeps its history. A record's value is the leaf's birth time.
 class SourceModel {
  public:
   void put(const std::string& id, std::uint64_t birth) {
@@ -32,8 +32,8 @@
     return call.kind == SourceCall::Kind::kList ? list(call.afterKey) : changes(call.afterRevision);
   }
 
-  /// Leafs that are listed and have not changed after that revision are believed in the life that is listed;
-  /// those removed or spoilt up to it are not.
+  /// Leafs whose record has not changed after `knownRevision` must be known in the listed incarnation; those
+  /// whose record was deleted or invalid by then must not be known.
   void check(std::uint64_t knownRevision, const Births& believed) const {
     for (const auto& [key, record] : records_) {
       if (record.revision > knownRevision) {
@@ -98,7 +98,8 @@
   return entry;
 }
 
-/// Some daemons that follow one source and tell each other; calls and messages take their time or get lost.
+/// Some daemons that follow one source and send each other updates. Calls and messages are delayed, lost or
+/// duplicated.
 class FollowerWorld {
  public:
   explicit FollowerWorld(std::size_t daemons) {
@@ -136,7 +137,7 @@
   enum class Fate { kLost, kArrives, kArrivesAgain };
   struct Daemon {
     SourceFollower follower;
-    /// The call in progress and what the source said when it arrived there.
+    /// The call in progress and the source's answer at the time that the call was made.
     std::optional<std::pair<SourceCall, SourcePage>> call;
     Births believed;
   };
@@ -158,7 +159,7 @@
         source_.spoil(id);
         break;
       default:
-        // Clocks may go back: a later entry may tell an earlier birth.
+        // Clocks may be set back, so that a later entry may have an earlier birth time.
         source_.put(id, *rc::gen::inRange<std::uint64_t>(0, 4));
         break;
     }
@@ -240,7 +241,7 @@
 
 }  // namespace
 
-TEST_CASE("what a daemon believes is what the source held at the revision it knows", "[serving]") {
+TEST_CASE("a daemon's leafs are those that the source held at its known revision", "[serving]") {
   OAKPIER_PROPERTY("followers", [] {
     FollowerWorld world(*rc::gen::inRange<std::size_t>(1, 5));
     const auto steps = *rc::gen::inRange(1, 250);
@@ -250,7 +251,8 @@
   });
 }
 
-TEST_CASE("the first daemon in order reads; one that takes over stops when it hears the first", "[serving]") {
+TEST_CASE("the first-ranked daemon reads; one that took over stops when it receives an update from it",
+          "[serving]") {
   const FollowerSettings settings;
   const std::vector<Endpoint> members{Endpoint(1, 1), Endpoint(2, 1)};
   for (const Endpoint& self : members) {
@@ -278,13 +280,13 @@
   }
 }
 
-TEST_CASE("a started daemon waits for others, but not while callers are refused", "[serving]") {
+TEST_CASE("a started daemon waits for peers, but not while requests are refused", "[serving]") {
   const Endpoint self(5, 1);
   SourceFollower follower(self, FollowerSettings{}, interpret, RandomEngine(1));
   follower.start({Endpoint(1, 1), Endpoint(2, 1)}, at(1000));
   REQUIRE(follower.onTime(at(1000)).ask);
   REQUIRE_FALSE(follower.takeCall(at(1000)));
-  SECTION("nobody answers") { REQUIRE(follower.takeCall(at(2100))); }
+  SECTION("no peer replies") { REQUIRE(follower.takeCall(at(2100))); }
   SECTION("a caller is refused") {
     follower.onStateWanted(at(1010));
     REQUIRE(follower.takeCall(at(1010))->kind == SourceCall::Kind::kList);
@@ -298,7 +300,7 @@
   }
 }
 
-TEST_CASE("a reader whose calls fail leaves reading to one that succeeds", "[serving]") {
+TEST_CASE("a reader whose calls fail defers to one that succeeds", "[serving]") {
   const std::vector<Endpoint> members{Endpoint(1, 1), Endpoint(2, 1)};
   SourceFollower follower(members[0], FollowerSettings{}, interpret, RandomEngine(1));
   follower.setMembers(members);
--- a/tests/serving/coordination/source_restored_test.cpp
+++ b/tests/serving/coordination/source_restored_test.cpp
@@ -1,22 +1,6 @@
-/// A configuration source that comes back from an older copy of its records.
-///
-/// What users saw: requests were handled by a configuration that had been replaced twelve seconds and three
-/// versions before, at every daemon alike, and a route that had been added was not served, until the next
-/// change made all daemons catch up within 12 ms.
-///
-/// Order of events: all daemons know version 24 at revision 78; the source answers nobody for 2.7 s; it comes
-/// back from a copy some seconds old, so that its revision is below 78; daemons that ask for the changes
-/// after 78 are told that it has no such history and list it, and drop the listing, as its revision is below
-/// the one that they know; the operator writes again what was lost, then three further versions, of which the
-/// last gets revision 78 once more; from then on changes "after 78" are asked for and answered, and hold none
-/// of the three.
-///
-/// Cause: a revision was taken for a number that only rises and names one place in one history. Where the
-/// history can begin anew, only the epoch and the revision together do.
-///
-/// Evidence: all daemons logged "history gone" and "regained" by turns for 6 s with known revision 78
-/// throughout; none logged a refused record; the version after 24 that they published was the fourth after
-/// it, as revision 79, while the operator's log has three acknowledged versions between.
+/// A configuration source that is restored from a backup assigns revisions again. Guards against daemons that
+/// skip versions because they compare revisions of different epochs: those written between the restored
+/// revision and the known one would never be requested.
 
 #include <catch2/catch.hpp>
 
@@ -29,9 +13,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A change is in force at every daemon in touch within this time.
+/// The time until a change is in effect at every connected daemon.
 constexpr Duration kConfigurationBound = seconds(3);
-/// Writers write again what the source has lost within this time.
+/// Time in which writers rewrite what the source has lost.
 constexpr Duration kWrittenAgain = seconds(2);
 
 std::size_t daemonsBelow(const SourceFleet& fleet, std::uint64_t version) {
@@ -44,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("after the source has come back from an older copy each new version is in force in time",
+TEST_CASE("after the source is restored from a backup, new versions are in effect within the bound",
           "[restored]") {
   SourceFleetSettings settings;
   settings.daemons = GENERATE(1U, 8U, 74U);
@@ -69,7 +53,7 @@
     fleet.runFor(milliseconds(1300));
   }
   fleet.runFor(kConfigurationBound);
-  // Far enough that "the changes after the revision before" are asked for and answered again.
+  // Until the changes after the revision from before can be requested again.
   while (fleet.sourceRevision() < revisionBefore) {
     version = fleet.changeConfiguration();
     fleet.runFor(kConfigurationBound);
--- a/tests/serving/coordination/source_test.cpp
+++ b/tests/serving/coordination/source_test.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("versions of the configuration never go back, whoever tells them", "[serving]") {
+TEST_CASE("the version of the configuration never decreases", "[serving]") {
   ServingKnowledge knowledge{KnowledgeSettings{}};
   REQUIRE(knowledge.onConfiguration(configurationOf(5)).empty());
   REQUIRE(knowledge.takeChangedView()->configuration->version == 5);
@@ -42,7 +42,7 @@
   REQUIRE(knowledge.configurationVersion() == 5);
 }
 
-TEST_CASE("a leaf that leaves by notice goes at once, one that vanishes a little later", "[serving]") {
+TEST_CASE("a draining leaf is removed immediately, another one after a delay", "[serving]") {
   ServingKnowledge knowledge{KnowledgeSettings{std::chrono::milliseconds(1000)}};
   knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(1));
   LeafEntry draining = leafEntry("two", "s", 2);
@@ -54,19 +54,19 @@
   knowledge.onLeafRemoved("one", inFirstEpoch(4), at(0));
   REQUIRE(knowledge.leafCount() == 1);
   REQUIRE(knowledge.nextDueAt() == at(1000));
-  SECTION("it comes back") {
+  SECTION("it is listed again") {
     REQUIRE(knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(5)));
     knowledge.onTime(at(2000));
     REQUIRE(knowledge.leafCount() == 1);
   }
-  SECTION("old news of it does not bring it back") {
+  SECTION("an older entry does not restore it") {
     REQUIRE_FALSE(knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(3)));
     knowledge.onTime(at(1000));
     REQUIRE(knowledge.leafCount() == 0);
   }
 }
 
-TEST_CASE("leafs of a zone that the operator evacuates take no work until that is taken back", "[serving]") {
+TEST_CASE("leafs of an evacuated zone get no requests until the evacuation ends", "[serving]") {
   ServingKnowledge knowledge{KnowledgeSettings{}};
   LeafEntry elsewhere = leafEntry("two", "s", 2);
   elsewhere.zone = "b";
@@ -85,26 +85,26 @@
   knowledge.onEvacuation("a", true, inFirstEpoch(5));
   REQUIRE(takingWork() == std::set<std::string>{"two"});
   REQUIRE(knowledge.evacuatedZones() == std::vector<std::string>{"a"});
-  SECTION("old news does not end it") {
+  SECTION("older records do not end it") {
     knowledge.onEvacuation("a", false, inFirstEpoch(4));
     knowledge.onEvacuationListing({}, inFirstEpoch(4), at(0));
     REQUIRE(knowledge.takeChangedView() == nullptr);
   }
-  SECTION("it is taken back") {
+  SECTION("it ends") {
     knowledge.onEvacuation("a", false, inFirstEpoch(6));
     REQUIRE(takingWork() == std::set<std::string>{"one", "two"});
   }
-  SECTION("a listing no longer names it") {
+  SECTION("a listing does not name it") {
     knowledge.onEvacuationListing({"b"}, inFirstEpoch(6), at(0));
     REQUIRE(takingWork() == std::set<std::string>{"one", "two"});
   }
-  SECTION("a leaf that starts in the zone takes none either") {
+  SECTION("a leaf that starts in the zone gets none either") {
     knowledge.onLeaf(leafEntry("three", "s", 3), inFirstEpoch(6));
     REQUIRE(takingWork() == std::set<std::string>{"two"});
   }
 }
 
-TEST_CASE("leafs that a listing does not name are gone, newer ones excepted", "[serving]") {
+TEST_CASE("a listing removes leafs that it does not name, except newer ones", "[serving]") {
   ServingKnowledge knowledge{KnowledgeSettings{Duration(0)}};
   knowledge.onLeaf(leafEntry("old", "s", 1), inFirstEpoch(1));
   knowledge.onLeaf(leafEntry("new", "s", 2), inFirstEpoch(9));
@@ -126,7 +126,7 @@
   REQUIRE(changes->afterRevision == 10);
 }
 
-TEST_CASE("lost history means a new listing; failures make calls rarer up to a bound", "[serving]") {
+TEST_CASE("missing history causes a new listing; the backoff after failures is bounded", "[serving]") {
   SourceReader reader = readerOf();
   reader.takeCall(at(0));
   reader.onPage(pageOf(10), 0, at(0));
@@ -142,7 +142,7 @@
   }
 }
 
-TEST_CASE("news from another daemon puts off the own call until the next is overdue", "[serving]") {
+TEST_CASE("an update from a peer postpones the own call until the next update is overdue", "[serving]") {
   SourceReader reader = readerOf();
   reader.takeCall(at(0));
   reader.onPage(pageOf(10), 0, at(0));
@@ -152,7 +152,7 @@
   REQUIRE(reader.nextCallAt() == at(300) + settings.pace + settings.wait);
   const auto overdue = reader.takeCall(reader.nextCallAt());
   REQUIRE(overdue->afterRevision == 20);
-  // Others wait for the answer too, so the source is not given time.
+  // Peers wait for the answer too, so that the source must not hold the call open.
   REQUIRE(overdue->wait.count() == 0);
   reader.onPage(pageOf(20), 0, at(2000));
   REQUIRE(reader.takeCall(reader.nextCallAt())->wait == settings.wait);
@@ -160,7 +160,7 @@
   REQUIRE(reader.known() == inFirstEpoch(20));
 }
 
-TEST_CASE("every daemon gets forwarded news exactly once and passes it to few", "[serving]") {
+TEST_CASE("every daemon receives an update once and forwards it to few", "[serving]") {
   OAKPIER_PROPERTY("tree", [] {
     const auto count = *rc::gen::inRange<std::uint32_t>(1, 400);
     std::vector<Endpoint> members;
@@ -184,7 +184,7 @@
   });
 }
 
-TEST_CASE("news that nothing has changed is passed on as well, but not twice", "[serving]") {
+TEST_CASE("updates without changes are forwarded once per read", "[serving]") {
   const Endpoint root(1, 1);
   std::vector<Endpoint> members;
   for (std::uint32_t number = 1; number <= 100; ++number) {
@@ -204,7 +204,7 @@
   REQUIRE(relay.freshAt() == at(2000));
 }
 
-TEST_CASE("whole states are told to a bounded number of daemons in a time", "[serving]") {
+TEST_CASE("the rate of complete states sent to peers is limited", "[serving]") {
   SourceRelay relay(Endpoint(1, 1));
   std::size_t told = 0;
   for (std::uint32_t number = 2; number < 102; ++number) {
@@ -213,11 +213,11 @@
   REQUIRE(told > 0);
   REQUIRE(told < 30);
   REQUIRE(relay.missedBy(Endpoint(200, 1), inFirstEpoch(0), inFirstEpoch(8), at(2000)));
-  // Changes are small, so whoever missed some is told them.
+  // Changes are small and not limited.
   REQUIRE(relay.missedBy(Endpoint(201, 1), inFirstEpoch(7), inFirstEpoch(8), at(1001)));
 }
 
-TEST_CASE("a daemon that misses news asks for everything and then knows it", "[serving]") {
+TEST_CASE("a daemon with a gap requests the complete state and can apply it", "[serving]") {
   const Endpoint one(1, 1);
   const Endpoint other(2, 1);
   SourceRelay reader(one);
@@ -231,12 +231,12 @@
   const SourceNews news = sent.news[0].news;
   REQUIRE(news.age_us() == 100'000);
 
-  SECTION("nothing is missing") {
+  SECTION("there is no gap") {
     const auto taken = receiver.onNews(one, news, inFirstEpoch(6), at(5000));
     REQUIRE(taken.accepted);
     REQUIRE(receiver.freshAt() == at(4900));
   }
-  SECTION("something is missing") {
+  SECTION("there is a gap") {
     const auto refused = receiver.onNews(one, news, inFirstEpoch(3), at(5000));
     REQUIRE_FALSE(refused.accepted);
     REQUIRE(*refused.ask == one);
@@ -245,12 +245,12 @@
     REQUIRE(receiver.onNews(one, whole->news, inFirstEpoch(3), at(5100)).accepted);
     REQUIRE(recordsOf(whole->news).size() == 1);
   }
-  SECTION("it is older than what is known") {
+  SECTION("the known position is later") {
     REQUIRE_FALSE(receiver.onNews(one, news, inFirstEpoch(9), at(5000)).accepted);
   }
 }
 
-TEST_CASE("leafs whose records go by mistake for a moment stay in use", "[serving]") {
+TEST_CASE("leafs whose records are deleted for a moment stay in use", "[serving]") {
   KnowledgeSettings settings;
   settings.removalDelay = removalDelayFor(std::chrono::seconds(5));
   ServingKnowledge knowledge(settings);
@@ -263,11 +263,11 @@
   REQUIRE(knowledge.leafCount() == 2);
   knowledge.onLeaf(leafEntry("x", "s", 1), inFirstEpoch(5));
   knowledge.onTime(at(2600));
-  // "y" did not come back.
+  // "y" was not listed again.
   REQUIRE(knowledge.leafCount() == 1);
 }
 
-TEST_CASE("a leaf that went is never used beyond the operator's bound", "[serving]") {
+TEST_CASE("the removal delay is at most half of the operator's bound", "[serving]") {
   for (const int bound : {600, 2500, 3000, 5000, 60'000}) {
     const Duration leaveBound = std::chrono::milliseconds(bound);
     REQUIRE(removalDelayFor(leaveBound) <= leaveBound / 2);
@@ -277,7 +277,7 @@
   REQUIRE(removalDelayFor(std::chrono::seconds(5)) == std::chrono::milliseconds(2500));
 }
 
-TEST_CASE("a daemon that has missed a little is told only that", "[serving]") {
+TEST_CASE("a daemon that lacks a few changes is sent only these", "[serving]") {
   SourceRelay relay(Endpoint(1, 1));
   const Endpoint asker(2, 1);
   for (std::uint64_t revision = 1; revision <= 100; ++revision) {
@@ -298,13 +298,13 @@
   }
   REQUIRE(told == std::set<std::string>{"servers/100", "servers/7 gone", "servers/8"});
 
-  // After a listing nobody knows what went before it.
+  // After a listing, earlier deletions are not known.
   relay.dropUnlisted({"servers/100"}, inFirstEpoch(103));
   REQUIRE(relay.missedBy(asker, inFirstEpoch(99), inFirstEpoch(104), at(1000))->news.whole());
   REQUIRE_FALSE(relay.missedBy(asker, inFirstEpoch(103), inFirstEpoch(104), at(1000))->news.whole());
 }
 
-TEST_CASE("news of one revision is forwarded once", "[serving]") {
+TEST_CASE("an update of one revision is forwarded once", "[serving]") {
   std::vector<Endpoint> members;
   for (std::uint32_t number = 1; number <= 30; ++number) {
     members.emplace_back(number, 1);
@@ -319,11 +319,11 @@
   REQUIRE(relay.onNews(members[5], news, inFirstEpoch(2), at(2)).news.empty());
 }
 
-TEST_CASE("leafs' connections suffice for any number of daemons", "[serving]") {
+TEST_CASE("connections to a leaf stay within its limit for any number of daemons", "[serving]") {
   OAKPIER_PROPERTY("subsets", [] {
     const auto daemons = *rc::gen::inRange<std::uint32_t>(1, 200);
     const std::size_t maximum = *rc::gen::element<std::size_t>(26, 70, 110);
-    // Enough leafs that every daemon can have two connections.
+    // Enough leafs for two connections per daemon.
     const std::size_t leafs = std::max<std::size_t>(2, std::size_t{daemons} * 4 / maximum + 1);
     const LeafsByService directory = leafsOf({"s"}, leafs);
     const ConnectionShare share = shareOf(leafs, maximum, daemons);
--- a/tests/serving/support/source_fleet.cpp
+++ b/tests/serving/support/source_fleet.cpp
@@ -13,10 +13,10 @@
 const std::string kLeafPrefix = "leaf/";
 constexpr std::size_t kPageRecords = 500;
 constexpr Duration kSourceDelay = std::chrono::milliseconds(4);
-/// A call to a source that is silent ends after this, beside the time that the source may wait.
+/// Timeout of a call that gets no answer, beyond the time for which the source may hold it open.
 constexpr Duration kCallTimeout = std::chrono::seconds(1);
 constexpr Duration kMemberPeriod = std::chrono::milliseconds(250);
-/// Daemons hear of one that has started, and of one that has died, within these times.
+/// Maximum delays until daemons learn that a peer has started or crashed.
 constexpr Duration kLongestBirthLag = std::chrono::milliseconds(2500);
 constexpr Duration kLongestDeathLag = std::chrono::seconds(9);
 constexpr Duration kLongestStart = std::chrono::milliseconds(300);
--- a/tests/serving/support/source_fleet.h
+++ b/tests/serving/support/source_fleet.h
@@ -1,9 +1,8 @@
 #pragma once
 
-/// A fleet of daemons that follow one configuration source, in simulated time: the source answers, waits, is
-/// down or refuses some; frames take their time, get lost, come late or twice; links are cut, also one way;
-/// daemons die, start, stand still while frames and answers lie before them, and learn of each other late.
-/// Each has a clock of its own.
+/// A fleet of daemons that follow one configuration source, in simulated time. The source may hold calls
+/// open, be down or refuse some daemons. Frames are delayed, lost or duplicated; links fail, also in one
+/// direction. Daemons crash, start, are suspended, and learn of each other with a delay. Their clocks differ.
 
 #include <cstdint>
 #include <functional>
@@ -24,19 +23,20 @@
   std::size_t seeds = 3;
   std::size_t leafs = 40;
   std::uint64_t random = 1;
-  /// What the daemons can carry, over and over again by their numbers; empty: they don't tell.
+  /// Capacities of the daemons, repeated over their numbers; empty: they report none.
   std::vector<unsigned> capacities;
-  /// Of frames between daemons.
+  /// Share of the frames between daemons that are lost.
   double frameLoss = 0.0;
   Duration shortestFrame = std::chrono::milliseconds(1);
   Duration longestFrame = std::chrono::milliseconds(15);
-  /// Share of frames that arrive up to `longestLateness` later, and of those that arrive again by then.
+  /// Shares of the frames that arrive up to `longestLateness` later, and of those that are delivered a second
+  /// time by then.
   double lateFrames = 0.0;
   double replayedFrames = 0.0;
   Duration longestLateness = std::chrono::seconds(9);
-  /// The configuration names tenants.
+  /// The configuration contains a tenant.
   bool tenants = false;
-  /// The source's epoch at the start. 0: it tells none before it has come back from a copy.
+  /// The source's epoch at the start; 0: it reports none until it is restored from a backup.
   std::uint64_t firstEpoch = 0;
 };
 
@@ -48,67 +48,67 @@
   void runFor(Duration span);
   std::size_t size() const { return daemons_.size(); }
 
-  /// The operator hands in the next version, which the source takes at once.
+  /// The operator writes the next version of the configuration.
   std::uint64_t changeConfiguration();
   void changeLeaf(std::size_t number);
-  /// The leaf leaves: its entry goes.
+  /// Deletes the leaf's entry.
   void removeLeaf(std::size_t number);
-  /// The operator evacuates a zone, or takes that back.
+  /// Starts or ends the evacuation of a zone.
   void setEvacuated(const std::string& zone, bool evacuated);
   void kill(std::size_t number);
-  /// Starts a new process at the address of one that was killed.
+  /// Starts a new process at the address of a crashed one.
   void start(std::size_t number);
   /// The source refuses the daemon's calls.
   void setRefused(std::size_t number, bool refused) { daemons_[number].refused = refused; }
-  /// The source answers nobody; calls that wait are lost.
+  /// The source does not answer; calls that it holds open are lost.
   void setSourceDown(bool down);
-  /// The source works on the daemon's calls, but its answers do not reach it.
+  /// The source receives the daemon's calls, but its answers are lost.
   void setAnswersLost(std::size_t number, bool lost) { daemons_[number].answersLost = lost; }
-  /// Frames from one daemon to another vanish.
+  /// Frames from one daemon to another are lost.
   void setCut(std::size_t from, std::size_t to, bool cut);
   void mendCuts() { cuts_.clear(); }
-  /// The process stands still; what reaches it lies until it goes on.
+  /// The process does not run. Frames and answers are queued until it is resumed.
   void suspend(std::size_t number) { daemons_[number].suspended = true; }
   void resume(std::size_t number);
-  /// The source goes on from a copy of its records that is that old: revisions go back, and what was written
-  /// since is lost until its writers write it again, each at a moment of its own within `writtenAgainWithin`.
-  /// Calls that wait are lost.
+  /// Restores the source from a backup of age `age` and begins a new epoch: revisions go back, and later
+  /// records are lost until their writers rewrite them, each at a random time within `writtenAgainWithin`.
+  /// Calls that the source holds open are lost.
   void restoreSource(Duration age, Duration writtenAgainWithin);
-  /// The source forgets the history of changes.
+  /// The source drops its history of changes.
   void forgetHistory() { historyFrom_ = revision_; }
 
   bool refused(std::size_t number) const { return daemons_[number].refused; }
   bool alive(std::size_t number) const { return daemons_[number].alive; }
   bool suspended(std::size_t number) const { return daemons_[number].suspended; }
-  /// The daemon would let a key pass now under this bound.
+  /// Whether the daemon may admit keys now if its proof may be `bound` old.
   bool covers(std::size_t number, Duration bound) const;
-  /// Age of the daemon's proof.
+  /// Age of the daemon's freshness proof.
   Duration proofAge(std::size_t number) const;
-  /// A newer configuration than the daemon uses was acknowledged longer ago than that.
+  /// A configuration newer than the daemon's was acknowledged longer than `bound` ago.
   bool outdatedBy(std::size_t number, Duration bound) const;
-  /// Times that a daemon held a proof of a moment by which a newer version was acknowledged.
+  /// Times that a daemon's proof named a time at which a newer version was already acknowledged.
   std::size_t unsoundProofs() const { return unsoundProofs_; }
-  /// Times that a living daemon wanted to read the source for its own sake.
+  /// Times that a running daemon requested a read of the source for its own proof.
   std::size_t proofReads() const;
   std::size_t proofQuestions() const { return proofQuestions_; }
   Moment aliveSince(std::size_t number) const { return daemons_[number].startedAt; }
   std::uint64_t versionOf(std::size_t number) const;
-  /// When the process first had that version or a newer one; `kNever` if it has not.
+  /// When the process first had this version or a newer one; `kNever` if it has not.
   Moment versionSeenAt(std::size_t number, std::uint64_t version) const;
   std::vector<std::string> evacuatedZonesOf(std::size_t number) const {
     return daemons_[number].follower->evacuatedZones();
   }
   bool complete(std::size_t number) const { return daemons_[number].follower->complete(); }
-  /// Calls that the source got, refused ones too.
+  /// Calls that reached the source, including refused ones.
   std::size_t calls() const { return calls_; }
   std::uint64_t sourceRevision() const { return revision_; }
-  /// Listings that the source was asked to begin, refused ones too.
+  /// Listings that were requested from the source, including refused ones.
   std::size_t listings() const { return listings_; }
-  /// Living daemons that believe in other leafs than the source lists.
+  /// Running daemons whose known leafs differ from those that the source lists.
   std::size_t wrongAboutLeafs() const;
-  /// Times that a daemon used an older version of the configuration than before in the same life.
+  /// Times that a daemon used an older version than before without a restart.
   std::size_t versionsBack() const { return versionsBack_; }
-  /// What the daemon follows by, for tests that look into one.
+  /// For tests that inspect one daemon.
   const SourceFollower& followerOf(std::size_t number) const { return *daemons_[number].follower; }
   std::uint64_t knownRevisionOf(std::size_t number) const {
     return daemons_[number].follower->known().revision;
@@ -124,9 +124,9 @@
     bool answersLost = false;
     bool suspended = false;
     std::vector<std::function<void()>> lying;
-    /// Of its clock.
+    /// Offset of its clock.
     Duration ahead{};
-    /// Tells processes at the address apart.
+    /// Number of the process at this address.
     std::uint64_t life = 0;
     Moment startedAt{};
     Moment endedAt{};
@@ -142,7 +142,7 @@
 
   void at(Moment moment, std::function<void()> action) { events_.emplace(moment, std::move(action)); }
   Moment clockOf(std::size_t number) const { return now_ + daemons_[number].ahead; }
-  /// Now, or when the process goes on; never if it ends before.
+  /// Runs `action` now, or when the process is resumed; never if it crashes before.
   void runIn(std::size_t number, std::uint64_t life, std::function<void()> action);
   void pump(std::size_t number);
   void checkProof(std::size_t number);
@@ -154,13 +154,13 @@
   void answer(std::size_t number, std::uint64_t life, const SourceCall& call, const SourceAnswer& answer,
               Duration delay);
   SourceAnswer::Content contentFor(const SourceCall& call) const;
-  /// What the source says to anything.
+  /// Adds the source's epoch to an answer.
   SourceAnswer told(SourceAnswer::Content content) const;
-  /// The record's writer sees to it that the source holds what it wrote last.
+  /// The writer rewrites the record unless the source still holds what it wrote last.
   void writeAgain(const std::string& key);
   bool hasChangesFor(const SourceCall& call) const;
   void change(const std::string& key, const std::string& value, bool gone = false);
-  /// What each daemon knows of the others at this moment.
+  /// Updates the members that each daemon knows.
   void refreshMembers();
   bool knows(const Daemon& daemon, const Daemon& other) const;
   Duration lag(const Daemon& daemon, const Daemon& other, Duration longest) const;
@@ -183,7 +183,7 @@
   };
   std::vector<Change> history_;
   std::uint64_t epoch_ = 0;
-  /// What each writer wrote last, by key, whatever the source has lost of it.
+  /// The last write of each key, whether or not the source has lost it.
   std::map<std::string, SourceRecord> written_;
   std::vector<Waiting> waiting_;
   std::uint64_t nextWaiting_ = 1;
@@ -191,7 +191,7 @@
   std::size_t listings_ = 0;
   std::size_t versionsBack_ = 0;
   std::set<std::pair<std::size_t, std::size_t>> cuts_;
-  /// By version.
+  /// When each version was acknowledged.
   std::map<std::uint64_t, Moment> acknowledged_;
   std::size_t unsoundProofs_ = 0;
   std::size_t proofQuestions_ = 0;
