--- a/src/coordination/serving/configuration_prover.cpp
+++ b/src/coordination/serving/configuration_prover.cpp
@@ -114,7 +114,7 @@
   ++counters_.asked;
 }
 
-void ConfigurationProver::onNews(const Endpoint& sender, Moment now, ProofActions& actions) {
+void ConfigurationProver::onUpdate(const Endpoint& sender, Moment now, ProofActions& actions) {
   if (active() && ageAt(now) >= share(kFreshShare) && now >= askNewsSenderAfter_) {
     askNewsSenderAfter_ = now + kNewsAskPeriod;
     ask(sender, now, actions);
--- a/src/coordination/serving/configuration_prover.h
+++ b/src/coordination/serving/configuration_prover.h
@@ -79,7 +79,7 @@
   /// A linearizable answer of the source was taken over whole; its (first) call was sent at `sentAt`.
   void onRead(Moment sentAt, Moment now, ProofActions& actions);
   /// News of the source was accepted: its sender has heard of a round of reading.
-  void onNews(const Endpoint& sender, Moment now, ProofActions& actions);
+  void onUpdate(const Endpoint& sender, Moment now, ProofActions& actions);
   void onRequest(const Endpoint& sender, const ConfigurationProofRequest& request, Moment now,
                  ProofActions& actions);
   void onReply(const Endpoint& sender, const ConfigurationProofReply& reply, Moment now,
--- a/src/coordination/serving/epoch_watch.h
+++ b/src/coordination/serving/epoch_classifier.h
@@ -24,7 +24,7 @@
 
 struct EpochCounters {
   /// Answers that reported an epoch.
-  std::uint64_t told = 0;
+  std::uint64_t reported = 0;
   /// Times that the known epoch was replaced by a newer one.
   std::uint64_t restorations = 0;
   /// Epochs that were never seen, because a later one was reported first.
@@ -35,10 +35,10 @@
   std::uint64_t malformed = 0;
 };
 
-class EpochWatch {
+class EpochClassifier {
  public:
   /// `known`: the epoch of what is known here.
-  EpochVerdict judge(const ToldEpoch& told, std::uint64_t known);
+  EpochVerdict classify(const ReportedEpoch& reported, std::uint64_t known);
   /// The known epoch changed from `before` to `now`.
   void onRestored(std::uint64_t before, std::uint64_t now);
   const EpochCounters& counters() const { return counters_; }
--- a/src/coordination/serving/forwarding_tree.cpp
+++ b/src/coordination/serving/forwarding_tree.cpp
@@ -2,7 +2,7 @@
 
 namespace oakpier::serving {
 
-std::vector<Endpoint> forwardTo(DaemonOrder members, const Endpoint& root, const Endpoint& self) {
+std::vector<Endpoint> forwardingChildren(DaemonOrder members, const Endpoint& root, const Endpoint& self) {
   members.add(root);
   members.add(self);
   // Ranks are counted from the root.
--- a/src/coordination/serving/forwarding_tree.h
+++ b/src/coordination/serving/forwarding_tree.h
@@ -14,6 +14,6 @@
 inline constexpr std::size_t kForwardingDegree = 8;
 
 /// `members`: serving daemons, with or without `root` and `self`.
-std::vector<Endpoint> forwardTo(DaemonOrder members, const Endpoint& root, const Endpoint& self);
+std::vector<Endpoint> forwardingChildren(DaemonOrder members, const Endpoint& root, const Endpoint& self);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/departed_leafs.h
+++ b/src/coordination/serving/leaf_tombstones.h
@@ -16,28 +16,28 @@
 namespace oakpier::serving {
 
 /// Not thread-safe.
-class DepartedLeafs {
+class LeafTombstones {
  public:
   /// The incarnation was removed at `now`.
   void add(const LeafLife& life, Moment now);
   /// Whether the incarnation has a tombstone.
-  bool include(const LeafLife& life) const;
+  bool contains(const LeafLife& life) const;
   /// Drops expired tombstones.
   void onTime(Moment now);
   /// Number of leafs with a tombstone.
   std::size_t size() const { return byId_.size(); }
 
  private:
-  struct Departure {
+  struct Tombstone {
     LeafLife life;
     Moment at{};
   };
 
-  void forgetOldest();
+  void removeOldest();
 
-  std::map<std::string, Departure> byId_;
+  std::map<std::string, Tombstone> byId_;
   /// In the order of removal; contains an id twice if it was removed again.
-  std::deque<Departure> order_;
+  std::deque<Tombstone> order_;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/peer_recovery.h
+++ b/src/coordination/serving/peer_bootstrap.h
@@ -16,22 +16,22 @@
 
 namespace oakpier::serving {
 
-struct PeerRecoverySettings {
+struct PeerBootstrapSettings {
   /// Between requests to peers. The first may be sent before the seed has started.
-  Duration askPeriod = std::chrono::milliseconds(100);
+  Duration requestInterval = std::chrono::milliseconds(100);
   /// How long daemons that are no seeds wait for a reply: time for a seed's listing and its reply, both on a
   /// tenth of a CPU.
-  Duration patience = std::chrono::milliseconds(300);
+  Duration replyTimeout = std::chrono::milliseconds(300);
   /// They list the source after a further random delay up to this, so that they do not all call
   /// simultaneously.
-  Duration longestSpread = std::chrono::milliseconds(700);
+  Duration maxJitter = std::chrono::milliseconds(700);
   /// Number of daemons that are assumed to start simultaneously.
   std::size_t assumedDaemons = 100;
 };
 
-class PeerRecovery {
+class PeerBootstrap {
  public:
-  PeerRecovery(const Endpoint& self, const PeerRecoverySettings& settings)
+  PeerBootstrap(const Endpoint& self, const PeerBootstrapSettings& settings)
       : self_(self), settings_(settings) {}
 
   /// `seeds`: the peers to request from first; may contain this daemon. If there are no others, the source is
@@ -41,23 +41,23 @@
   void setMembers(const std::vector<Endpoint>& members);
 
   /// The peer to send a request to now, if one is due.
-  std::optional<Endpoint> takeAsk(Moment now, RandomEngine& random);
-  Moment nextAskAt() const { return nextAskAt_; }
+  std::optional<Endpoint> takeRequest(Moment now, RandomEngine& random);
+  Moment nextRequestAt() const { return nextRequestAt_; }
   /// A random peer; a seed while no members are known.
-  std::optional<Endpoint> drawOther(RandomEngine& random) const;
+  std::optional<Endpoint> randomPeer(RandomEngine& random) const;
   /// This daemon is a seed or has none: it reads the source for the others from its start.
-  bool readsFirst() const { return readsFirst_; }
+  bool readsFromStart() const { return readsFromStart_; }
   /// When this daemon lists the source itself unless it got a reply.
   Moment listAt() const { return listAt_; }
 
  private:
   Endpoint self_;
-  PeerRecoverySettings settings_;
+  PeerBootstrapSettings settings_;
   /// Without this daemon.
   std::vector<Endpoint> seeds_;
-  bool readsFirst_ = false;
+  bool readsFromStart_ = false;
   std::vector<Endpoint> members_;
-  Moment nextAskAt_ = kNever;
+  Moment nextRequestAt_ = kNever;
   Moment listAt_{};
 };
 
--- a/src/coordination/serving/reader_election.cpp
+++ b/src/coordination/serving/reader_election.cpp
@@ -7,49 +7,53 @@
 
 namespace oakpier::serving {
 
-void ReaderElection::start(bool others, Moment now) { aloneAt_ = others ? now + settings_.aloneAfter : now; }
+void ReaderElection::start(bool peersExpected, Moment now) {
+  soleMemberAt_ = peersExpected ? now + settings_.soleMemberAfter : now;
+}
 
 void ReaderElection::setMembers(DaemonOrder members) {
   members_ = std::move(members);
-  place_ = members_.placeOf(self_);
-  count_ = std::max<std::size_t>(1, members_.size());
+  rank_ = members_.placeOf(self_);
+  memberCount_ = std::max<std::size_t>(1, members_.size());
 }
 
-void ReaderElection::onNews(const Endpoint& reader) {
+void ReaderElection::onUpdate(const Endpoint& reader) {
   if (members_.before(reader, self_)) {
-    tookOver_ = false;
+    becameReader_ = false;
   }
 }
 
 void ReaderElection::onFailure() {
   lastCallFailed_ = true;
-  tookOver_ = false;
+  becameReader_ = false;
 }
 
-bool ReaderElection::first(Moment now) const {
-  const bool mayBeAlone = count_ > 1 || now >= aloneAt_;
-  return place_ == 0 && mayBeAlone;
+bool ReaderElection::isFirstRanked(Moment now) const {
+  const bool membersKnown = memberCount_ > 1 || now >= soleMemberAt_;
+  return rank_ == 0 && membersKnown;
 }
 
-bool ReaderElection::reads(Moment now) const { return !lastCallFailed_ && (tookOver_ || first(now)); }
+bool ReaderElection::isReader(Moment now) const {
+  return !lastCallFailed_ && (becameReader_ || isFirstRanked(now));
+}
 
 Duration ReaderElection::stagger(Moment now, RandomEngine& random) const {
-  if (first(now)) {
+  if (isFirstRanked(now)) {
     return Duration(0);
   }
-  if (place_ > 0 && place_ <= settings_.staggeredDaemons) {
-    return settings_.newsGrace + settings_.staggerStep * static_cast<int>(place_);
+  if (rank_ > 0 && rank_ <= settings_.staggeredDaemons) {
+    return settings_.updateGrace + settings_.staggerStep * static_cast<int>(rank_);
   }
   const Duration after =
-      settings_.newsGrace + settings_.staggerStep * static_cast<int>(settings_.staggeredDaemons);
-  const Duration spread =
-      std::min(settings_.longestSpread, settings_.spreadPerDaemon * static_cast<int>(count_));
-  return after + suppressionDelay(spread, count_, random);
+      settings_.updateGrace + settings_.staggerStep * static_cast<int>(settings_.staggeredDaemons);
+  const Duration jitter =
+      std::min(settings_.maxJitter, settings_.jitterPerDaemon * static_cast<int>(memberCount_));
+  return after + suppressionDelay(jitter, memberCount_, random);
 }
 
-Duration ReaderElection::longestBackoff() const {
-  return std::clamp(settings_.backoffPerDaemon * static_cast<int>(count_), settings_.leastLongestBackoff,
-                    settings_.mostLongestBackoff);
+Duration ReaderElection::backoffCap() const {
+  return std::clamp(settings_.backoffCapPerDaemon * static_cast<int>(memberCount_), settings_.minBackoffCap,
+                    settings_.maxBackoffCap);
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/reader_election.h
+++ b/src/coordination/serving/reader_election.h
@@ -18,21 +18,21 @@
 struct ReaderElectionSettings {
   /// Updates count as overdue when they are this late: time for some hops between daemons that may be
   /// throttled by their CPU quota until its next period of 100 ms.
-  Duration newsGrace = std::chrono::milliseconds(200);
+  Duration updateGrace = std::chrono::milliseconds(200);
   /// The next daemons in order take over this much apart: time for a call and for its result to pass the
   /// forwarding tree.
   Duration staggerStep = std::chrono::milliseconds(120);
   std::size_t staggeredDaemons = 4;
   /// All others draw a random delay beyond that. Its maximum grows with their number, up to a bound.
-  Duration spreadPerDaemon = std::chrono::milliseconds(5);
-  Duration longestSpread = std::chrono::milliseconds(600);
+  Duration jitterPerDaemon = std::chrono::milliseconds(5);
+  Duration maxJitter = std::chrono::milliseconds(600);
   /// The maximum backoff after failed calls grows with the number of daemons, which limits the rate of calls
   /// during an outage. It stays between these bounds, so that the source's return is noticed soon.
-  Duration backoffPerDaemon = std::chrono::milliseconds(10);
-  Duration leastLongestBackoff = std::chrono::milliseconds(1000);
-  Duration mostLongestBackoff = std::chrono::milliseconds(1500);
+  Duration backoffCapPerDaemon = std::chrono::milliseconds(10);
+  Duration minBackoffCap = std::chrono::milliseconds(1000);
+  Duration maxBackoffCap = std::chrono::milliseconds(1500);
   /// A daemon that knows no peers for this long after its start assumes that it is the only one.
-  Duration aloneAfter = std::chrono::seconds(3);
+  Duration soleMemberAfter = std::chrono::seconds(3);
 };
 
 class ReaderElection {
@@ -40,41 +40,41 @@
   ReaderElection(const Endpoint& self, const ReaderElectionSettings& settings)
       : self_(self), settings_(settings) {}
 
-  /// `others`: peers are expected, because the settings name some.
-  void start(bool others, Moment now);
+  /// `peersExpected`: peers are expected, because the settings name some.
+  void start(bool peersExpected, Moment now);
   /// `members`: serving daemons, including this one.
   void setMembers(DaemonOrder members);
   /// This daemon's rank among the members; 0 is the first.
-  std::size_t place() const { return place_; }
+  std::size_t rank() const { return rank_; }
 
   /// An update read by another daemon was applied.
-  void onNews(const Endpoint& reader);
+  void onUpdate(const Endpoint& reader);
   /// This daemon has read the source and remains reader until it receives an update from a reader that ranks
   /// before it.
-  void takeOver() { tookOver_ = true; }
+  void becomeReader() { becameReader_ = true; }
   /// A call of this daemon succeeded.
   void onAnswer() { lastCallFailed_ = false; }
   /// A call of this daemon failed: it is not the reader until one succeeds.
   void onFailure();
 
   /// This daemon is the reader, whether or not it receives updates of others.
-  bool reads(Moment now) const;
+  bool isReader(Moment now) const;
   /// How long updates must be overdue before this daemon reads.
   Duration stagger(Moment now, RandomEngine& random) const;
   /// The maximum backoff after a failed call.
-  Duration longestBackoff() const;
+  Duration backoffCap() const;
 
  private:
-  /// This daemon is first in order; one without known peers only after `aloneAfter`.
-  bool first(Moment now) const;
+  /// This daemon is first in order; one without known peers only after `soleMemberAfter`.
+  bool isFirstRanked(Moment now) const;
 
   Endpoint self_;
   ReaderElectionSettings settings_;
   DaemonOrder members_;
-  std::size_t place_ = 0;
-  std::size_t count_ = 1;
-  Moment aloneAt_{};
-  bool tookOver_ = false;
+  std::size_t rank_ = 0;
+  std::size_t memberCount_ = 1;
+  Moment soleMemberAt_{};
+  bool becameReader_ = false;
   bool lastCallFailed_ = false;
 };
 
--- a/src/coordination/serving/serving_knowledge.cpp
+++ b/src/coordination/serving/serving_state.cpp
@@ -1,4 +1,4 @@
-#include "coordination/serving/serving_knowledge.h"
+#include "coordination/serving/serving_state.h"
 
 #include <algorithm>
 #include <set>
@@ -9,7 +9,7 @@
 namespace {
 
 /// How late an update is received at most if the reader was lost.
-constexpr Duration kLatestNews = std::chrono::seconds(2);
+constexpr Duration kMaxUpdateDelay = std::chrono::seconds(2);
 
 /// The view needs only the digests of keys. Leaving out the keys prevents that they are logged or sent by
 /// mistake, and saves a second copy: the relay still holds the source's record.
@@ -28,10 +28,10 @@
 }  // namespace
 
 Duration removalDelayFor(Duration leaveBound) {
-  return std::clamp(leaveBound - kLatestNews, leaveBound / 6, leaveBound / 2);
+  return std::clamp(leaveBound - kMaxUpdateDelay, leaveBound / 6, leaveBound / 2);
 }
 
-std::vector<std::string> ServingKnowledge::onConfiguration(
+std::vector<std::string> ServingState::onConfiguration(
     std::shared_ptr<const ServingConfiguration> configuration) {
   if (configuration_ && configuration->version <= configuration_->version) {
     return {};
@@ -47,65 +47,65 @@
   return {};
 }
 
-void ServingKnowledge::onRestored(const SourcePosition& position, Moment now) {
-  restored_ = position;
+void ServingState::onRestored(const SourcePosition& position, Moment now) {
+  restoredPosition_ = position;
   restoredAt_ = now;
-  disputed_.clear();
+  conflicts_.clear();
 }
 
-bool ServingKnowledge::maybeOfCopy(const SourcePosition& position) const {
-  return position.epoch == restored_.epoch && position <= restored_;
+bool ServingState::mayBeFromBackup(const SourcePosition& position) const {
+  return position.epoch == restoredPosition_.epoch && position <= restoredPosition_;
 }
 
-bool ServingKnowledge::onLeaf(const LeafEntry& entry, const SourcePosition& position) {
+bool ServingState::onLeaf(const LeafEntry& entry, const SourcePosition& position) {
   const auto found = leafs_.find(entry.id);
   if (found != leafs_.end() && found->second.position >= position) {
     return false;
   }
-  return maybeOfCopy(position) ? takeCopiedLeaf(entry, position) : takeLeaf(entry, position);
+  return mayBeFromBackup(position) ? applyLeafFromBackup(entry, position) : applyLeaf(entry, position);
 }
 
-bool ServingKnowledge::takeCopiedLeaf(const LeafEntry& entry, const SourcePosition& position) {
+bool ServingState::applyLeafFromBackup(const LeafEntry& entry, const SourcePosition& position) {
   const auto found = leafs_.find(entry.id);
   if (found == leafs_.end()) {
-    if (!departed_.include(entry.life())) {
-      return takeLeaf(entry, position);
+    if (!tombstones_.contains(entry.life())) {
+      return applyLeaf(entry, position);
     }
-    dispute(entry, position, restoredAt_ + settings_.lapseWithin);
+    addConflict(entry, position, restoredAt_ + settings_.expiryWindow);
     return false;
   }
   KnownLeaf& known = found->second;
-  const bool sameLife = known.entry.isOf(entry.life());
-  if (sameLife && known.removeAt == kNever) {
-    LeafEntry believed = entry;
-    believed.draining = entry.draining || known.entry.draining;
-    return takeLeaf(believed, position);
+  const bool sameIncarnation = known.entry.isOf(entry.life());
+  if (sameIncarnation && known.removeAt == kNever) {
+    LeafEntry merged = entry;
+    merged.draining = entry.draining || known.entry.draining;
+    return applyLeaf(merged, position);
   }
   known.position = position;
-  const Duration wait = sameLife ? settings_.lapseWithin : settings_.writtenAgainWithin;
-  dispute(entry, position, restoredAt_ + wait);
+  const Duration wait = sameIncarnation ? settings_.expiryWindow : settings_.rewriteWindow;
+  addConflict(entry, position, restoredAt_ + wait);
   return false;
 }
 
-void ServingKnowledge::dispute(const LeafEntry& entry, const SourcePosition& position, Moment takeAt) {
-  disputed_[entry.id] = DisputedLeaf{entry, position, takeAt};
+void ServingState::addConflict(const LeafEntry& entry, const SourcePosition& position, Moment applyAt) {
+  conflicts_[entry.id] = ConflictingLeaf{entry, position, applyAt};
 }
 
-void ServingKnowledge::endDispute(const std::string& id, const SourcePosition& position) {
-  const auto disputed = disputed_.find(id);
-  if (disputed != disputed_.end() && disputed->second.position < position) {
-    disputed_.erase(disputed);
+void ServingState::resolveConflict(const std::string& id, const SourcePosition& position) {
+  const auto conflict = conflicts_.find(id);
+  if (conflict != conflicts_.end() && conflict->second.position < position) {
+    conflicts_.erase(conflict);
   }
 }
 
-bool ServingKnowledge::takeLeaf(const LeafEntry& entry, const SourcePosition& position) {
-  disputed_.erase(entry.id);
-  const auto [place, isNew] = leafs_.try_emplace(entry.id);
-  KnownLeaf& known = place->second;
-  const bool coldAgain = entry.warmupLeft > known.entry.warmupLeft;
-  const bool changed = isNew || known.removeAt != kNever || coldAgain || !known.entry.sameAs(entry);
+bool ServingState::applyLeaf(const LeafEntry& entry, const SourcePosition& position) {
+  conflicts_.erase(entry.id);
+  const auto [entered, isNew] = leafs_.try_emplace(entry.id);
+  KnownLeaf& known = entered->second;
+  const bool warmupRestarted = entry.warmupLeft > known.entry.warmupLeft;
+  const bool changed = isNew || known.removeAt != kNever || warmupRestarted || !known.entry.sameAs(entry);
   changed_ = changed_ || changed;
-  leafsBornAgain_ += !isNew && !known.entry.isOf(entry.life()) ? 1 : 0;
+  leafsRestarted_ += !isNew && !known.entry.isOf(entry.life()) ? 1 : 0;
   known.entry = entry;
   known.entry.position = position;
   known.position = position;
@@ -113,8 +113,8 @@
   return changed;
 }
 
-bool ServingKnowledge::onLeafUnusable(const std::string& id, const SourcePosition& position) {
-  endDispute(id, position);
+bool ServingState::onLeafUnusable(const std::string& id, const SourcePosition& position) {
+  resolveConflict(id, position);
   const auto found = leafs_.find(id);
   if (found == leafs_.end() || found->second.position >= position) {
     return false;
@@ -124,8 +124,8 @@
   return true;
 }
 
-bool ServingKnowledge::onLeafRemoved(const std::string& id, const SourcePosition& position, Moment now) {
-  endDispute(id, position);
+bool ServingState::onLeafRemoved(const std::string& id, const SourcePosition& position, Moment now) {
+  resolveConflict(id, position);
   const auto found = leafs_.find(id);
   if (found == leafs_.end() || found->second.position >= position) {
     return false;
@@ -135,8 +135,8 @@
   return true;
 }
 
-void ServingKnowledge::onListing(const std::vector<std::string>& listedIds, const SourcePosition& position,
-                                 Moment now) {
+void ServingState::onListing(const std::vector<std::string>& listedIds, const SourcePosition& position,
+                             Moment now) {
   changed_ = changed_ || !listed_;
   listed_ = true;
   const std::set<std::string> listed(listedIds.begin(), listedIds.end());
@@ -145,18 +145,18 @@
       continue;
     }
     const bool lostBySource = leaf.position.epoch < position.epoch;
-    const Duration delay = lostBySource ? std::max(settings_.removalDelay, settings_.writtenAgainWithin)
-                                        : settings_.removalDelay;
+    const Duration delay =
+        lostBySource ? std::max(settings_.removalDelay, settings_.rewriteWindow) : settings_.removalDelay;
     beginRemoval(leaf, position, delay, now);
   }
-  for (auto disputed = disputed_.begin(); disputed != disputed_.end();) {
-    const bool dropped = listed.count(disputed->first) == 0 && disputed->second.position <= position;
-    disputed = dropped ? disputed_.erase(disputed) : std::next(disputed);
+  for (auto conflict = conflicts_.begin(); conflict != conflicts_.end();) {
+    const bool dropped = listed.count(conflict->first) == 0 && conflict->second.position <= position;
+    conflict = dropped ? conflicts_.erase(conflict) : std::next(conflict);
   }
   onTime(now);
 }
 
-void ServingKnowledge::onEvacuation(const std::string& zone, bool evacuated, const SourcePosition& position) {
+void ServingState::onEvacuation(const std::string& zone, bool evacuated, const SourcePosition& position) {
   KnownZone& known = zones_[zone];
   if (known.position >= position) {
     return;
@@ -165,8 +165,8 @@
   known = KnownZone{evacuated, position, kNever};
 }
 
-void ServingKnowledge::onEvacuationListing(const std::set<std::string>& zones, const SourcePosition& position,
-                                           Moment now) {
+void ServingState::onEvacuationListing(const std::set<std::string>& zones, const SourcePosition& position,
+                                       Moment now) {
   for (auto& [zone, known] : zones_) {
     if (!known.evacuated || zones.count(zone) > 0) {
       continue;
@@ -175,12 +175,12 @@
       onEvacuation(zone, false, position);
     } else if (known.position < position) {
       known.position = position;
-      known.endAt = now + settings_.writtenAgainWithin;
+      known.endAt = now + settings_.rewriteWindow;
     }
   }
 }
 
-std::vector<std::string> ServingKnowledge::evacuatedZones() const {
+std::vector<std::string> ServingState::evacuatedZones() const {
   std::vector<std::string> evacuated;
   for (const auto& [zone, known] : zones_) {
     if (known.evacuated) {
@@ -190,7 +190,7 @@
   return evacuated;
 }
 
-std::set<std::string> ServingKnowledge::leafIds() const {
+std::set<std::string> ServingState::leafIds() const {
   std::set<std::string> ids;
   for (const auto& [id, leaf] : leafs_) {
     ids.insert(id);
@@ -198,49 +198,48 @@
   return ids;
 }
 
-std::size_t ServingKnowledge::leafsLeaving() const {
+std::size_t ServingState::leafsPendingRemoval() const {
   return static_cast<std::size_t>(std::count_if(
       leafs_.begin(), leafs_.end(), [](const auto& leaf) { return leaf.second.removeAt != kNever; }));
 }
 
-void ServingKnowledge::beginRemoval(KnownLeaf& leaf, const SourcePosition& position, Duration delay,
-                                    Moment now) {
+void ServingState::beginRemoval(KnownLeaf& leaf, const SourcePosition& position, Duration delay, Moment now) {
   leaf.position = position;
   leaf.removeAt = leaf.entry.draining ? now : now + delay;
 }
 
-void ServingKnowledge::onTime(Moment now) {
+void ServingState::onTime(Moment now) {
   removeDueLeafs(now);
-  takeDueDisputes(now);
+  applyDueConflicts(now);
   endDueEvacuations(now);
-  departed_.onTime(now);
+  tombstones_.onTime(now);
 }
 
-void ServingKnowledge::removeDueLeafs(Moment now) {
+void ServingState::removeDueLeafs(Moment now) {
   for (auto leaf = leafs_.begin(); leaf != leafs_.end();) {
     if (leaf->second.removeAt > now) {
       ++leaf;
       continue;
     }
-    departed_.add(leaf->second.entry.life(), now);
+    tombstones_.add(leaf->second.entry.life(), now);
     leaf = leafs_.erase(leaf);
     changed_ = true;
   }
 }
 
-void ServingKnowledge::takeDueDisputes(Moment now) {
-  std::vector<DisputedLeaf> due;
-  for (const auto& [id, disputed] : disputed_) {
-    if (disputed.takeAt <= now) {
-      due.push_back(disputed);
+void ServingState::applyDueConflicts(Moment now) {
+  std::vector<ConflictingLeaf> due;
+  for (const auto& [id, conflict] : conflicts_) {
+    if (conflict.applyAt <= now) {
+      due.push_back(conflict);
     }
   }
-  for (const DisputedLeaf& disputed : due) {
-    takeLeaf(disputed.entry, disputed.position);
+  for (const ConflictingLeaf& conflict : due) {
+    applyLeaf(conflict.entry, conflict.position);
   }
 }
 
-void ServingKnowledge::endDueEvacuations(Moment now) {
+void ServingState::endDueEvacuations(Moment now) {
   for (auto& [zone, known] : zones_) {
     if (known.endAt <= now) {
       known.evacuated = false;
@@ -250,13 +249,13 @@
   }
 }
 
-Moment ServingKnowledge::nextDueAt() const {
+Moment ServingState::nextDueAt() const {
   Moment next = kNever;
   for (const auto& [id, leaf] : leafs_) {
     next = std::min(next, leaf.removeAt);
   }
-  for (const auto& [id, disputed] : disputed_) {
-    next = std::min(next, disputed.takeAt);
+  for (const auto& [id, conflict] : conflicts_) {
+    next = std::min(next, conflict.applyAt);
   }
   for (const auto& [zone, known] : zones_) {
     next = std::min(next, known.endAt);
@@ -264,7 +263,7 @@
   return next;
 }
 
-std::shared_ptr<const ServingView> ServingKnowledge::takeChangedView(const SourcePosition& known) {
+std::shared_ptr<const ServingView> ServingState::takeChangedView(const SourcePosition& known) {
   if (!changed_) {
     return nullptr;
   }
--- a/src/coordination/serving/serving_knowledge.h
+++ b/src/coordination/serving/serving_state.h
@@ -22,38 +22,38 @@
 #include <string>
 #include <vector>
 
-#include "coordination/serving/departed_leafs.h"
+#include "coordination/serving/leaf_tombstones.h"
 #include "coordination/serving/source_records.h"
 
 namespace oakpier::serving {
 
 /// Writers rewrite what a backup lacks within 2 s of the source's return, as the source guarantees; 500 ms
 /// are for the way to this daemon.
-inline constexpr Duration kWrittenAgainWithin = std::chrono::milliseconds(2500);
+inline constexpr Duration kRewriteWindow = std::chrono::milliseconds(2500);
 /// The default period at which leafs write their entries. The source drops an entry after three missed
 /// writes.
-inline constexpr Duration kUsualLeafHeartbeat = std::chrono::milliseconds(1200);
+inline constexpr Duration kDefaultLeafHeartbeat = std::chrono::milliseconds(1200);
 
 /// How long after its return the source may list a leaf that does not write any more.
-constexpr Duration lapseWithinFor(Duration leafHeartbeat) { return kWrittenAgainWithin + 3 * leafHeartbeat; }
+constexpr Duration expiryWindowFor(Duration leafHeartbeat) { return kRewriteWindow + 3 * leafHeartbeat; }
 
-struct KnowledgeSettings {
+struct ServingStateSettings {
   /// A leaf whose record is deleted without draining first stays in use for this long, because records are
   /// also deleted by mistake.
   Duration removalDelay = std::chrono::milliseconds(1000);
   /// After the source was restored, known records that the backup lacks stay in effect for this long.
-  Duration writtenAgainWithin = kWrittenAgainWithin;
+  Duration rewriteWindow = kRewriteWindow;
   /// A deleted leaf that the backup lists is used if it is still listed after this time.
-  Duration lapseWithin = lapseWithinFor(kUsualLeafHeartbeat);
+  Duration expiryWindow = expiryWindowFor(kDefaultLeafHeartbeat);
 };
 
 /// The removal delay for the operator's bound on use after a leaf's departure: the bound less the time until
 /// a daemon receives the deletion, clamped between a sixth and a half of the bound.
 Duration removalDelayFor(Duration leaveBound);
 
-class ServingKnowledge {
+class ServingState {
  public:
-  explicit ServingKnowledge(const KnowledgeSettings& settings) : settings_(settings) {}
+  explicit ServingState(const ServingStateSettings& settings) : settings_(settings) {}
 
   /// Returns why the configuration was rejected; empty if it was applied or is not newer.
   std::vector<std::string> onConfiguration(std::shared_ptr<const ServingConfiguration> configuration);
@@ -85,13 +85,13 @@
   bool complete() const { return configuration_ != nullptr && listed_; }
   std::uint64_t configurationVersion() const { return configuration_ ? configuration_->version : 0; }
   /// Number of entries of another incarnation than the known one.
-  std::uint64_t leafsBornAgain() const { return leafsBornAgain_; }
+  std::uint64_t leafsRestarted() const { return leafsRestarted_; }
   /// The configuration has tenants, so that requests may need a key.
   bool hasTenants() const { return configuration_ && !configuration_->tenants.empty(); }
   /// Leafs for which the backup holds an older entry that is not applied yet.
-  std::size_t leafsDisputed() const { return disputed_.size(); }
+  std::size_t leafsConflicting() const { return conflicts_.size(); }
   /// Leafs in use although the source does not list them.
-  std::size_t leafsLeaving() const;
+  std::size_t leafsPendingRemoval() const;
   std::size_t leafCount() const { return leafs_.size(); }
   /// Ids of all leafs in use, including those about to be removed.
   std::set<std::string> leafIds() const;
@@ -106,10 +106,10 @@
   };
 
   /// A leaf's entry from the backup, and when it is applied unless a newer one is written.
-  struct DisputedLeaf {
+  struct ConflictingLeaf {
     LeafEntry entry;
     SourcePosition position;
-    Moment takeAt{};
+    Moment applyAt{};
   };
 
   struct KnownZone {
@@ -121,31 +121,31 @@
   };
 
   /// The record existed when the source was restored, so that it may be from the backup.
-  bool maybeOfCopy(const SourcePosition& position) const;
-  bool takeLeaf(const LeafEntry& entry, const SourcePosition& position);
-  bool takeCopiedLeaf(const LeafEntry& entry, const SourcePosition& position);
-  void dispute(const LeafEntry& entry, const SourcePosition& position, Moment takeAt);
+  bool mayBeFromBackup(const SourcePosition& position) const;
+  bool applyLeaf(const LeafEntry& entry, const SourcePosition& position);
+  bool applyLeafFromBackup(const LeafEntry& entry, const SourcePosition& position);
+  void addConflict(const LeafEntry& entry, const SourcePosition& position, Moment applyAt);
   /// Drops the backup's entry of a leaf when a later record of it is received.
-  void endDispute(const std::string& id, const SourcePosition& position);
+  void resolveConflict(const std::string& id, const SourcePosition& position);
   void beginRemoval(KnownLeaf& leaf, const SourcePosition& position, Duration delay, Moment now);
   void removeDueLeafs(Moment now);
-  void takeDueDisputes(Moment now);
+  void applyDueConflicts(Moment now);
   void endDueEvacuations(Moment now);
 
-  KnowledgeSettings settings_;
+  ServingStateSettings settings_;
   std::shared_ptr<const ServingConfiguration> configuration_;
   std::shared_ptr<const RouteTable> routes_;
   std::shared_ptr<const TenantTable> tenants_;
   std::map<std::string, KnownLeaf> leafs_;
   /// All zones that were ever evacuated, by name.
   std::map<std::string, KnownZone> zones_;
-  DepartedLeafs departed_;
+  LeafTombstones tombstones_;
   /// By leaf id.
-  std::map<std::string, DisputedLeaf> disputed_;
+  std::map<std::string, ConflictingLeaf> conflicts_;
   /// The position of the first listing after the source was restored, and when it was read.
-  SourcePosition restored_;
+  SourcePosition restoredPosition_;
   Moment restoredAt_{};
-  std::uint64_t leafsBornAgain_ = 0;
+  std::uint64_t leafsRestarted_ = 0;
   bool listed_ = false;
   bool changed_ = false;
 };
--- a/src/coordination/serving/source_follower.cpp
+++ b/src/coordination/serving/source_follower.cpp
@@ -11,7 +11,7 @@
 
 /// Limit of the invalid leaf entries reported per answer or message: writers can make any number of them, and
 /// each is a log line at every daemon.
-constexpr std::size_t kMostProblemsTold = 8;
+constexpr std::size_t kMaxReportedProblems = 8;
 
 }  // namespace
 
@@ -21,37 +21,37 @@
       random_(random()),
       reader_(settings.reader, RandomEngine(random())),
       election_(self, settings.election),
-      recovery_(self, settings.recovery),
-      knowledge_(settings.knowledge),
+      bootstrap_(self, settings.bootstrap),
+      state_(settings.state),
       relay_(self),
       prover_(self, settings.prover, RandomEngine(random())),
-      writtenAgainWithin_(settings.knowledge.writtenAgainWithin) {}
+      rewriteWindow_(settings.state.rewriteWindow) {}
 
 void SourceFollower::start(const std::vector<Endpoint>& seeds, Moment now) {
-  recovery_.start(seeds, now, random_);
-  election_.start(!recovery_.readsFirst(), now);
-  reader_.holdUntil(recovery_.listAt());
+  bootstrap_.start(seeds, now, random_);
+  election_.start(!bootstrap_.readsFromStart(), now);
+  reader_.callNoEarlierThan(bootstrap_.listAt());
 }
 
-void SourceFollower::onStateWanted(Moment now) {
+void SourceFollower::onConfigurationNeeded(Moment now) {
   if (counters_.calls == 0 && reader_.known().revision == 0) {
-    reader_.callBy(now);
+    reader_.callNoLaterThan(now);
   }
 }
 
 void SourceFollower::setMembers(const DaemonOrder& members) {
   relay_.setMembers(members);
   election_.setMembers(members);
-  recovery_.setMembers(addressesOf(members.daemons()));
+  bootstrap_.setMembers(addressesOf(members.daemons()));
   prover_.setMembers(addressesOf(members.daemons()));
 }
 
 FollowerActions SourceFollower::onTime(Moment now) {
   FollowerActions actions;
-  knowledge_.onTime(now);
+  state_.onTime(now);
   if (reader_.known().revision == 0) {
-    actions.ask = recovery_.takeAsk(now, random_);
-    counters_.newsAsked += actions.ask ? 1 : 0;
+    actions.requestFrom = bootstrap_.takeRequest(now, random_);
+    counters_.updatesRequested += actions.requestFrom ? 1 : 0;
   }
   prover_.onTime(now, actions.proofs);
   return actions;
@@ -60,13 +60,13 @@
 std::optional<SourceCall> SourceFollower::takeCall(Moment now) {
   const bool due = reader_.nextCallAt() <= now;
   if (prover_.takeReadWish(now)) {
-    reader_.readNow(now);
+    reader_.expediteCall(now);
   }
   auto call = reader_.takeCall(now);
   if (call) {
     ++counters_.calls;
     callSentAt_ = now;
-    readsForItself_ = !due;
+    readsForOwnProof_ = !due;
     if (call->kind == SourceCall::Kind::kList && call->afterKey.empty()) {
       listingSentAt_ = now;
     }
@@ -76,22 +76,22 @@
 
 FollowerCounters SourceFollower::counters() const {
   FollowerCounters counters = counters_;
-  counters.epochs = epochs_.counters();
+  counters.epochs = epochClassifier_.counters();
   counters.known = known();
   counters.proofs = prover_.counters();
   return counters;
 }
 
 Moment SourceFollower::nextDueAt() const {
-  const Moment next = std::min({reader_.nextCallAt(), knowledge_.nextDueAt(), prover_.nextDueAt()});
-  return reader_.known().revision == 0 ? std::min(next, recovery_.nextAskAt()) : next;
+  const Moment next = std::min({reader_.nextCallAt(), state_.nextDueAt(), prover_.nextDueAt()});
+  return reader_.known().revision == 0 ? std::min(next, bootstrap_.nextRequestAt()) : next;
 }
 
 FollowerActions SourceFollower::onAnswer(const SourceCall& call, const SourceAnswer& answer, Moment now) {
   FollowerActions actions;
-  const EpochVerdict verdict = judgeEpoch(answer.epoch, actions);
+  const EpochVerdict verdict = classifyEpoch(answer.epoch, actions);
   const auto* failure = std::get_if<SourceFailure>(&answer.content);
-  const bool historyGone = failure != nullptr && *failure == SourceFailure::kHistoryGone;
+  const bool historyGone = failure != nullptr && *failure == SourceFailure::kHistoryUnavailable;
   const bool unusable = verdict == EpochVerdict::kMissing || verdict == EpochVerdict::kMalformed;
   const bool restored = verdict == EpochVerdict::kNewer;
   actions.reconnect = verdict == EpochVerdict::kOlder || unusable;
@@ -100,7 +100,7 @@
   } else if (unusable) {
     onFailure(failure == nullptr ? SourceFailure::kNoUsableEpoch : *failure, false, now, actions);
   } else if (restored && historyGone) {
-    onSourceBack(now);
+    onSourceRestored(now);
   } else if (failure != nullptr) {
     onFailure(*failure, restored, now, actions);
   } else {
@@ -109,17 +109,17 @@
   return actions;
 }
 
-EpochVerdict SourceFollower::judgeEpoch(const ToldEpoch& told, FollowerActions& actions) {
-  const bool toldBefore = epochs_.counters().told > 0;
-  const EpochVerdict verdict = epochs_.judge(told, known().epoch);
-  if (!toldBefore && epochs_.counters().told > 0) {
-    actions.notices.emplace_back(EpochsTold{told.epoch});
+EpochVerdict SourceFollower::classifyEpoch(const ReportedEpoch& reported, FollowerActions& actions) {
+  const bool reportedBefore = epochClassifier_.counters().reported > 0;
+  const EpochVerdict verdict = epochClassifier_.classify(reported, known().epoch);
+  if (!reportedBefore && epochClassifier_.counters().reported > 0) {
+    actions.notices.emplace_back(EpochsSupported{reported.epoch});
   }
   // To a daemon that has no state yet, every epoch is newer.
   const bool expected = verdict == EpochVerdict::kNewer && known().revision == 0;
-  const EpochNotice notice{verdict, told.epoch, known()};
-  const bool noticed = notice.verdict == lastNotice_.verdict && notice.told == lastNotice_.told;
-  if (verdict != EpochVerdict::kKnown && !expected && !noticed) {
+  const EpochNotice notice{verdict, reported.epoch, known()};
+  const bool repeated = notice.verdict == lastNotice_.verdict && notice.reported == lastNotice_.reported;
+  if (verdict != EpochVerdict::kKnown && !expected && !repeated) {
     actions.notices.emplace_back(notice);
   }
   lastNotice_ = expected ? EpochNotice{} : notice;
@@ -130,31 +130,31 @@
   ++counters_.failures;
   election_.onFailure();
   // An error answer of a newer epoch means that the changes since the known position are useless.
-  const SourceFailure consequence = restored ? SourceFailure::kHistoryGone : failure;
-  reader_.onFailure(consequence, election_.longestBackoff(), now);
+  const SourceFailure consequence = restored ? SourceFailure::kHistoryUnavailable : failure;
+  reader_.onFailure(consequence, election_.backoffCap(), now);
   // A daemon whose calls fail depends on the forwarding tree, which is interrupted below a daemon whose crash
   // is not detected yet. A request to a peer covers that gap.
-  actions.ask = recovery_.drawOther(random_);
-  counters_.newsAsked += actions.ask ? 1 : 0;
+  actions.requestFrom = bootstrap_.randomPeer(random_);
+  counters_.updatesRequested += actions.requestFrom ? 1 : 0;
 }
 
-void SourceFollower::onSourceBack(Moment now) {
+void SourceFollower::onSourceRestored(Moment now) {
   election_.onAnswer();
   listing_.clear();
   // The first in order lists for all; the others only if they do not receive the result in time.
-  reader_.listAnew(election_.stagger(now, random_), now);
+  reader_.relist(election_.stagger(now, random_), now);
 }
 
 void SourceFollower::onPage(const SourceCall& call, const SourcePage& page, std::uint64_t epoch, Moment now,
                             FollowerActions& actions) {
-  const bool begins = call.kind == SourceCall::Kind::kList && call.afterKey.empty();
-  if (!begins && epoch != call.epoch) {
+  const bool isFirstPage = call.kind == SourceCall::Kind::kList && call.afterKey.empty();
+  if (!isFirstPage && epoch != call.epoch) {
     // Revisions, and the rest of a listing, are valid within one epoch only.
     if (epoch > known().epoch) {
-      onSourceBack(now);
+      onSourceRestored(now);
     } else {
-      reader_.dropAnswer(now);
-      leaveReadingToOthers(relay_.freshAt(), now);
+      reader_.discardAnswer(now);
+      deferToReader(relay_.confirmedAt(), now);
     }
     return;
   }
@@ -164,9 +164,9 @@
   } else {
     onListingPage(call, page, epoch, now, actions);
   }
-  if (page.unreadable > 0) {
-    counters_.unusableRecords += page.unreadable;
-    actions.problems.push_back(std::to_string(page.unreadable) + " records without a key or a revision");
+  if (page.malformed > 0) {
+    counters_.unusableRecords += page.malformed;
+    actions.problems.push_back(std::to_string(page.malformed) + " records without a key or a revision");
   }
 }
 
@@ -188,23 +188,23 @@
                                        FollowerActions& actions) {
   const bool restored = knownBefore.revision > 0 && listingPosition_.epoch > knownBefore.epoch;
   if (listingPosition_ >= knownBefore) {
-    takeOverListing(newestOf(listing_, listingPosition_.epoch), listingPosition_, knownBefore, now, actions);
-    relay_.setFreshAt(now);
+    applyListing(latestPerKey(listing_, listingPosition_.epoch), listingPosition_, knownBefore, now, actions);
+    relay_.setConfirmedAt(now);
   } else {
-    ++counters_.listingsOutdated;
-    actions.notices.emplace_back(OutdatedListing{listingPosition_, knownBefore});
+    ++counters_.staleListings;
+    actions.notices.emplace_back(StaleListing{listingPosition_, knownBefore});
   }
   listing_.clear();
   prover_.onRead(listingSentAt_, now, actions.proofs);
-  actions.news = relay_.answerWaiting(known(), now);
+  actions.updates = relay_.replyToDeferred(known(), now);
   if (restored) {
-    const std::vector<OutgoingNews> told = relay_.onRestored(known(), now);
-    actions.news.insert(actions.news.end(), told.begin(), told.end());
+    const std::vector<OutgoingUpdate> outgoing = relay_.onRestored(known(), now);
+    actions.updates.insert(actions.updates.end(), outgoing.begin(), outgoing.end());
   }
-  if (recovery_.readsFirst()) {
-    election_.takeOver();
+  if (bootstrap_.readsFromStart()) {
+    election_.becomeReader();
   }
-  leaveReadingToOthers(now, now);
+  deferToReader(now, now);
 }
 
 void SourceFollower::onChanges(const SourceCall& call, const SourcePage& page, Moment now,
@@ -213,42 +213,42 @@
   const bool nothingNew = position <= known();
   // An update may have brought a later position meanwhile; the older page could then restore deleted records.
   if (position >= known()) {
-    const std::vector<SourceRecord> newest = newestOf(page.records, call.epoch);
-    takeOver(newest, now, actions);
-    relay_.setFreshAt(now);
-    if (!(readsForItself_ && nothingNew)) {
-      actions.news = relay_.onRead(call.afterRevision, position, newest, now).news;
+    const std::vector<SourceRecord> latest = latestPerKey(page.records, call.epoch);
+    applyRecords(latest, now, actions);
+    relay_.setConfirmedAt(now);
+    if (!(readsForOwnProof_ && nothingNew)) {
+      actions.updates = relay_.onRead(call.afterRevision, position, latest, now).updates;
     }
   }
   reader_.onPage(page, call.epoch, now);
   // Also if the page is old: writes acknowledged before the call was made are in it or were in the update.
   prover_.onRead(callSentAt_, now, actions.proofs);
-  if (readsForItself_ && nothingNew) {
+  if (readsForOwnProof_ && nothingNew) {
     // The reader's updates reach all peers; forwarding this result too would only double the traffic.
-    leaveReadingToOthers(now, now);
+    deferToReader(now, now);
   } else {
-    election_.takeOver();
+    election_.becomeReader();
   }
 }
 
-void SourceFollower::leaveReadingToOthers(Moment freshAt, Moment now) {
-  if (!election_.reads(now)) {
-    reader_.leaveToOther(freshAt, election_.stagger(now, random_));
+void SourceFollower::deferToReader(Moment confirmedAt, Moment now) {
+  if (!election_.isReader(now)) {
+    reader_.awaitUpdate(confirmedAt, election_.stagger(now, random_));
   }
 }
 
-std::vector<SourceRecord> SourceFollower::newestOf(const std::vector<SourceRecord>& records,
-                                                   std::uint64_t epoch) {
-  std::map<std::string, const SourceRecord*> newest;
+std::vector<SourceRecord> SourceFollower::latestPerKey(const std::vector<SourceRecord>& records,
+                                                       std::uint64_t epoch) {
+  std::map<std::string, const SourceRecord*> latest;
   for (const SourceRecord& record : records) {
-    const SourceRecord*& known = newest[record.key];
-    if (known == nullptr || known->revision <= record.revision) {
-      known = &record;
+    const SourceRecord*& kept = latest[record.key];
+    if (kept == nullptr || kept->revision <= record.revision) {
+      kept = &record;
     }
   }
   std::vector<SourceRecord> result;
-  result.reserve(newest.size());
-  for (const auto& [key, record] : newest) {
+  result.reserve(latest.size());
+  for (const auto& [key, record] : latest) {
     result.push_back(*record);
     result.back().epoch = epoch;
   }
@@ -256,17 +256,17 @@
 }
 
 void SourceFollower::beginEpoch(const SourcePosition& position, const SourcePosition& before, Moment now) {
-  epochBegan_ = position;
+  epochStart_ = position;
   // This daemon cannot tell when the epoch began: after its own start, it may have begun just now.
-  prover_.holdClaims(now + writtenAgainWithin_);
+  prover_.holdClaims(now + rewriteWindow_);
   if (before.revision > 0) {
-    epochs_.onRestored(before.epoch, position.epoch);
-    knowledge_.onRestored(position, now);
+    epochClassifier_.onRestored(before.epoch, position.epoch);
+    state_.onRestored(position, now);
   }
 }
 
-void SourceFollower::takeOverListing(const std::vector<SourceRecord>& records, const SourcePosition& position,
-                                     const SourcePosition& before, Moment now, FollowerActions& actions) {
+void SourceFollower::applyListing(const std::vector<SourceRecord>& records, const SourcePosition& position,
+                                  const SourcePosition& before, Moment now, FollowerActions& actions) {
   if (position.epoch > before.epoch) {
     beginEpoch(position, before, now);
   }
@@ -274,53 +274,53 @@
   std::set<std::string> keys;
   for (const SourceRecord& record : records) {
     keys.insert(record.key);
-    takeOver(record, now, actions, listed);
+    applyRecord(record, now, actions, listed);
   }
   // The configuration in effect is kept for peers also if the source has lost it.
   keys.insert(configurationKey_);
-  relay_.dropUnlisted(keys, position);
-  knowledge_.onListing(listed.leafs, position, now);
-  knowledge_.onEvacuationListing(listed.evacuatedZones, position, now);
+  relay_.removeUnlisted(keys, position);
+  state_.onListing(listed.leafs, position, now);
+  state_.onEvacuationListing(listed.evacuatedZones, position, now);
   if (before.revision > 0 && position.epoch > before.epoch) {
-    actions.notices.emplace_back(SourceRestored{before, position, knowledge_.configurationVersion(),
-                                                listed.leafs.size(), knowledge_.leafsLeaving(),
-                                                knowledge_.leafsDisputed()});
+    actions.notices.emplace_back(SourceRestored{before, position, state_.configurationVersion(),
+                                                listed.leafs.size(), state_.leafsPendingRemoval(),
+                                                state_.leafsConflicting()});
   }
 }
 
-void SourceFollower::takeOver(const std::vector<SourceRecord>& records, Moment now,
-                              FollowerActions& actions) {
+void SourceFollower::applyRecords(const std::vector<SourceRecord>& records, Moment now,
+                                  FollowerActions& actions) {
   ListedNames listed;
   for (const SourceRecord& record : records) {
-    takeOver(record, now, actions, listed);
+    applyRecord(record, now, actions, listed);
   }
 }
 
-bool SourceFollower::keepsUp(const SourceStatement& statement) const {
+bool SourceFollower::isNotSuperseded(const SourceStatement& statement) const {
   const auto* configuration = std::get_if<ServingConfiguration>(&statement);
-  return configuration == nullptr || configuration->version >= knowledge_.configurationVersion();
+  return configuration == nullptr || configuration->version >= state_.configurationVersion();
 }
 
-void SourceFollower::takeOver(const SourceRecord& record, Moment now, FollowerActions& actions,
-                              ListedNames& listed) {
+void SourceFollower::applyRecord(const SourceRecord& record, Moment now, FollowerActions& actions,
+                                 ListedNames& listed) {
   SourceStatement statement = interpret_(record);
-  if (keepsUp(statement)) {
-    relay_.keep(record);
+  if (isNotSuperseded(statement)) {
+    relay_.store(record);
   }
   const SourcePosition position = record.position();
   if (auto* configuration = std::get_if<ServingConfiguration>(&statement)) {
-    takeOverConfiguration(std::move(*configuration), record, actions);
+    applyConfiguration(std::move(*configuration), record, actions);
   } else if (const auto* leaf = std::get_if<LeafEntry>(&statement)) {
-    knowledge_.onLeaf(*leaf, position);
-    counters_.leafsBornAgain = knowledge_.leafsBornAgain();
+    state_.onLeaf(*leaf, position);
+    counters_.leafsRestarted = state_.leafsRestarted();
     listed.leafs.push_back(leaf->id);
   } else if (const auto* removal = std::get_if<LeafRemoval>(&statement)) {
-    knowledge_.onLeafRemoved(removal->id, position, now);
+    state_.onLeafRemoved(removal->id, position, now);
   } else if (const auto* evacuation = std::get_if<ZoneEvacuation>(&statement)) {
-    knowledge_.onEvacuation(evacuation->zone, true, position);
+    state_.onEvacuation(evacuation->zone, true, position);
     listed.evacuatedZones.insert(evacuation->zone);
   } else if (const auto* ended = std::get_if<ZoneEvacuationEnd>(&statement)) {
-    knowledge_.onEvacuation(ended->zone, false, position);
+    state_.onEvacuation(ended->zone, false, position);
   } else if (const auto* unusable = std::get_if<UnusableRecord>(&statement)) {
     ++counters_.unusableRecords;
     actions.problems.push_back(unusable->problem);
@@ -328,72 +328,72 @@
       prover_.onConfigurationRecord(position, false);
     }
   } else if (const auto* unusableLeaf = std::get_if<UnusableLeaf>(&statement)) {
-    takeOverUnusable(*unusableLeaf, position, actions);
+    applyUnusable(*unusableLeaf, position, actions);
   }
 }
 
-void SourceFollower::takeOverUnusable(const UnusableLeaf& leaf, const SourcePosition& position,
-                                      FollowerActions& actions) {
-  knowledge_.onLeafUnusable(leaf.id, position);
+void SourceFollower::applyUnusable(const UnusableLeaf& leaf, const SourcePosition& position,
+                                   FollowerActions& actions) {
+  state_.onLeafUnusable(leaf.id, position);
   ++counters_.unusableRecords;
-  if (actions.problems.size() < kMostProblemsTold) {
+  if (actions.problems.size() < kMaxReportedProblems) {
     actions.problems.push_back(leaf.problem);
   }
 }
 
-void SourceFollower::takeOverConfiguration(ServingConfiguration configuration, const SourceRecord& record,
-                                           FollowerActions& actions) {
+void SourceFollower::applyConfiguration(ServingConfiguration configuration, const SourceRecord& record,
+                                        FollowerActions& actions) {
   const std::uint64_t version = configuration.version;
   const auto problems =
-      knowledge_.onConfiguration(std::make_shared<const ServingConfiguration>(std::move(configuration)));
+      state_.onConfiguration(std::make_shared<const ServingConfiguration>(std::move(configuration)));
   for (const std::string& problem : problems) {
     actions.problems.push_back("configuration " + std::to_string(version) + ": " + problem);
   }
   counters_.configurationsRefused += problems.empty() ? 0 : 1;
-  if (knowledge_.configurationVersion() == version) {
+  if (state_.configurationVersion() == version) {
     configurationKey_ = record.key;
   }
   const SourcePosition position = record.position();
   prover_.onConfigurationRecord(position, problems.empty());
-  prover_.onVersion(knowledge_.configurationVersion(), knowledge_.hasTenants());
-  if (position > epochBegan_) {
+  prover_.onVersion(state_.configurationVersion(), state_.hasTenants());
+  if (position > epochStart_) {
     prover_.onConfigurationWritten();
   }
 }
 
-FollowerActions SourceFollower::onNews(const Endpoint& sender, const SourceNews& news, Moment now) {
+FollowerActions SourceFollower::onUpdate(const Endpoint& sender, const SourceNews& update, Moment now) {
   FollowerActions actions;
-  RelayActions relayed = relay_.onNews(sender, news, known(), now);
+  RelayActions relayed = relay_.onUpdate(sender, update, known(), now);
   if (relayed.accepted) {
-    ++counters_.newsAccepted;
-    takeOverNews(news, now, actions);
-    if (const auto reader = Endpoint::parse(news.reader())) {
-      election_.onNews(*reader);
+    ++counters_.updatesAccepted;
+    applyUpdate(update, now, actions);
+    if (const auto reader = Endpoint::parse(update.reader())) {
+      election_.onUpdate(*reader);
     }
-    leaveReadingToOthers(relay_.freshAt(), now);
-    prover_.onNews(sender, now, actions.proofs);
+    deferToReader(relay_.confirmedAt(), now);
+    prover_.onUpdate(sender, now, actions.proofs);
   }
-  actions.news.insert(actions.news.end(), relayed.news.begin(), relayed.news.end());
-  actions.ask = relayed.ask;
-  counters_.newsAsked += actions.ask ? 1 : 0;
+  actions.updates.insert(actions.updates.end(), relayed.updates.begin(), relayed.updates.end());
+  actions.requestFrom = relayed.requestFrom;
+  counters_.updatesRequested += actions.requestFrom ? 1 : 0;
   return actions;
 }
 
-void SourceFollower::takeOverNews(const SourceNews& news, Moment now, FollowerActions& actions) {
+void SourceFollower::applyUpdate(const SourceNews& update, Moment now, FollowerActions& actions) {
   const SourcePosition before = known();
-  const SourcePosition told{news.epoch(), news.revision()};
-  if (told == before) {
+  const SourcePosition position{update.epoch(), update.revision()};
+  if (position == before) {
     // A confirmation that nothing has changed: all of its records are known.
     return;
   }
-  if (news.whole()) {
-    takeOverListing(recordsOf(news), told, before, now, actions);
+  if (update.whole()) {
+    applyListing(recordsOf(update), position, before, now, actions);
   } else {
-    takeOver(recordsOf(news), now, actions);
+    applyRecords(recordsOf(update), now, actions);
   }
-  reader_.onNews(told);
-  if (before.revision == 0 || told.epoch > before.epoch) {
-    actions.news = relay_.answerWaiting(known(), now);
+  reader_.onUpdate(position);
+  if (before.revision == 0 || position.epoch > before.epoch) {
+    actions.updates = relay_.replyToDeferred(known(), now);
   }
 }
 
@@ -411,15 +411,15 @@
   return actions;
 }
 
-std::optional<OutgoingNews> SourceFollower::onNewsRequest(const Endpoint& sender,
-                                                          const SourceNewsRequest& request, Moment now) {
-  const SourcePosition askers{request.known_epoch(), request.known_revision()};
-  const bool nothingNewer = askers.epoch > known().epoch;
-  if (known().revision == 0 || nothingNewer) {
-    relay_.keepWaiting(sender);
+std::optional<OutgoingUpdate> SourceFollower::onUpdateRequest(const Endpoint& sender,
+                                                              const SourceNewsRequest& request, Moment now) {
+  const SourcePosition requesterPosition{request.known_epoch(), request.known_revision()};
+  const bool requesterIsNewer = requesterPosition.epoch > known().epoch;
+  if (known().revision == 0 || requesterIsNewer) {
+    relay_.deferRequest(sender);
     return std::nullopt;
   }
-  return relay_.missedBy(sender, askers, known(), now);
+  return relay_.catchUpFor(sender, requesterPosition, known(), now);
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/source_follower.h
+++ b/src/coordination/serving/source_follower.h
@@ -7,7 +7,7 @@
 /// Invariants: a record that the source has held unchanged since a position up to `known` is in effect here;
 /// one that it deleted by then is in effect no longer than the removal delay. When the source is restored
 /// from a backup, what the backup lacks stays in effect until it is rewritten or the time to do so is over
-/// (see `ServingKnowledge`). The configuration version never decreases.
+/// (see `ServingState`). The configuration version never decreases.
 
 #include <functional>
 #include <memory>
@@ -17,10 +17,10 @@
 #include <vector>
 
 #include "coordination/serving/configuration_prover.h"
-#include "coordination/serving/epoch_watch.h"
-#include "coordination/serving/peer_recovery.h"
+#include "coordination/serving/epoch_classifier.h"
+#include "coordination/serving/peer_bootstrap.h"
 #include "coordination/serving/reader_election.h"
-#include "coordination/serving/serving_knowledge.h"
+#include "coordination/serving/serving_state.h"
 #include "coordination/serving/source_notices.h"
 #include "coordination/serving/source_reader.h"
 #include "coordination/serving/source_relay.h"
@@ -30,16 +30,16 @@
 
 struct FollowerSettings {
   SourceReaderSettings reader;
-  KnowledgeSettings knowledge;
+  ServingStateSettings state;
   ReaderElectionSettings election;
-  PeerRecoverySettings recovery;
+  PeerBootstrapSettings bootstrap;
   ProverSettings prover;
 };
 
 struct FollowerActions {
-  std::vector<OutgoingNews> news;
+  std::vector<OutgoingUpdate> updates;
   /// The peer to request all records after the known position from.
-  std::optional<Endpoint> ask;
+  std::optional<Endpoint> requestFrom;
   /// Reasons why records and configurations were rejected. Limited in number for the records of leafs.
   std::vector<std::string> problems;
   /// The connection may lead to an outdated replica of the source: the next call opens a new one.
@@ -51,15 +51,15 @@
 struct FollowerCounters {
   std::uint64_t calls = 0;
   std::uint64_t failures = 0;
-  std::uint64_t newsAccepted = 0;
-  std::uint64_t newsAsked = 0;
+  std::uint64_t updatesAccepted = 0;
+  std::uint64_t updatesRequested = 0;
   std::uint64_t configurationsRefused = 0;
   /// Received records that cannot be used; a record counts each time that it is received.
   std::uint64_t unusableRecords = 0;
   /// Leaf entries of another incarnation than the known one.
-  std::uint64_t leafsBornAgain = 0;
+  std::uint64_t leafsRestarted = 0;
   /// Listings that were older than the known position.
-  std::uint64_t listingsOutdated = 0;
+  std::uint64_t staleListings = 0;
   EpochCounters epochs;
   /// All records of the source up to this position are known.
   SourcePosition known;
@@ -78,15 +78,15 @@
   void start(const std::vector<Endpoint>& seeds, Moment now);
   /// A request was refused because no configuration is known. The source is then listed immediately: a reply
   /// of a peer may take longer than callers wait.
-  void onStateWanted(Moment now);
+  void onConfigurationNeeded(Moment now);
   /// The call to make now, if one is due.
   std::optional<SourceCall> takeCall(Moment now);
   FollowerActions onAnswer(const SourceCall& call, const SourceAnswer& answer, Moment now);
-  FollowerActions onNews(const Endpoint& sender, const SourceNews& news, Moment now);
+  FollowerActions onUpdate(const Endpoint& sender, const SourceNews& update, Moment now);
   /// The reply to a peer that requests the records it lacks; empty while none are known, while no newer ones
   /// are known, and when too many complete states were sent just now.
-  std::optional<OutgoingNews> onNewsRequest(const Endpoint& sender, const SourceNewsRequest& request,
-                                            Moment now);
+  std::optional<OutgoingUpdate> onUpdateRequest(const Endpoint& sender, const SourceNewsRequest& request,
+                                                Moment now);
   FollowerActions onProofRequest(const Endpoint& sender, const ConfigurationProofRequest& request,
                                  Moment now);
   FollowerActions onProofReply(const Endpoint& sender, const ConfigurationProofReply& reply, Moment now);
@@ -97,17 +97,17 @@
   void setMembers(const DaemonOrder& members);
 
   /// The current view if it has changed since the last call; else null.
-  std::shared_ptr<const ServingView> takeChangedView() { return knowledge_.takeChangedView(known()); }
-  bool complete() const { return knowledge_.complete(); }
-  std::uint64_t configurationVersion() const { return knowledge_.configurationVersion(); }
-  std::size_t leafCount() const { return knowledge_.leafCount(); }
-  std::set<std::string> leafIds() const { return knowledge_.leafIds(); }
-  std::vector<std::string> evacuatedZones() const { return knowledge_.evacuatedZones(); }
+  std::shared_ptr<const ServingView> takeChangedView() { return state_.takeChangedView(known()); }
+  bool complete() const { return state_.complete(); }
+  std::uint64_t configurationVersion() const { return state_.configurationVersion(); }
+  std::size_t leafCount() const { return state_.leafCount(); }
+  std::set<std::string> leafIds() const { return state_.leafIds(); }
+  std::vector<std::string> evacuatedZones() const { return state_.evacuatedZones(); }
   /// All records of the source up to this position are known; revision 0 while none are.
   const SourcePosition& known() const { return reader_.known(); }
   /// This daemon's last call to the source failed.
-  bool sourceLost() const { return reader_.failuresInRow() > 0; }
-  std::size_t place() const { return election_.place(); }
+  bool sourceLost() const { return reader_.consecutiveFailures() > 0; }
+  std::size_t rank() const { return election_.rank(); }
   const ConfigurationProof& proof() const { return prover_.proof(); }
   /// The freshness proof is younger than its bound.
   bool proofHolds() const { return prover_.holds(); }
@@ -117,7 +117,7 @@
  private:
   /// Compares an answer's epoch with the known one. Adds a notice unless it is the expected one or equals
   /// that of the previous answer.
-  EpochVerdict judgeEpoch(const ToldEpoch& told, FollowerActions& actions);
+  EpochVerdict classifyEpoch(const ReportedEpoch& reported, FollowerActions& actions);
   /// `restored`: the answer reported a newer epoch.
   void onFailure(SourceFailure failure, bool restored, Moment now, FollowerActions& actions);
   void onPage(const SourceCall& call, const SourcePage& page, std::uint64_t epoch, Moment now,
@@ -126,42 +126,43 @@
                      FollowerActions& actions);
   void onListingComplete(const SourcePosition& knownBefore, Moment now, FollowerActions& actions);
   /// An answer reports a newer epoch and does not continue the call: the source was restored from a backup.
-  void onSourceBack(Moment now);
+  void onSourceRestored(Moment now);
   /// The last record of each key. `epoch` is set in the result.
-  static std::vector<SourceRecord> newestOf(const std::vector<SourceRecord>& records, std::uint64_t epoch);
+  static std::vector<SourceRecord> latestPerKey(const std::vector<SourceRecord>& records,
+                                                std::uint64_t epoch);
   /// Applies a complete listing as of `position`. `before` is the known position until then.
-  void takeOverListing(const std::vector<SourceRecord>& records, const SourcePosition& position,
-                       const SourcePosition& before, Moment now, FollowerActions& actions);
+  void applyListing(const std::vector<SourceRecord>& records, const SourcePosition& position,
+                    const SourcePosition& before, Moment now, FollowerActions& actions);
   /// Prepares for the first listing of a newer epoch.
   void beginEpoch(const SourcePosition& position, const SourcePosition& before, Moment now);
-  void takeOver(const std::vector<SourceRecord>& records, Moment now, FollowerActions& actions);
+  void applyRecords(const std::vector<SourceRecord>& records, Moment now, FollowerActions& actions);
   /// What a complete listing contains; everything else is deleted.
   struct ListedNames {
     std::vector<std::string> leafs;
     std::set<std::string> evacuatedZones;
   };
   /// Adds what the record names to `listed`.
-  void takeOver(const SourceRecord& record, Moment now, FollowerActions& actions, ListedNames& listed);
+  void applyRecord(const SourceRecord& record, Moment now, FollowerActions& actions, ListedNames& listed);
   /// The record may be forwarded: it is not an older configuration than the one in effect.
-  bool keepsUp(const SourceStatement& statement) const;
-  void takeOverNews(const SourceNews& news, Moment now, FollowerActions& actions);
-  void takeOverUnusable(const UnusableLeaf& leaf, const SourcePosition& position, FollowerActions& actions);
-  void takeOverConfiguration(ServingConfiguration configuration, const SourceRecord& record,
-                             FollowerActions& actions);
+  bool isNotSuperseded(const SourceStatement& statement) const;
+  void applyUpdate(const SourceNews& update, Moment now, FollowerActions& actions);
+  void applyUnusable(const UnusableLeaf& leaf, const SourcePosition& position, FollowerActions& actions);
+  void applyConfiguration(ServingConfiguration configuration, const SourceRecord& record,
+                          FollowerActions& actions);
   void onChanges(const SourceCall& call, const SourcePage& page, Moment now, FollowerActions& actions);
   /// Unless this daemon is the reader, postpones its next call until the reader's next update is overdue.
-  /// `freshAt`: when the reader last read.
-  void leaveReadingToOthers(Moment freshAt, Moment now);
+  /// `confirmedAt`: when the reader last read.
+  void deferToReader(Moment confirmedAt, Moment now);
 
   Interpreter interpret_;
   RandomEngine random_;
   SourceReader reader_;
   ReaderElection election_;
-  PeerRecovery recovery_;
-  ServingKnowledge knowledge_;
+  PeerBootstrap bootstrap_;
+  ServingState state_;
   SourceRelay relay_;
   ConfigurationProver prover_;
-  EpochWatch epochs_;
+  EpochClassifier epochClassifier_;
   /// Of the previous answer, whether it was reported or not.
   EpochNotice lastNotice_;
   /// When the call in progress was made.
@@ -169,15 +170,15 @@
   /// When the first page of the listing in progress was requested.
   Moment listingSentAt_{};
   /// The call in progress only renews this daemon's freshness proof; another daemon is the reader.
-  bool readsForItself_ = false;
+  bool readsForOwnProof_ = false;
   /// Records of the listing in progress, applied when it is complete.
   std::vector<SourceRecord> listing_;
   SourcePosition listingPosition_;
   /// The position of the first listing that was applied in the known epoch.
-  SourcePosition epochBegan_;
+  SourcePosition epochStart_;
   /// Key of the record that holds the configuration in effect; empty while there is none.
   std::string configurationKey_;
-  Duration writtenAgainWithin_;
+  Duration rewriteWindow_;
   FollowerCounters counters_;
 };
 
--- a/src/coordination/serving/source_reader.cpp
+++ b/src/coordination/serving/source_reader.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr unsigned kMostDoublings = 6;
+constexpr unsigned kMaxDoublings = 6;
 
 }  // namespace
 
@@ -18,12 +18,12 @@
     return std::nullopt;
   }
   inProgress_ = true;
-  current_ = next_;
-  return next_;
+  currentCall_ = nextCall_;
+  return nextCall_;
 }
 
-SourceCall SourceReader::nextFor(Duration wait) const {
-  if (historyGoneAt_ == known_) {
+SourceCall SourceReader::nextCallFor(Duration wait) const {
+  if (historyUnavailableAfter_ == known_) {
     return SourceCall{};
   }
   return SourceCall{SourceCall::Kind::kChanges, "", known_.revision, wait, known_.epoch};
@@ -31,85 +31,86 @@
 
 void SourceReader::onPage(const SourcePage& page, std::uint64_t epoch, Moment now) {
   inProgress_ = false;
-  failuresInRow_ = 0;
+  consecutiveFailures_ = 0;
   listingComplete_ = false;
   const SourcePosition position{epoch, page.revision};
-  if (current_.kind == SourceCall::Kind::kChanges) {
+  if (currentCall_.kind == SourceCall::Kind::kChanges) {
     known_ = std::max(known_, position);
-    next_ = nextFor(settings_.wait);
-    nextCallAt_ = now + settings_.pace;
+    nextCall_ = nextCallFor(settings_.maxWait);
+    nextCallAt_ = now + settings_.minCallInterval;
     return;
   }
-  if (current_.afterKey.empty()) {
-    listing_ = position;
+  if (currentCall_.afterKey.empty()) {
+    listingPosition_ = position;
   }
   if (page.more && !page.records.empty()) {
-    next_ = SourceCall{SourceCall::Kind::kList, page.records.back().key, 0, {}, epoch};
+    nextCall_ = SourceCall{SourceCall::Kind::kList, page.records.back().key, 0, {}, epoch};
     nextCallAt_ = now;
     return;
   }
   listingComplete_ = true;
-  historyGoneAt_.reset();
-  known_ = std::max(known_, listing_);
-  next_ = nextFor(settings_.wait);
-  nextCallAt_ = now + settings_.pace;
+  historyUnavailableAfter_.reset();
+  known_ = std::max(known_, listingPosition_);
+  nextCall_ = nextCallFor(settings_.maxWait);
+  nextCallAt_ = now + settings_.minCallInterval;
 }
 
-void SourceReader::listAnew(Duration after, Moment now) {
+void SourceReader::relist(Duration after, Moment now) {
   inProgress_ = false;
-  failuresInRow_ = 0;
+  consecutiveFailures_ = 0;
   listingComplete_ = false;
-  historyGoneAt_ = known_;
-  next_ = SourceCall{};
+  historyUnavailableAfter_ = known_;
+  nextCall_ = SourceCall{};
   nextCallAt_ = now + after;
 }
 
-void SourceReader::dropAnswer(Moment now) {
+void SourceReader::discardAnswer(Moment now) {
   inProgress_ = false;
-  failuresInRow_ = 0;
+  consecutiveFailures_ = 0;
   listingComplete_ = false;
-  next_ = nextFor(settings_.wait);
-  nextCallAt_ = now + settings_.pace;
+  nextCall_ = nextCallFor(settings_.maxWait);
+  nextCallAt_ = now + settings_.minCallInterval;
 }
 
-void SourceReader::readNow(Moment now) {
+void SourceReader::expediteCall(Moment now) {
   if (inProgress_ || known_.revision == 0) {
     return;
   }
-  if (next_.kind == SourceCall::Kind::kChanges) {
-    next_.wait = Duration(0);
+  if (nextCall_.kind == SourceCall::Kind::kChanges) {
+    nextCall_.wait = Duration(0);
   }
   nextCallAt_ = std::min(nextCallAt_, std::max(now, backoffUntil_));
 }
 
-void SourceReader::onNews(const SourcePosition& position) {
+void SourceReader::onUpdate(const SourcePosition& position) {
   if (position < known_) {
     return;
   }
   known_ = position;
-  const Duration wait = next_.kind == SourceCall::Kind::kChanges ? next_.wait : settings_.wait;
-  next_ = nextFor(wait);
+  const Duration wait = nextCall_.kind == SourceCall::Kind::kChanges ? nextCall_.wait : settings_.maxWait;
+  nextCall_ = nextCallFor(wait);
 }
 
-void SourceReader::leaveToOther(Moment freshAt, Duration stagger) {
-  next_ = nextFor(Duration(0));
+void SourceReader::awaitUpdate(Moment confirmedAt, Duration stagger) {
+  nextCall_ = nextCallFor(Duration(0));
   // The last update may be old already, as during an outage of the source: the backoff still applies.
-  nextCallAt_ = std::max(freshAt + settings_.pace + settings_.wait + stagger, backoffUntil_);
+  nextCallAt_ =
+      std::max(confirmedAt + settings_.minCallInterval + settings_.maxWait + stagger, backoffUntil_);
 }
 
-void SourceReader::onFailure(SourceFailure failure, Duration longestBackoff, Moment now) {
+void SourceReader::onFailure(SourceFailure failure, Duration backoffCap, Moment now) {
   inProgress_ = false;
   listingComplete_ = false;
-  if (failure == SourceFailure::kHistoryGone) {
-    historyGoneAt_ = known_;
-    next_ = SourceCall{};
+  if (failure == SourceFailure::kHistoryUnavailable) {
+    historyUnavailableAfter_ = known_;
+    nextCall_ = SourceCall{};
   }
-  const unsigned doublings = std::min(failuresInRow_, kMostDoublings);
-  ++failuresInRow_;
-  const Duration longest = std::min(longestBackoff, settings_.shortestBackoff * (1U << doublings));
+  const unsigned doublings = std::min(consecutiveFailures_, kMaxDoublings);
+  ++consecutiveFailures_;
+  const Duration cap = std::min(backoffCap, settings_.initialBackoff * (1U << doublings));
   // Uniform jitter over the upper half, so that daemons whose calls failed together do not retry together.
-  const auto half = static_cast<std::size_t>(longest.count() / 2);
-  nextCallAt_ = now + longest / 2 + Duration(static_cast<std::int64_t>(drawBelow(half + 1, random_)));
+  const auto half = static_cast<std::size_t>(cap.count() / 2);
+  nextCallAt_ = now + cap / 2 + Duration(static_cast<std::int64_t>(drawBelow(half + 1, random_)));
   backoffUntil_ = nextCallAt_;
 }
 
--- a/src/coordination/serving/source_reader.h
+++ b/src/coordination/serving/source_reader.h
@@ -32,11 +32,11 @@
 
 struct SourceReaderSettings {
   /// Time from the answer to a call for changes to the next call. Batches changes in quick succession.
-  Duration pace = std::chrono::milliseconds(250);
+  Duration minCallInterval = std::chrono::milliseconds(250);
   /// How long the source may hold a call for changes open. Bounds how long a lost answer, or the loss of the
   /// reader, goes unnoticed. The reader makes about one call in this time.
-  Duration wait = std::chrono::milliseconds(1000);
-  Duration shortestBackoff = std::chrono::milliseconds(150);
+  Duration maxWait = std::chrono::milliseconds(1000);
+  Duration initialBackoff = std::chrono::milliseconds(150);
 };
 
 class SourceReader {
@@ -51,50 +51,50 @@
   void onPage(const SourcePage& page, std::uint64_t epoch, Moment now);
   /// Ends the call whose answer does not continue it because the source was restored from a backup. A new
   /// listing starts after `after`.
-  void listAnew(Duration after, Moment now);
+  void relist(Duration after, Moment now);
   /// Ends the call and ignores its answer, because an update has meanwhile reported a newer epoch.
-  void dropAnswer(Moment now);
-  /// Ends the call. `longestBackoff`: upper bound of the time until the next one.
-  void onFailure(SourceFailure failure, Duration longestBackoff, Moment now);
+  void discardAnswer(Moment now);
+  /// Ends the call. `backoffCap`: upper bound of the time until the next one.
+  void onFailure(SourceFailure failure, Duration backoffCap, Moment now);
 
   /// No call before `moment`.
-  void holdUntil(Moment moment) { nextCallAt_ = std::max(nextCallAt_, moment); }
-  /// The next call is due no later than `moment`, also if `holdUntil` was called.
-  void callBy(Moment moment) { nextCallAt_ = std::min(nextCallAt_, moment); }
+  void callNoEarlierThan(Moment moment) { nextCallAt_ = std::max(nextCallAt_, moment); }
+  /// The next call is due no later than `moment`, also if `callNoEarlierThan` was called.
+  void callNoLaterThan(Moment moment) { nextCallAt_ = std::min(nextCallAt_, moment); }
   /// Makes the next call due now, and answered without waiting for a change. A backoff after failed calls
   /// still applies.
-  void readNow(Moment now);
+  void expediteCall(Moment now);
   /// An update of a peer was applied: everything up to `position` is known.
-  void onNews(const SourcePosition& position);
-  /// Another daemon is the reader and last read at `freshAt`: this daemon's next call waits until the
+  void onUpdate(const SourcePosition& position);
+  /// Another daemon is the reader and last read at `confirmedAt`: this daemon's next call waits until the
   /// reader's next update is overdue by `stagger`. The source then answers it without waiting for a change,
   /// because peers are waiting for the result as well.
-  void leaveToOther(Moment freshAt, Duration stagger);
+  void awaitUpdate(Moment confirmedAt, Duration stagger);
 
   /// The last page completed a listing.
   bool listingComplete() const { return listingComplete_; }
   /// Everything up to this position is known; revision 0 before the first listing.
   const SourcePosition& known() const { return known_; }
-  unsigned failuresInRow() const { return failuresInRow_; }
+  unsigned consecutiveFailures() const { return consecutiveFailures_; }
 
  private:
   /// A call for the changes since the known position, or a listing if the source no longer has that history.
-  SourceCall nextFor(Duration wait) const;
+  SourceCall nextCallFor(Duration wait) const;
 
   SourceReaderSettings settings_;
   RandomEngine random_;
-  SourceCall next_;
+  SourceCall nextCall_;
   bool inProgress_ = false;
   /// The call in progress.
-  SourceCall current_;
+  SourceCall currentCall_;
   bool listingComplete_ = false;
   /// The position of the first page of the listing in progress.
-  SourcePosition listing_;
+  SourcePosition listingPosition_;
   SourcePosition known_;
   /// The source no longer has the changes since this position. While it is still the known one, the source is
   /// listed instead.
-  std::optional<SourcePosition> historyGoneAt_;
-  unsigned failuresInRow_ = 0;
+  std::optional<SourcePosition> historyUnavailableAfter_;
+  unsigned consecutiveFailures_ = 0;
   Moment nextCallAt_{};
   /// The backoff after the last failed call ends then.
   Moment backoffUntil_{};
--- a/src/coordination/serving/source_records.h
+++ b/src/coordination/serving/source_records.h
@@ -19,7 +19,7 @@
   /// The source's revision at the last change of the record.
   std::uint64_t revision = 0;
   /// The record was deleted.
-  bool gone = false;
+  bool deleted = false;
   /// The epoch of `revision`.
   std::uint64_t epoch = 0;
 
@@ -34,12 +34,12 @@
   /// The source's revision at the time of the answer.
   std::uint64_t revision = 0;
   /// Number of records without a readable key or revision, which `records` does not contain.
-  std::size_t unreadable = 0;
+  std::size_t malformed = 0;
 };
 
 enum class SourceFailure {
   /// The source does not have the changes since the requested revision; a new listing is needed.
-  kHistoryGone,
+  kHistoryUnavailable,
   /// The source rejected the call because there are too many.
   kThrottled,
   kUnavailable,
@@ -53,7 +53,7 @@
 
 /// The epoch that an answer reports. A new epoch begins whenever the source is restored from a backup: its
 /// revisions then go back and are assigned again.
-struct ToldEpoch {
+struct ReportedEpoch {
   enum class Kind {
     /// There is no answer.
     kUnanswered,
@@ -61,12 +61,12 @@
     kMissing,
     /// The answer contains several epochs, or one that is not an integer.
     kMalformed,
-    kTold,
+    kReported,
   };
   Kind kind = Kind::kMissing;
   std::uint64_t epoch = 0;
 
-  static ToldEpoch of(std::uint64_t epoch) { return ToldEpoch{Kind::kTold, epoch}; }
+  static ReportedEpoch of(std::uint64_t epoch) { return ReportedEpoch{Kind::kReported, epoch}; }
 };
 
 /// An answer of the source, or the reason why there is none.
@@ -76,13 +76,13 @@
   // NOLINTNEXTLINE(google-explicit-constructor): a bare page is the answer of a source without epochs.
   SourceAnswer(SourcePage page) : content(std::move(page)) {}
   // NOLINTNEXTLINE(google-explicit-constructor): a bare failure means that there was no answer.
-  SourceAnswer(SourceFailure failure) : content(failure), epoch{ToldEpoch::Kind::kUnanswered, 0} {}
-  SourceAnswer(Content answerContent, ToldEpoch toldEpoch)
-      : content(std::move(answerContent)), epoch(toldEpoch) {}
+  SourceAnswer(SourceFailure failure) : content(failure), epoch{ReportedEpoch::Kind::kUnanswered, 0} {}
+  SourceAnswer(Content answerContent, ReportedEpoch reportedEpoch)
+      : content(std::move(answerContent)), epoch(reportedEpoch) {}
 
   Content content;
   /// Error answers may report it too.
-  ToldEpoch epoch;
+  ReportedEpoch epoch;
 };
 
 /// A leaf's record was deleted.
--- a/src/coordination/serving/source_relay.h
+++ b/src/coordination/serving/source_relay.h
@@ -7,8 +7,9 @@
 /// - An update is applied only if no earlier change is missing; a daemon with a gap requests the missing
 ///   records.
 /// - A daemon forwards an update only if, compared with the last one it forwarded, it is of a newer position,
-///   or was read more than `kFreshnessStep` later at the same position, or is of the same position and of a
-///   reader that ranks before the last one's. It never forwards updates of an older epoch than the known one.
+///   or was read more than `kMinConfirmationGap` later at the same position, or is of the same position and
+///   of a reader that ranks before the last one's. It never forwards updates of an older epoch than the known
+///   one.
 /// - The rate of complete states sent in reply to requests is bounded.
 ///
 /// The updates of each reader follow a tree rooted at it. If there are several readers, the rule on ranks
@@ -30,15 +31,15 @@
 
 namespace oakpier::serving {
 
-struct OutgoingNews {
+struct OutgoingUpdate {
   Endpoint to;
-  SourceNews news;
+  SourceNews update;
 };
 
 struct RelayActions {
-  std::vector<OutgoingNews> news;
+  std::vector<OutgoingUpdate> updates;
   /// The peer to request all records after the known position from.
-  std::optional<Endpoint> ask;
+  std::optional<Endpoint> requestFrom;
   /// The update may be applied: it leaves no gap after the known position, or contains the complete state.
   bool accepted = false;
 };
@@ -56,55 +57,55 @@
                       const std::vector<SourceRecord>& records, Moment now);
   /// This daemon has listed a source that was restored from a backup: sends the complete state down the tree,
   /// so that the other daemons need not list it.
-  std::vector<OutgoingNews> onRestored(const SourcePosition& known, Moment now);
+  std::vector<OutgoingUpdate> onRestored(const SourcePosition& known, Moment now);
   /// `known`: everything up to this position is known here.
-  RelayActions onNews(const Endpoint& sender, const SourceNews& news, const SourcePosition& known,
-                      Moment now);
-  /// The changes after `askers`, the position known to the peer, or the complete state if those changes are
-  /// not kept, as after a change of the epoch. Empty if the rate of complete states is exceeded: the peer
-  /// then retries with another daemon.
-  std::optional<OutgoingNews> missedBy(const Endpoint& to, const SourcePosition& askers,
-                                       const SourcePosition& known, Moment now);
+  RelayActions onUpdate(const Endpoint& sender, const SourceNews& update, const SourcePosition& known,
+                        Moment now);
+  /// The changes after `requesterPosition`, the position known to the peer, or the complete state if those
+  /// changes are not kept, as after a change of the epoch. Empty if the rate of complete states is exceeded:
+  /// the peer then retries with another daemon.
+  std::optional<OutgoingUpdate> catchUpFor(const Endpoint& to, const SourcePosition& requesterPosition,
+                                           const SourcePosition& known, Moment now);
   /// Defers the reply to a request until something newer than the requester's position is known here.
-  void keepWaiting(const Endpoint& asker);
+  void deferRequest(const Endpoint& requester);
   /// Replies to the deferred requests.
-  std::vector<OutgoingNews> answerWaiting(const SourcePosition& known, Moment now);
+  std::vector<OutgoingUpdate> replyToDeferred(const SourcePosition& known, Moment now);
 
   /// Stores a record, or its deletion, for replies to peers.
-  void keep(const SourceRecord& record);
+  void store(const SourceRecord& record);
   /// Removes records that a complete listing as of `position` does not contain, except newer ones.
-  void dropUnlisted(const std::set<std::string>& keys, const SourcePosition& position);
+  void removeUnlisted(const std::set<std::string>& keys, const SourcePosition& position);
   /// When the source last confirmed what is known here.
-  Moment freshAt() const { return freshAt_; }
-  void setFreshAt(Moment moment) { freshAt_ = moment; }
+  Moment confirmedAt() const { return confirmedAt_; }
+  void setConfirmedAt(Moment moment) { confirmedAt_ = moment; }
 
  private:
   std::uint64_t ageAt(Moment now) const;
-  void addChangesSince(const SourcePosition& position, SourceNews& news) const;
-  void addAll(SourceNews& news) const;
+  void addChangesSince(const SourcePosition& position, SourceNews& update) const;
+  void addAllRecords(SourceNews& update) const;
   /// Returns whether the rate of complete states permits one more now, and counts it.
-  bool takeWholeTurn(Moment now);
+  bool acquireCompleteStateSlot(Moment now);
   /// Forwards an update unless an equal or newer one was forwarded.
-  void forward(const SourceNews& news, Moment now, RelayActions& actions);
+  void forward(const SourceNews& update, Moment now, RelayActions& actions);
 
   Endpoint self_;
   DaemonOrder members_;
   std::map<std::string, SourceRecord> records_;
   /// Keys of deleted records, by the position of their deletion.
-  std::map<SourcePosition, std::string> gone_;
-  /// `gone_` holds all deletions of the known epoch after this position.
-  SourcePosition goneSince_;
-  Moment freshAt_{};
+  std::map<SourcePosition, std::string> deletions_;
+  /// `deletions_` holds all deletions of the known epoch after this position.
+  SourcePosition deletionsKeptAfter_;
+  Moment confirmedAt_{};
   SourcePosition forwarded_;
-  Moment forwardedFreshAt_{};
+  Moment forwardedConfirmedAt_{};
   Endpoint forwardedReader_;
-  Moment askedAt_{};
-  std::set<Endpoint> waiting_;
-  /// Complete states sent since `wholeSince_`.
-  std::size_t wholeTold_ = 0;
-  Moment wholeSince_{};
+  Moment requestedAt_{};
+  std::set<Endpoint> deferredRequests_;
+  /// Complete states sent since `completeStateWindowStart_`.
+  std::size_t completeStatesSent_ = 0;
+  Moment completeStateWindowStart_{};
 };
 
-std::vector<SourceRecord> recordsOf(const SourceNews& news);
+std::vector<SourceRecord> recordsOf(const SourceNews& update);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/suppression_delay.h
+++ b/src/coordination/serving/suppression_delay.h
@@ -13,11 +13,12 @@
 
 namespace oakpier::serving {
 
-/// Between zero and `longest`. Of `count` daemons about one draws zero.
-inline Duration suppressionDelay(Duration longest, std::size_t count, RandomEngine& random) {
+/// Between zero and `maximum`. Of `count` daemons about one draws zero.
+inline Duration suppressionDelay(Duration maximum, std::size_t count, RandomEngine& random) {
   const double drawn = std::uniform_real_distribution<double>(1e-9, 1.0)(random);
-  const double share = 1.0 + std::log(drawn) / std::log(static_cast<double>(std::max<std::size_t>(2, count)));
-  return Duration(static_cast<std::int64_t>(static_cast<double>(longest.count()) * std::max(0.0, share)));
+  const double fraction =
+      1.0 + std::log(drawn) / std::log(static_cast<double>(std::max<std::size_t>(2, count)));
+  return Duration(static_cast<std::int64_t>(static_cast<double>(maximum.count()) * std::max(0.0, fraction)));
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -83,8 +83,8 @@
 
 FollowerSettings followerSettings(const GatewaySettings& settings) {
   FollowerSettings follower;
-  follower.knowledge.removalDelay = removalDelayFor(settings.leaveBound);
-  follower.knowledge.lapseWithin = lapseWithinFor(settings.leafHeartbeat);
+  follower.state.removalDelay = removalDelayFor(settings.leaveBound);
+  follower.state.expiryWindow = expiryWindowFor(settings.leafHeartbeat);
   follower.prover = proverSettings(settings);
   return follower;
 }
--- a/src/programs/gateway/gateway_metrics.cpp
+++ b/src/programs/gateway/gateway_metrics.cpp
@@ -181,7 +181,7 @@
   list.counter("source_restorations_total", "Times that a newer epoch of the source became known",
                figures.source.epochs.restorations);
   list.counter("source_epochs_told_total", "Answers of the source that told an epoch",
-               figures.source.epochs.told);
+               figures.source.epochs.reported);
   list.counter("source_epochs_skipped_total", "Epochs of the source that were never heard of",
                figures.source.epochs.skipped);
   list.counter("source_epochs_older_total", "Answers of an epoch before the known one",
@@ -191,16 +191,16 @@
   list.counter("source_epochs_malformed_total", "Answers whose epoch is not a whole number",
                figures.source.epochs.malformed);
   list.counter("source_listings_outdated_total", "Listings older than what was known, not taken over",
-               figures.source.listingsOutdated);
-  list.counter("news_accepted_total", "News taken over from other daemons", figures.source.newsAccepted);
+               figures.source.staleListings);
+  list.counter("news_accepted_total", "News taken over from other daemons", figures.source.updatesAccepted);
   list.counter("news_asked_total", "Times that everything was asked of another daemon",
-               figures.source.newsAsked);
+               figures.source.updatesRequested);
   list.counter("configurations_refused_total", "Configurations with a problem",
                figures.source.configurationsRefused);
   list.counter("unusable_records_total", "Records of the source that name no leaf to use or cannot be read",
                figures.source.unusableRecords);
   list.counter("leafs_born_again_total", "Entries that told of another life of a known leaf",
-               figures.source.leafsBornAgain);
+               figures.source.leafsRestarted);
   list.counter("proof_questions_total", "Times that another daemon was asked for its proof",
                figures.source.proofs.asked);
   list.counter("proof_answers_total", "Of these, answered in time", figures.source.proofs.answered);
--- a/src/programs/gateway/gateway_settings.h
+++ b/src/programs/gateway/gateway_settings.h
@@ -9,7 +9,7 @@
 #include "coordination/serving/extra_send_budget.h"
 #include "coordination/serving/machine_limits.h"
 #include "coordination/serving/quota_plan.h"
-#include "coordination/serving/serving_knowledge.h"
+#include "coordination/serving/serving_state.h"
 #include "coordination/serving/warmup_allowance.h"
 #include "state/endpoint.h"
 #include "state/time.h"
@@ -34,7 +34,7 @@
   /// A leaf may get new requests for this long after the source says that it leaves.
   Duration leaveBound = std::chrono::seconds(3);
   /// Leafs write their entries about this often; the source drops an entry after three that were left out.
-  Duration leafHeartbeat = kUsualLeafHeartbeat;
+  Duration leafHeartbeat = kDefaultLeafHeartbeat;
   /// A new configuration is in force at every daemon that is in touch within this time.
   Duration configurationBound = std::chrono::seconds(5);
   /// No request that was sent later than this after a key was taken away may use it, at any daemon; none: as
--- a/src/programs/gateway/peer_link.cpp
+++ b/src/programs/gateway/peer_link.cpp
@@ -127,9 +127,9 @@
   } else if (envelope.has_probe_reply()) {
     carryOut(membership_.onReply(*sender, envelope.probe_reply(), now));
   } else if (const auto news = unpackNews(envelope)) {
-    handlers_.onNews(*sender, *news);
+    handlers_.onUpdate(*sender, *news);
   } else if (envelope.has_source_news_request()) {
-    handlers_.onNewsRequest(*sender, envelope.source_news_request());
+    handlers_.onUpdateRequest(*sender, envelope.source_news_request());
   } else if (envelope.has_configuration_proof_request()) {
     handlers_.onProofRequest(*sender, envelope.configuration_proof_request());
   } else if (envelope.has_configuration_proof_reply()) {
--- a/src/programs/gateway/peer_link.h
+++ b/src/programs/gateway/peer_link.h
@@ -30,8 +30,8 @@
 class PeerLink {
  public:
   struct Handlers {
-    std::function<void(const Endpoint& sender, const SourceNews& news)> onNews;
-    std::function<void(const Endpoint& sender, const SourceNewsRequest& request)> onNewsRequest;
+    std::function<void(const Endpoint& sender, const SourceNews& news)> onUpdate;
+    std::function<void(const Endpoint& sender, const SourceNewsRequest& request)> onUpdateRequest;
     std::function<void(const Endpoint& sender, const ConfigurationProofRequest& request)> onProofRequest;
     std::function<void(const Endpoint& sender, const ConfigurationProofReply& reply)> onProofReply;
     /// The addresses of `daemons` are in rising order.
--- a/src/programs/gateway/source_log.cpp
+++ b/src/programs/gateway/source_log.cpp
@@ -24,12 +24,12 @@
 void logLine(const EpochNotice& notice) {
   log(LogLevel::kWarning, "configuration source told another epoch",
       {{"verdict", textOf(notice.verdict)},
-       {"told_epoch", notice.told},
+       {"told_epoch", notice.reported},
        {"known_epoch", notice.known.epoch},
        {"known_revision", notice.known.revision}});
 }
 
-void logLine(const OutdatedListing& notice) {
+void logLine(const StaleListing& notice) {
   log(LogLevel::kWarning, "listing older than what is known was dropped",
       {{"listed_epoch", notice.listed.epoch},
        {"listed_revision", notice.listed.revision},
@@ -39,17 +39,17 @@
 
 void logLine(const SourceRestored& notice) {
   log(LogLevel::kWarning, "configuration source came back from a copy",
-      {{"epoch_before", notice.before.epoch},
-       {"revision_before", notice.before.revision},
-       {"epoch", notice.now.epoch},
-       {"revision", notice.now.revision},
+      {{"epoch_before", notice.previous.epoch},
+       {"revision_before", notice.previous.revision},
+       {"epoch", notice.current.epoch},
+       {"revision", notice.current.revision},
        {"configuration_version", notice.configurationVersion},
        {"leafs_listed", notice.leafsListed},
-       {"leafs_awaited", notice.leafsAwaited},
-       {"leafs_disputed", notice.leafsDisputed}});
+       {"leafs_awaited", notice.leafsRetained},
+       {"leafs_disputed", notice.leafsConflicting}});
 }
 
-void logLine(const EpochsTold& notice) {
+void logLine(const EpochsSupported& notice) {
   log(LogLevel::kInfo, "configuration source tells epochs", {{"first_epoch", notice.first}});
 }
 
--- a/src/programs/gateway/source_loop.cpp
+++ b/src/programs/gateway/source_loop.cpp
@@ -16,7 +16,7 @@
 
 const char* textOf(SourceFailure failure) {
   switch (failure) {
-    case SourceFailure::kHistoryGone:
+    case SourceFailure::kHistoryUnavailable:
       return "history gone";
     case SourceFailure::kThrottled:
       return "too many calls";
@@ -55,9 +55,9 @@
           RandomEngine(std::random_device{}())),
       seeds_(peers.seeds),
       peers_(context, peers,
-             {[this](const Endpoint& sender, const SourceNews& news) { onNews(sender, news); },
+             {[this](const Endpoint& sender, const SourceNews& news) { onUpdate(sender, news); },
               [this](const Endpoint& sender, const SourceNewsRequest& request) {
-                onNewsRequest(sender, request);
+                onUpdateRequest(sender, request);
               },
               [this](const Endpoint& sender, const ConfigurationProofRequest& request) {
                 carryOut(follower_.onProofRequest(sender, request, steadyNow()));
@@ -79,7 +79,7 @@
 }
 
 void SourceLoop::onStateWanted() {
-  follower_.onStateWanted(steadyNow());
+  follower_.onConfigurationNeeded(steadyNow());
   step();
 }
 
@@ -141,13 +141,13 @@
   carryOut(actions);
 }
 
-void SourceLoop::onNews(const Endpoint& sender, const SourceNews& news) {
-  carryOut(follower_.onNews(sender, news, steadyNow()));
+void SourceLoop::onUpdate(const Endpoint& sender, const SourceNews& news) {
+  carryOut(follower_.onUpdate(sender, news, steadyNow()));
 }
 
-void SourceLoop::onNewsRequest(const Endpoint& sender, const SourceNewsRequest& request) {
-  if (const auto outgoing = follower_.onNewsRequest(sender, request, steadyNow())) {
-    peers_.sendNews(outgoing->to, outgoing->news);
+void SourceLoop::onUpdateRequest(const Endpoint& sender, const SourceNewsRequest& request) {
+  if (const auto outgoing = follower_.onUpdateRequest(sender, request, steadyNow())) {
+    peers_.sendNews(outgoing->to, outgoing->update);
   }
 }
 
@@ -158,7 +158,7 @@
       {{"serving", daemons.all.size()},
        {"own_zone", daemons.ownZone.size()},
        {"zones", daemons.zones},
-       {"place", follower_.place()},
+       {"place", follower_.rank()},
        {"capacity_core_hundredths", capacityOf(daemons.all)},
        {"own_zone_capacity_core_hundredths", capacityOf(daemons.ownZone)}});
   handlers_.onDaemons(daemons);
@@ -177,11 +177,11 @@
 }
 
 void SourceLoop::askAndSend(const FollowerActions& actions) {
-  for (const OutgoingNews& outgoing : actions.news) {
-    peers_.sendNews(outgoing.to, outgoing.news);
+  for (const OutgoingUpdate& outgoing : actions.updates) {
+    peers_.sendNews(outgoing.to, outgoing.update);
   }
-  if (actions.ask) {
-    peers_.askForNews(*actions.ask, follower_.known());
+  if (actions.requestFrom) {
+    peers_.askForNews(*actions.requestFrom, follower_.known());
   }
   for (const OutgoingProofRequest& outgoing : actions.proofs.requests) {
     peers_.askForProof(outgoing.to, outgoing.request);
--- a/src/programs/gateway/source_loop.h
+++ b/src/programs/gateway/source_loop.h
@@ -60,8 +60,8 @@
   void schedule();
   void step();
   void onAnswer(const SourceCall& call, const SourceAnswer& answer);
-  void onNews(const Endpoint& sender, const SourceNews& news);
-  void onNewsRequest(const Endpoint& sender, const SourceNewsRequest& request);
+  void onUpdate(const Endpoint& sender, const SourceNews& news);
+  void onUpdateRequest(const Endpoint& sender, const SourceNewsRequest& request);
   void onMembers(const DaemonGroup& daemons);
   /// The process or its machine stood still: what was due meanwhile is done now, not when the timer comes.
   void onPause();
--- a/tests/serving/coordination/caller_authorization_test.cpp
+++ b/tests/serving/coordination/caller_authorization_test.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <random>
 
-#include "coordination/serving/serving_knowledge.h"
+#include "coordination/serving/serving_state.h"
 #include "serving/support/serving_fixtures.h"
 
 namespace oakpier::serving {
@@ -22,7 +22,7 @@
   auto configuration = std::make_shared<ServingConfiguration>();
   configuration->version = kVersion;
   configuration->tenants = std::move(tenants);
-  ServingKnowledge knowledge{KnowledgeSettings{}};
+  ServingState knowledge{ServingStateSettings{}};
   REQUIRE(knowledge.onConfiguration(configuration).empty());
   return knowledge.takeChangedView();
 }
@@ -190,7 +190,7 @@
   ConfigurationProof proof;
   /// The newest version that the daemon was told; 0: none.
   std::uint64_t told = 0;
-  ServingKnowledge knowledge{KnowledgeSettings{}};
+  ServingState knowledge{ServingStateSettings{}};
 
  private:
   AcknowledgedVersion drawVersion(std::uint64_t number, int moment) {
--- a/tests/serving/coordination/configuration_proof_test.cpp
+++ b/tests/serving/coordination/configuration_proof_test.cpp
@@ -64,16 +64,16 @@
   CAPTURE(daemons);
   SourceFleet fleet(fleetOf(daemons));
   fleet.runFor(kSettling);
-  const std::size_t questions = fleet.proofQuestions();
+  const std::size_t questions = fleet.proofRequests();
   const Checks checks = runChecked(fleet, seconds(20));
   CAPTURE(checks.oldest.count());
   REQUIRE(checks.refused == 0);
   REQUIRE(checks.oldest <= milliseconds(2800));
   REQUIRE(fleet.unsoundProofs() == 0);
   // Rounds begin every 1.25 s; for some seconds after a start several daemons may read side by side.
-  CAPTURE(fleet.proofQuestions() - questions);
-  REQUIRE(fleet.proofQuestions() - questions <= std::size_t{40} * daemons);
-  REQUIRE(fleet.proofReads() == 0);
+  CAPTURE(fleet.proofRequests() - questions);
+  REQUIRE(fleet.proofRequests() - questions <= std::size_t{40} * daemons);
+  REQUIRE(fleet.proofReadRequests() == 0);
 }
 
 TEST_CASE("without tenants no questions are asked", "[serving]") {
@@ -81,7 +81,7 @@
   settings.tenants = false;
   SourceFleet fleet(settings);
   fleet.runFor(seconds(30));
-  REQUIRE(fleet.proofQuestions() == 0);
+  REQUIRE(fleet.proofRequests() == 0);
 }
 
 TEST_CASE("lost frames, and frames that wait for processor time, leave daemons their proofs", "[serving]") {
@@ -89,7 +89,7 @@
   SourceFleetSettings settings = fleetOf(daemons, 3);
   settings.frameLoss = 0.05;
   // One period of a processor's quota.
-  settings.longestFrame = milliseconds(100);
+  settings.maxFrameDelay = milliseconds(100);
   SourceFleet fleet(settings);
   fleet.runFor(kSettling);
   const Checks checks = runChecked(fleet, seconds(20));
@@ -142,13 +142,13 @@
   SourceFleet fleet(fleetOf(74, 2));
   fleet.runFor(kSettling);
   for (std::size_t other = 0; other < fleet.size(); ++other) {
-    fleet.setCut(40, other, true);
+    fleet.setLinkDown(40, other, true);
   }
   const Checks checks = runChecked(fleet, seconds(20), [](std::size_t number) { return number == 40; });
   CAPTURE(checks.oldest.count());
   REQUIRE(checks.refused == 0);
   // One for each 3.4 to 3.8 s, and only by that daemon.
-  REQUIRE(fleet.proofReads() <= 8);
+  REQUIRE(fleet.proofReadRequests() <= 8);
 }
 
 TEST_CASE("a daemon without any way to the source loses its proof, and has it again soon after",
@@ -156,7 +156,7 @@
   SourceFleet fleet(fleetOf(74, 2));
   fleet.runFor(kSettling);
   for (std::size_t other = 0; other < fleet.size(); ++other) {
-    fleet.setCut(other, 40, true);
+    fleet.setLinkDown(other, 40, true);
   }
   fleet.setAnswersLost(40, true);
   fleet.runFor(kBound);
@@ -165,7 +165,7 @@
   const auto last = [](std::size_t number) { return number == 40; };
   REQUIRE(runChecked(fleet, seconds(9), last).unsafe == 0);
   REQUIRE_FALSE(fleet.covers(40, kProofBound));
-  fleet.mendCuts();
+  fleet.restoreLinks();
   fleet.runFor(milliseconds(2000));
   REQUIRE(fleet.covers(40, kProofBound));
 }
@@ -258,10 +258,10 @@
   void cutOff(std::size_t number, int way) {
     for (std::size_t other = 0; other < fleet_.size(); ++other) {
       if (way != 1) {
-        fleet_.setCut(other, number, true);
+        fleet_.setLinkDown(other, number, true);
       }
       if (way != 0) {
-        fleet_.setCut(number, other, true);
+        fleet_.setLinkDown(number, other, true);
       }
     }
   }
@@ -272,9 +272,9 @@
     const bool bothWays = *rc::gen::arbitrary<bool>();
     for (std::size_t from = 0; from < first; ++from) {
       for (std::size_t to = first; to < fleet_.size(); ++to) {
-        fleet_.setCut(from, to, true);
+        fleet_.setLinkDown(from, to, true);
         if (bothWays) {
-          fleet_.setCut(to, from, true);
+          fleet_.setLinkDown(to, from, true);
         }
       }
     }
@@ -297,7 +297,7 @@
 
   void recover() {
     fleet_.setSourceDown(false);
-    fleet_.mendCuts();
+    fleet_.restoreLinks();
     for (std::size_t number = 0; number < fleet_.size(); ++number) {
       fleet_.setRefused(number, false);
       fleet_.setAnswersLost(number, false);
@@ -330,16 +330,16 @@
     SourceFleetSettings settings =
         fleetOf(*rc::gen::element<std::size_t>(3, 4, 7, 12, 30, 74), *rc::gen::arbitrary<std::uint64_t>());
     settings.frameLoss = *rc::gen::element(0.0, 0.02);
-    settings.lateFrames = *rc::gen::element(0.0, 0.05, 0.3);
-    settings.replayedFrames = *rc::gen::element(0.0, 0.05, 0.3);
+    settings.delayedFrames = *rc::gen::element(0.0, 0.05, 0.3);
+    settings.duplicatedFrames = *rc::gen::element(0.0, 0.05, 0.3);
     TroubledFleet(settings).play(*rc::gen::inRange(1, 6));
   });
 }
 
 TEST_CASE("no key passes beyond the bound in a large fleet", "[serving]") {
   SourceFleetSettings settings = fleetOf(300, 11);
-  settings.lateFrames = 0.1;
-  settings.replayedFrames = 0.1;
+  settings.delayedFrames = 0.1;
+  settings.duplicatedFrames = 0.1;
   SourceFleet fleet(settings);
   fleet.runFor(kSettling);
   for (std::size_t number = 0; number < 300; number += 7) {
@@ -349,7 +349,7 @@
     fleet.setRefused(number, true);
   }
   for (std::size_t to = 100; to < 300; ++to) {
-    fleet.setCut(to % 50, to, true);
+    fleet.setLinkDown(to % 50, to, true);
   }
   for (int change = 0; change < 6; ++change) {
     fleet.changeConfiguration();
--- a/tests/serving/coordination/configuration_prover_test.cpp
+++ b/tests/serving/coordination/configuration_prover_test.cpp
@@ -64,7 +64,7 @@
   ProvedDaemon daemon;
   daemon.prover.onConfigurationRecord(inFirstEpoch(20), false);
   daemon.prover.onRead(at(2000), at(2001), daemon.actions);
-  daemon.prover.onNews(kFirst, at(4500), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(4500), daemon.actions);
   daemon.prover.onTime(at(4500), daemon.actions);
   REQUIRE(daemon.prover.proof().provenAt == at(1000));
   REQUIRE(daemon.actions.requests.empty());
@@ -85,7 +85,7 @@
 
 TEST_CASE("an answer counts from the moment at which the question was sent, less the age told", "[serving]") {
   ProvedDaemon daemon;
-  daemon.prover.onNews(kFirst, at(3000), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(3000), daemon.actions);
   const std::uint64_t number = daemon.takeNumber();
   SECTION("in time") {
     daemon.prover.onReply(kFirst, replyOf(number, 5, milliseconds(400)), at(3700), daemon.actions);
@@ -129,7 +129,7 @@
 
 TEST_CASE("what is proved of a version that is not known yet counts once it is", "[serving]") {
   ProvedDaemon daemon;
-  daemon.prover.onNews(kFirst, at(3000), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(3000), daemon.actions);
   daemon.prover.onReply(kFirst, replyOf(daemon.takeNumber(), 7, milliseconds(100)), at(3010), daemon.actions);
   REQUIRE(daemon.prover.proof().version == 5);
   REQUIRE(daemon.prover.proof().provenAt == at(1000));
@@ -149,7 +149,7 @@
     REQUIRE(daemon.actions.replies.at(0).reply.age_us() == 2000000);
     return;
   }
-  daemon.prover.onNews(kFirst, at(3000), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(3000), daemon.actions);
   const std::uint64_t number = daemon.takeNumber();
   daemon.prover.onRequest(kSecond, requestOf(9), at(3010), daemon.actions);
   REQUIRE(daemon.actions.replies.empty());
@@ -177,7 +177,7 @@
 
 TEST_CASE("others are asked as the proof grows old, two at a time, less often if all in vain", "[serving]") {
   ProvedDaemon daemon;
-  daemon.prover.onNews(kFirst, at(1900), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(1900), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
   daemon.prover.onTime(at(3879), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
@@ -203,7 +203,7 @@
 TEST_CASE("without tenants nobody is asked, and those who ask are answered", "[serving]") {
   ProvedDaemon daemon;
   daemon.prover.onVersion(6, false);
-  daemon.prover.onNews(kFirst, at(9000), daemon.actions);
+  daemon.prover.onUpdate(kFirst, at(9000), daemon.actions);
   daemon.prover.onTime(at(9000), daemon.actions);
   REQUIRE(daemon.actions.requests.empty());
   REQUIRE_FALSE(daemon.prover.takeReadWish(at(9000)));
@@ -318,7 +318,7 @@
   news.set_after_revision(10);
   news.set_revision(10);
   news.set_reader(kFirst.text());
-  const FollowerActions actions = daemon.follower.onNews(kFirst, news, at(3000));
+  const FollowerActions actions = daemon.follower.onUpdate(kFirst, news, at(3000));
   REQUIRE(daemon.follower.proof().provenAt == before);
   REQUIRE(actions.proofs.requests.size() == 1);
   REQUIRE(actions.proofs.requests[0].to == kFirst);
--- a/tests/serving/coordination/daemon_order_test.cpp
+++ b/tests/serving/coordination/daemon_order_test.cpp
@@ -88,7 +88,7 @@
   const Endpoint root = order.daemons().front().address;
   std::size_t weakForwarders = 0;
   for (const ServingDaemon& daemon : order.daemons()) {
-    const bool forwards = !forwardTo(order, root, daemon.address).empty();
+    const bool forwards = !forwardingChildren(order, root, daemon.address).empty();
     weakForwarders += forwards && daemon.capacity < 50 ? 1 : 0;
   }
   // Ten forward in a tree of 74; eight of them can be strong.
@@ -102,7 +102,7 @@
     const Endpoint root = fleet[*rc::gen::inRange<std::size_t>(0, fleet.size())].address;
     std::map<Endpoint, int> told;
     for (const ServingDaemon& daemon : fleet) {
-      for (const Endpoint& child : forwardTo(order, root, daemon.address)) {
+      for (const Endpoint& child : forwardingChildren(order, root, daemon.address)) {
         ++told[child];
       }
     }
@@ -122,14 +122,14 @@
     election.setMembers(fleet);
     return election;
   };
-  REQUIRE(electionOf(66).reads(at(1)));
-  REQUIRE_FALSE(electionOf(0).reads(at(1)));
+  REQUIRE(electionOf(66).isReader(at(1)));
+  REQUIRE_FALSE(electionOf(0).isReader(at(1)));
   ReaderElection strong = electionOf(70);
-  strong.takeOver();
-  strong.onNews(fleet[0].address);
-  REQUIRE(strong.reads(at(1)));
-  strong.onNews(fleet[66].address);
-  REQUIRE_FALSE(strong.reads(at(1)));
+  strong.becomeReader();
+  strong.onUpdate(fleet[0].address);
+  REQUIRE(strong.isReader(at(1)));
+  strong.onUpdate(fleet[66].address);
+  REQUIRE_FALSE(strong.isReader(at(1)));
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/leaf_lives_test.cpp
+++ b/tests/serving/coordination/leaf_lives_test.cpp
@@ -4,7 +4,7 @@
 
 #include "coordination/serving/leaf_selection.h"
 #include "coordination/serving/request_quarantine.h"
-#include "coordination/serving/serving_knowledge.h"
+#include "coordination/serving/serving_state.h"
 #include "serving/support/serving_fixtures.h"
 
 namespace oakpier::serving {
@@ -22,7 +22,7 @@
 }
 
 /// The only leaf of the view, which must have changed.
-LeafEntry believed(ServingKnowledge& knowledge) {
+LeafEntry believed(ServingState& knowledge) {
   const auto view = knowledge.takeChangedView();
   REQUIRE(view);
   REQUIRE(view->leafs->at("s").size() == 1);
@@ -52,10 +52,10 @@
 }
 
 TEST_CASE("of two lives of a leaf the one that the source told last is believed", "[lives]") {
-  ServingKnowledge knowledge{KnowledgeSettings{}};
+  ServingState knowledge{ServingStateSettings{}};
   REQUIRE(knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(5)));
   REQUIRE(knowledge.onLeaf(bornAt(kSecondBirth), inFirstEpoch(8)));
-  REQUIRE(knowledge.leafsBornAgain() == 1);
+  REQUIRE(knowledge.leafsRestarted() == 1);
   REQUIRE(believed(knowledge).bornAt == kSecondBirth);
   SECTION("a late entry of the earlier life changes nothing") {
     REQUIRE_FALSE(knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(6)));
@@ -70,18 +70,18 @@
   SECTION("a later entry holds though its clock says an earlier birth") {
     REQUIRE(knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(9)));
     REQUIRE(believed(knowledge).bornAt == kFirstBirth);
-    REQUIRE(knowledge.leafsBornAgain() == 2);
+    REQUIRE(knowledge.leafsRestarted() == 2);
   }
   SECTION("the same life that says more is no other life") {
     LeafEntry draining = bornAt(kSecondBirth);
     draining.draining = true;
     REQUIRE(knowledge.onLeaf(draining, inFirstEpoch(9)));
-    REQUIRE(knowledge.leafsBornAgain() == 1);
+    REQUIRE(knowledge.leafsRestarted() == 1);
   }
 }
 
 TEST_CASE("a leaf that starts again while its entry is gone or drains is used", "[lives]") {
-  ServingKnowledge knowledge{KnowledgeSettings{std::chrono::milliseconds(1000)}};
+  ServingState knowledge{ServingStateSettings{std::chrono::milliseconds(1000)}};
   LeafEntry first = bornAt(kFirstBirth);
   SECTION("gone") {
     knowledge.onLeaf(first, inFirstEpoch(1));
@@ -99,7 +99,7 @@
 TEST_CASE(
     "an entry that something else has written ends the use of its leaf at once, until the leaf writes again",
     "[lives]") {
-  ServingKnowledge knowledge{KnowledgeSettings{std::chrono::milliseconds(1000)}};
+  ServingState knowledge{ServingStateSettings{std::chrono::milliseconds(1000)}};
   knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(1));
   knowledge.onLeaf(leafEntry("other", "t", 9), inFirstEpoch(2));
   REQUIRE(knowledge.onLeafUnusable("one", inFirstEpoch(3)));
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("a listing's unusable entry does not keep the leaf listed", "[lives]") {
-  ServingKnowledge knowledge{KnowledgeSettings{Duration(0)}};
+  ServingState knowledge{ServingStateSettings{Duration(0)}};
   knowledge.onLeaf(bornAt(kFirstBirth), inFirstEpoch(1));
   knowledge.onListing({}, inFirstEpoch(5), at(0));
   REQUIRE(knowledge.leafCount() == 0);
--- a/tests/serving/coordination/source_epoch_test.cpp
+++ b/tests/serving/coordination/source_epoch_test.cpp
@@ -24,21 +24,21 @@
     configuration.tenants.push_back(Tenant{"tenant", {"key"}, {}, {}});
     return configuration;
   }
-  return record.gone ? SourceStatement{LeafRemoval{record.key}}
-                     : SourceStatement{leafEntry(record.key, "s", 1)};
+  return record.deleted ? SourceStatement{LeafRemoval{record.key}}
+                        : SourceStatement{leafEntry(record.key, "s", 1)};
 }
 
 SourceRecord version(std::uint64_t number, std::uint64_t revision) {
   return SourceRecord{kConfiguration, std::to_string(number), revision, false};
 }
 
-SourceAnswer told(SourceAnswer::Content content, std::uint64_t epoch) {
-  return SourceAnswer(std::move(content), ToldEpoch::of(epoch));
+SourceAnswer withEpoch(SourceAnswer::Content content, std::uint64_t epoch) {
+  return SourceAnswer(std::move(content), ReportedEpoch::of(epoch));
 }
 
 SourceAnswer page(std::vector<SourceRecord> records, std::uint64_t revision, std::uint64_t epoch,
                   bool more = false) {
-  return told(SourcePage{std::move(records), more, revision}, epoch);
+  return withEpoch(SourcePage{std::move(records), more, revision}, epoch);
 }
 
 /// The reader and one other daemon. The reader knows version 28 at revision 78.
@@ -76,9 +76,11 @@
 
 TEST_CASE("any answer of a newer epoch causes a new listing", "[serving][epoch]") {
   Reader reader;
-  SECTION("history is unavailable") { reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 1)); }
-  SECTION("throttled") { reader.answer(told(SourceFailure::kThrottled, kEpoch + 1)); }
-  SECTION("unavailable") { reader.answer(told(SourceFailure::kUnavailable, kEpoch + 1)); }
+  SECTION("history is unavailable") {
+    reader.answer(withEpoch(SourceFailure::kHistoryUnavailable, kEpoch + 1));
+  }
+  SECTION("throttled") { reader.answer(withEpoch(SourceFailure::kThrottled, kEpoch + 1)); }
+  SECTION("unavailable") { reader.answer(withEpoch(SourceFailure::kUnavailable, kEpoch + 1)); }
   SECTION("changes, because the revision was assigned again") {
     reader.answer(page({version(31, 79)}, 79, kEpoch + 1));
     // These changes do not continue the known position.
@@ -91,9 +93,9 @@
   REQUIRE(reader.follower.counters().epochs.restorations == 1);
   // The configuration stays in effect, and the peer is sent the complete state.
   REQUIRE(reader.follower.configurationVersion() == 28);
-  REQUIRE(actions.news.size() == 1);
-  REQUIRE(actions.news[0].news.whole());
-  REQUIRE(recordsOf(actions.news[0].news).front().value == "28");
+  REQUIRE(actions.updates.size() == 1);
+  REQUIRE(actions.updates[0].update.whole());
+  REQUIRE(recordsOf(actions.updates[0].update).front().value == "28");
   reader.answer(page({version(28, 71)}, 71, kEpoch + 1));
   REQUIRE(reader.lastCall.kind == SourceCall::Kind::kChanges);
   REQUIRE(reader.lastCall.afterRevision == 70);
@@ -102,9 +104,9 @@
 TEST_CASE("answers of an older epoch or without a usable one count as failures", "[serving][epoch]") {
   Reader reader;
   const SourcePage changes{{version(31, 90)}, false, 90};
-  const auto refused =
-      GENERATE_COPY(SourceAnswer(changes, ToldEpoch::of(kEpoch - 1)), SourceAnswer(changes, ToldEpoch{}),
-                    SourceAnswer(changes, ToldEpoch{ToldEpoch::Kind::kMalformed, 0}));
+  const auto refused = GENERATE_COPY(
+      SourceAnswer(changes, ReportedEpoch::of(kEpoch - 1)), SourceAnswer(changes, ReportedEpoch{}),
+      SourceAnswer(changes, ReportedEpoch{ReportedEpoch::Kind::kMalformed, 0}));
   const FollowerActions actions = reader.answer(refused);
   REQUIRE(reader.follower.configurationVersion() == 28);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch, 78});
@@ -121,7 +123,7 @@
 
 TEST_CASE("skipped epochs are counted and have no other effect", "[serving][epoch]") {
   Reader reader;
-  reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 3));
+  reader.answer(withEpoch(SourceFailure::kHistoryUnavailable, kEpoch + 3));
   reader.answer(page({version(28, 20)}, 20, kEpoch + 3));
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 3, 20});
   REQUIRE(reader.follower.counters().epochs.restorations == 1);
@@ -130,7 +132,7 @@
 
 TEST_CASE("a listing is restarted if the source is restored meanwhile", "[serving][epoch]") {
   Reader reader;
-  reader.answer(told(SourceFailure::kHistoryGone, kEpoch));
+  reader.answer(withEpoch(SourceFailure::kHistoryUnavailable, kEpoch));
   reader.answer(page({{"a", "", 5, false}}, 80, kEpoch, true));
   REQUIRE(reader.lastCall.kind == SourceCall::Kind::kList);
   reader.answer(page({version(31, 70)}, 70, kEpoch + 1));
@@ -147,12 +149,12 @@
   Reader reader;
   const Moment due = reader.follower.nextDueAt();
   const auto call = *reader.follower.takeCall(due);
-  SourceNews news;
-  news.set_epoch(kEpoch + 1);
-  news.set_revision(70);
-  news.set_whole(true);
-  news.set_reader(reader.kOther.text());
-  reader.follower.onNews(reader.kOther, news, due);
+  SourceNews update;
+  update.set_epoch(kEpoch + 1);
+  update.set_revision(70);
+  update.set_whole(true);
+  update.set_reader(reader.kOther.text());
+  reader.follower.onUpdate(reader.kOther, update, due);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
   // The changes after revision 78 of the previous epoch lack revision 71 and others.
   reader.follower.onAnswer(call, page({version(31, 79)}, 79, kEpoch + 1), due);
@@ -162,57 +164,57 @@
 
 TEST_CASE("updates of an older epoch are neither applied nor forwarded", "[serving][epoch]") {
   Reader reader;
-  reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 1));
+  reader.answer(withEpoch(SourceFailure::kHistoryUnavailable, kEpoch + 1));
   reader.answer(page({version(28, 60)}, 70, kEpoch + 1));
-  SourceNews news;
-  news.set_epoch(kEpoch);
-  news.set_after_revision(78);
-  news.set_revision(90);
-  news.set_reader(reader.kOther.text());
-  news.set_whole(GENERATE(true, false));
-  SourceRecordNews* record = news.add_records();
+  SourceNews update;
+  update.set_epoch(kEpoch);
+  update.set_after_revision(78);
+  update.set_revision(90);
+  update.set_reader(reader.kOther.text());
+  update.set_whole(GENERATE(true, false));
+  SourceRecordNews* record = update.add_records();
   record->set_key("lost");
   record->set_revision(90);
-  const FollowerActions actions = reader.follower.onNews(reader.kOther, news, reader.now);
+  const FollowerActions actions = reader.follower.onUpdate(reader.kOther, update, reader.now);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
   REQUIRE(reader.follower.leafCount() == 0);
-  REQUIRE(actions.news.empty());
-  REQUIRE_FALSE(actions.ask);
+  REQUIRE(actions.updates.empty());
+  REQUIRE_FALSE(actions.requestFrom);
 }
 
 TEST_CASE("an update of a newer epoch causes a request for the complete state", "[serving][epoch]") {
   Reader reader;
-  SourceNews news;
-  news.set_epoch(kEpoch + 1);
-  news.set_after_revision(70);
-  news.set_revision(71);
-  news.set_reader(reader.kOther.text());
-  const FollowerActions actions = reader.follower.onNews(reader.kOther, news, reader.now);
-  REQUIRE(actions.ask == reader.kOther);
+  SourceNews update;
+  update.set_epoch(kEpoch + 1);
+  update.set_after_revision(70);
+  update.set_revision(71);
+  update.set_reader(reader.kOther.text());
+  const FollowerActions actions = reader.follower.onUpdate(reader.kOther, update, reader.now);
+  REQUIRE(actions.requestFrom == reader.kOther);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch, 78});
   SourceNewsRequest request;
   request.set_known_epoch(kEpoch);
   request.set_known_revision(78);
   SECTION("a daemon of the newer epoch sends all records, even if its revision is lower") {
     Reader other;
-    other.answer(told(SourceFailure::kHistoryGone, kEpoch + 1));
+    other.answer(withEpoch(SourceFailure::kHistoryUnavailable, kEpoch + 1));
     other.answer(page({version(24, 60)}, 70, kEpoch + 1));
-    const auto all = other.follower.onNewsRequest(reader.kSelf, request, other.now);
-    REQUIRE(all->news.whole());
-    reader.follower.onNews(reader.kOther, all->news, reader.now);
+    const auto all = other.follower.onUpdateRequest(reader.kSelf, request, other.now);
+    REQUIRE(all->update.whole());
+    reader.follower.onUpdate(reader.kOther, all->update, reader.now);
     REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
     REQUIRE(reader.follower.configurationVersion() == 28);
   }
   SECTION("a daemon of the older epoch sends no reply to one of the newer") {
     request.set_known_epoch(kEpoch + 1);
     request.set_known_revision(3);
-    REQUIRE_FALSE(reader.follower.onNewsRequest(reader.kOther, request, reader.now));
+    REQUIRE_FALSE(reader.follower.onUpdateRequest(reader.kOther, request, reader.now));
   }
 }
 
 TEST_CASE("a starting daemon is sent the configuration that the source has lost", "[serving][epoch]") {
   Reader reader;
-  reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 1));
+  reader.answer(withEpoch(SourceFailure::kHistoryUnavailable, kEpoch + 1));
   reader.answer(page({version(24, 60)}, 70, kEpoch + 1));
   SourceNewsRequest request;
   SECTION("it has no state") {}
@@ -220,10 +222,10 @@
     request.set_known_epoch(kEpoch + 1);
     request.set_known_revision(70);
   }
-  const auto all = reader.follower.onNewsRequest(reader.kOther, request, reader.now);
-  REQUIRE(recordsOf(all->news).size() == 1);
-  REQUIRE(recordsOf(all->news)[0].value == "28");
-  REQUIRE(recordsOf(all->news)[0].position() == SourcePosition{kEpoch, 78});
+  const auto all = reader.follower.onUpdateRequest(reader.kOther, request, reader.now);
+  REQUIRE(recordsOf(all->update).size() == 1);
+  REQUIRE(recordsOf(all->update)[0].value == "28");
+  REQUIRE(recordsOf(all->update)[0].position() == SourcePosition{kEpoch, 78});
 }
 
 TEST_CASE("a read proves freshness only after the operator had time to rewrite lost records",
@@ -231,11 +233,11 @@
   Reader reader;
   // After a daemon's start, the epoch may have begun just now.
   REQUIRE(reader.follower.proof().version == 0);
-  reader.now += kWrittenAgainWithin;
+  reader.now += kRewriteWindow;
   reader.answer(page({}, 78, kEpoch));
   const Moment provenAt = reader.follower.proof().provenAt;
   REQUIRE(reader.follower.proof().version == 28);
-  reader.answer(told(SourceFailure::kHistoryGone, kEpoch + 1));
+  reader.answer(withEpoch(SourceFailure::kHistoryUnavailable, kEpoch + 1));
   reader.answer(page({version(28, 60)}, 70, kEpoch + 1));
   reader.answer(page({}, 70, kEpoch + 1));
   REQUIRE(reader.follower.proof().provenAt == provenAt);
@@ -245,7 +247,7 @@
     REQUIRE(reader.follower.proof().provenAt > provenAt);
   }
   SECTION("the time to rewrite is over") {
-    reader.now += kWrittenAgainWithin;
+    reader.now += kRewriteWindow;
     reader.answer(page({}, 70, kEpoch + 1));
     REQUIRE(reader.follower.proof().provenAt > provenAt);
   }
@@ -254,17 +256,17 @@
 TEST_CASE("a change of the epoch is logged once, and not by a daemon that has just started",
           "[serving][epoch]") {
   Reader reader;
-  const auto refused = told(SourceFailure::kThrottled, kEpoch + 1);
+  const auto refused = withEpoch(SourceFailure::kThrottled, kEpoch + 1);
   REQUIRE(reader.answer(refused).notices.size() == 1);
   REQUIRE(reader.answer(refused).notices.empty());
   const auto restored = reader.answer(page({version(28, 60)}, 70, kEpoch + 1)).notices;
   REQUIRE(restored.size() == 1);
-  REQUIRE(std::get<SourceRestored>(restored[0]).now == SourcePosition{kEpoch + 1, 70});
+  REQUIRE(std::get<SourceRestored>(restored[0]).current == SourcePosition{kEpoch + 1, 70});
   SourceFollower fresh(reader.kSelf, FollowerSettings{}, interpret, RandomEngine(1));
   const auto call = *fresh.takeCall(at(1000));
   const auto notices = fresh.onAnswer(call, page({}, 78, kEpoch), at(1001)).notices;
   REQUIRE(notices.size() == 1);
-  REQUIRE(std::get<EpochsTold>(notices[0]).first == kEpoch);
+  REQUIRE(std::get<EpochsSupported>(notices[0]).first == kEpoch);
 }
 
 TEST_CASE("a read in epoch 0 proves freshness immediately", "[serving][epoch]") {
@@ -276,18 +278,18 @@
 
 TEST_CASE("updates of one revision in two epochs are packed separately", "[serving][epoch]") {
   NewsPacker packer;
-  SourceNews news;
-  news.set_epoch(kEpoch);
-  news.set_revision(78);
-  news.set_whole(true);
+  SourceNews update;
+  update.set_epoch(kEpoch);
+  update.set_revision(78);
+  update.set_whole(true);
   const std::size_t largeEnough = 5000;
-  news.add_records()->set_value(std::string(largeEnough, 'a'));
+  update.add_records()->set_value(std::string(largeEnough, 'a'));
   PeerEnvelope first;
-  packer.pack(news, first);
-  news.set_epoch(kEpoch + 1);
-  news.mutable_records(0)->set_value(std::string(largeEnough, 'b'));
+  packer.pack(update, first);
+  update.set_epoch(kEpoch + 1);
+  update.mutable_records(0)->set_value(std::string(largeEnough, 'b'));
   PeerEnvelope second;
-  packer.pack(news, second);
+  packer.pack(update, second);
   REQUIRE(unpackNews(second)->records(0).value().front() == 'b');
   REQUIRE(unpackNews(second)->epoch() == kEpoch + 1);
 }
--- a/tests/serving/coordination/source_fleet_test.cpp
+++ b/tests/serving/coordination/source_fleet_test.cpp
@@ -13,16 +13,16 @@
 using std::chrono::seconds;
 
 /// From a change at the source until it is in effect at a daemon, without faults.
-constexpr Duration kQuietBound = milliseconds(500);
+constexpr Duration kUndisturbedBound = milliseconds(500);
 /// The same while readers crash and the source refuses some daemons; the operator's bound is 3 s.
-constexpr Duration kTroubledBound = milliseconds(2900);
+constexpr Duration kFaultBound = milliseconds(2900);
 /// A daemon is checked when it has been running without faults at it or the source for this long.
-constexpr Duration kContact = seconds(4);
+constexpr Duration kStabilizationTime = seconds(4);
 
 /// The operator's bound on the time until a change is in effect at connected daemons.
 constexpr Duration kConfigurationBound = seconds(3);
 /// Time in which writers rewrite what a restored source has lost.
-constexpr Duration kWrittenAgain = seconds(2);
+constexpr Duration kRewriteTime = seconds(2);
 constexpr std::size_t kLeafs = 40;
 
 SourceFleetSettings fleetOf(std::size_t daemons, std::uint64_t random = 1) {
@@ -33,23 +33,25 @@
 }
 
 /// Connected daemons with an older version.
-std::size_t laggards(const SourceFleet& fleet, std::uint64_t version) {
+std::size_t outdatedDaemons(const SourceFleet& fleet, std::uint64_t version) {
   std::size_t count = 0;
   for (std::size_t number = 0; number < fleet.size(); ++number) {
-    const bool inTouch = fleet.alive(number) && fleet.now() - fleet.aliveSince(number) >= kContact;
-    count += inTouch && fleet.versionOf(number) < version ? 1 : 0;
+    const bool connected =
+        fleet.alive(number) && fleet.now() - fleet.aliveSince(number) >= kStabilizationTime;
+    count += connected && fleet.versionOf(number) < version ? 1 : 0;
   }
   return count;
 }
 
 /// Connected daemons whose known evacuation of zone "a" differs from the source's.
-std::size_t wrongAboutEvacuation(const SourceFleet& fleet, bool evacuated) {
+std::size_t daemonsWithWrongEvacuations(const SourceFleet& fleet, bool evacuated) {
   const std::vector<std::string> expected =
       evacuated ? std::vector<std::string>{"a"} : std::vector<std::string>{};
   std::size_t count = 0;
   for (std::size_t number = 0; number < fleet.size(); ++number) {
-    const bool inTouch = fleet.alive(number) && fleet.now() - fleet.aliveSince(number) >= kContact;
-    count += inTouch && fleet.evacuatedZonesOf(number) != expected ? 1 : 0;
+    const bool connected =
+        fleet.alive(number) && fleet.now() - fleet.aliveSince(number) >= kStabilizationTime;
+    count += connected && fleet.evacuatedZonesOf(number) != expected ? 1 : 0;
   }
   return count;
 }
@@ -79,8 +81,8 @@
   const std::size_t before = fleet.calls();
   for (int change = 0; change < 10; ++change) {
     const std::uint64_t version = fleet.changeConfiguration();
-    fleet.runFor(kQuietBound);
-    REQUIRE(laggards(fleet, version) == 0);
+    fleet.runFor(kUndisturbedBound);
+    REQUIRE(outdatedDaemons(fleet, version) == 0);
     fleet.runFor(milliseconds(2500));
   }
   // One daemon reads about once a second, and each change costs a call.
@@ -140,9 +142,9 @@
   for (std::size_t dead = 0; dead < 5; ++dead) {
     fleet.kill(dead);
     const std::uint64_t version = fleet.changeConfiguration();
-    fleet.runFor(kTroubledBound);
+    fleet.runFor(kFaultBound);
     CAPTURE(daemons, dead);
-    REQUIRE(laggards(fleet, version) == 0);
+    REQUIRE(outdatedDaemons(fleet, version) == 0);
   }
 }
 
@@ -154,39 +156,39 @@
   }
   for (int change = 0; change < 3; ++change) {
     const std::uint64_t version = fleet.changeConfiguration();
-    fleet.runFor(kTroubledBound);
-    REQUIRE(laggards(fleet, version) == 0);
+    fleet.runFor(kFaultBound);
+    REQUIRE(outdatedDaemons(fleet, version) == 0);
   }
 }
 
 TEST_CASE("crashes of high-capacity readers delay no version", "[serving]") {
   // Daemons 3, 12, 21 and so on have a high capacity.
-  const std::size_t firstStrong = 3;
+  const std::size_t firstOfHighCapacity = 3;
   const std::size_t period = 9;
   SourceFleetSettings settings = fleetOf(74, 5);
   settings.capacities.assign(period, 12);
-  settings.capacities[firstStrong] = 50;
+  settings.capacities[firstOfHighCapacity] = 50;
   SourceFleet fleet(settings);
   fleet.runFor(seconds(12));
   const std::size_t calls = fleet.calls();
   for (int change = 0; change < 5; ++change) {
     const std::uint64_t version = fleet.changeConfiguration();
-    fleet.runFor(kQuietBound);
-    REQUIRE(laggards(fleet, version) == 0);
+    fleet.runFor(kUndisturbedBound);
+    REQUIRE(outdatedDaemons(fleet, version) == 0);
     fleet.runFor(milliseconds(2500));
   }
   // As without capacities: one daemon reads, and each change costs a call.
   REQUIRE(fleet.calls() - calls <= 30);
-  for (std::size_t dead = firstStrong; dead < fleet.size(); dead += period) {
+  for (std::size_t dead = firstOfHighCapacity; dead < fleet.size(); dead += period) {
     if (dead % 2 == 0) {
       fleet.setRefused(dead, true);
     } else {
       fleet.kill(dead);
     }
     const std::uint64_t version = fleet.changeConfiguration();
-    fleet.runFor(kTroubledBound);
+    fleet.runFor(kFaultBound);
     CAPTURE(dead);
-    REQUIRE(laggards(fleet, version) == 0);
+    REQUIRE(outdatedDaemons(fleet, version) == 0);
   }
 }
 
@@ -200,8 +202,8 @@
   REQUIRE(fleet.calls() - before <= 1200);
   fleet.setSourceDown(false);
   const std::uint64_t version = fleet.changeConfiguration();
-  fleet.runFor(kTroubledBound);
-  REQUIRE(laggards(fleet, version) == 0);
+  fleet.runFor(kFaultBound);
+  REQUIRE(outdatedDaemons(fleet, version) == 0);
 }
 
 TEST_CASE("evacuations and their ends reach every daemon, including those that start meanwhile",
@@ -211,19 +213,19 @@
   SourceFleet fleet(fleetOf(daemons));
   fleet.runFor(seconds(10));
   fleet.setEvacuated("a", true);
-  fleet.runFor(kQuietBound);
-  REQUIRE(wrongAboutEvacuation(fleet, true) == 0);
+  fleet.runFor(kUndisturbedBound);
+  REQUIRE(daemonsWithWrongEvacuations(fleet, true) == 0);
   if (daemons > 1) {
     fleet.kill(daemons / 2);
     fleet.runFor(seconds(1));
     fleet.start(daemons / 2);
-    fleet.runFor(kContact);
-    REQUIRE(wrongAboutEvacuation(fleet, true) == 0);
+    fleet.runFor(kStabilizationTime);
+    REQUIRE(daemonsWithWrongEvacuations(fleet, true) == 0);
   }
   SECTION("it ends") {
     fleet.setEvacuated("a", false);
-    fleet.runFor(kQuietBound);
-    REQUIRE(wrongAboutEvacuation(fleet, false) == 0);
+    fleet.runFor(kUndisturbedBound);
+    REQUIRE(daemonsWithWrongEvacuations(fleet, false) == 0);
   }
   SECTION("it ends while the source is down, which then has no history") {
     fleet.setSourceDown(true);
@@ -231,8 +233,8 @@
     fleet.forgetHistory();
     fleet.runFor(seconds(3));
     fleet.setSourceDown(false);
-    fleet.runFor(kTroubledBound);
-    REQUIRE(wrongAboutEvacuation(fleet, false) == 0);
+    fleet.runFor(kFaultBound);
+    REQUIRE(daemonsWithWrongEvacuations(fleet, false) == 0);
   }
 }
 
@@ -243,12 +245,12 @@
  public:
   explicit GeneratedFleet(const SourceFleetSettings& settings) : fleet_(settings) {}
 
-  void play(int steps) {
+  void run(int steps) {
     fleet_.runFor(seconds(5));
     for (int step = 0; step < steps; ++step) {
-      const int troubles = *rc::gen::inRange(1, 4);
-      for (int trouble = 0; trouble < troubles; ++trouble) {
-        disturb();
+      const int faults = *rc::gen::inRange(1, 4);
+      for (int fault = 0; fault < faults; ++fault) {
+        injectFault();
         fleet_.runFor(milliseconds(*rc::gen::inRange(0, 400)));
       }
       const std::uint64_t version = fleet_.changeConfiguration();
@@ -259,26 +261,27 @@
         // The source loses even the last version, although it was acknowledged.
         restore();
       }
-      recover();
+      repair();
       // A version that was lost is in effect within the bound, counted from when it is rewritten.
-      fleet_.runFor(restored_ ? std::max(kContact, kWrittenAgain + kConfigurationBound) : kContact);
-      RC_ASSERT(laggards(fleet_, version) == 0U);
+      fleet_.runFor(restored_ ? std::max(kStabilizationTime, kRewriteTime + kConfigurationBound)
+                              : kStabilizationTime);
+      RC_ASSERT(outdatedDaemons(fleet_, version) == 0U);
       if (restored_) {
         // An evacuation that the backup lacks stays in effect until it would have been rewritten.
-        fleet_.runFor(kWrittenAgainWithin);
+        fleet_.runFor(kRewriteWindow);
         restored_ = false;
       }
-      RC_ASSERT(wrongAboutEvacuation(fleet_, evacuated) == 0U);
-      RC_ASSERT(fleet_.versionsBack() == 0U);
+      RC_ASSERT(daemonsWithWrongEvacuations(fleet_, evacuated) == 0U);
+      RC_ASSERT(fleet_.versionDecreases() == 0U);
       RC_ASSERT(fleet_.unsoundProofs() == 0U);
     }
-    checkStillFollowing();
+    checkReaderExists();
   }
 
  private:
-  std::size_t drawDaemon() const { return *rc::gen::inRange<std::size_t>(0, fleet_.size()); }
+  std::size_t randomDaemon() const { return *rc::gen::inRange<std::size_t>(0, fleet_.size()); }
 
-  void disturb() {
+  void injectFault() {
     switch (*rc::gen::inRange(0, 10)) {
       case 0:
         fleet_.kill(*rc::gen::inRange<std::size_t>(0, std::min<std::size_t>(6, fleet_.size())));
@@ -296,7 +299,7 @@
         fleet_.forgetHistory();
         break;
       case 5:
-        cutMany();
+        breakLinks();
         break;
       case 6:
         suspendMany();
@@ -320,17 +323,17 @@
     for (int time = 0; time < times; ++time) {
       fleet_.setSourceDown(true);
       fleet_.runFor(milliseconds(*rc::gen::element(0, 50, 300, 2700)));
-      fleet_.restoreSource(milliseconds(*rc::gen::inRange(1, 12'000)), kWrittenAgain);
+      fleet_.restoreSource(milliseconds(*rc::gen::inRange(1, 12'000)), kRewriteTime);
       fleet_.setSourceDown(false);
       fleet_.runFor(milliseconds(*rc::gen::inRange(0, 300)));
     }
   }
 
-  void cutMany() {
+  void breakLinks() {
     for (std::size_t from = 0; from < std::min<std::size_t>(fleet_.size(), 20); ++from) {
       for (std::size_t to = 0; to < fleet_.size(); ++to) {
         if (*rc::gen::inRange(0, 5) == 0) {
-          fleet_.setCut(from, to, true);
+          fleet_.setLinkDown(from, to, true);
         }
       }
     }
@@ -344,7 +347,7 @@
     }
   }
 
-  void wakeAll() {
+  void resumeAll() {
     for (std::size_t number = 0; number < fleet_.size(); ++number) {
       if (fleet_.suspended(number)) {
         fleet_.resume(number);
@@ -369,20 +372,20 @@
 
   /// Starts most crashed daemons, resumes suspended ones, and repairs links and the source, which may still
   /// refuse some daemons.
-  void recover() {
+  void repair() {
     fleet_.setSourceDown(false);
-    fleet_.mendCuts();
-    wakeAll();
+    fleet_.restoreLinks();
+    resumeAll();
     for (std::size_t number = 0; number < fleet_.size(); ++number) {
       if (!fleet_.alive(number) && *rc::gen::inRange(0, 4) != 0) {
         fleet_.start(number);
       }
     }
-    acceptSome();
+    ensureOneAccepted();
   }
 
   /// At least one daemon must be able to read the source.
-  void acceptSome() {
+  void ensureOneAccepted() {
     bool anyAccepted = false;
     for (std::size_t number = 0; number < fleet_.size(); ++number) {
       anyAccepted = anyAccepted || (fleet_.alive(number) && !fleet_.refused(number));
@@ -393,13 +396,13 @@
   }
 
   /// After any faults there is still a reader.
-  void checkStillFollowing() {
+  void checkReaderExists() {
     fleet_.runFor(seconds(10));
     const std::uint64_t version = fleet_.changeConfiguration();
-    fleet_.runFor(kTroubledBound);
-    RC_ASSERT(laggards(fleet_, version) == 0U);
+    fleet_.runFor(kFaultBound);
+    RC_ASSERT(outdatedDaemons(fleet_, version) == 0U);
     // Records that the source has lost are rewritten or expired by now.
-    RC_ASSERT(fleet_.wrongAboutLeafs() == 0U);
+    RC_ASSERT(fleet_.daemonsWithWrongLeafs() == 0U);
   }
 
   SourceFleet fleet_;
@@ -419,7 +422,7 @@
     settings.frameLoss = *rc::gen::element(0.0, 0.01, 0.05);
     settings.firstEpoch = *rc::gen::element<std::uint64_t>(0, 0, 1, 9);
     settings.tenants = *rc::gen::arbitrary<bool>();
-    GeneratedFleet(settings).play(*rc::gen::inRange(1, 5));
+    GeneratedFleet(settings).run(*rc::gen::inRange(1, 5));
   });
 }
 
@@ -437,7 +440,7 @@
     for (std::size_t size = 0; size < sizes; ++size) {
       settings.capacities.push_back(*rc::gen::element(0U, 12U, 12U, 28U, 50U));
     }
-    GeneratedFleet(settings).play(*rc::gen::inRange(1, 5));
+    GeneratedFleet(settings).run(*rc::gen::inRange(1, 5));
   });
 }
 
--- a/tests/serving/coordination/source_follower_test.cpp
+++ b/tests/serving/coordination/source_follower_test.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 /// The value of a leaf's record that no leaf has written.
-const char* const kSpoilt = "spoilt";
+const char* const kInvalid = "invalid";
 
 /// Birth times by leaf id.
-using Births = std::map<std::string, std::uint64_t>;
+using BirthTimes = std::map<std::string, std::uint64_t>;
 
 /// A source with leaf records only, that keeps its history. A record's value is the leaf's birth time.
 class SourceModel {
  public:
-  void put(const std::string& id, std::uint64_t birth) {
-    change({"leaf/" + id, std::to_string(birth), ++revision_, false});
+  void put(const std::string& id, std::uint64_t birthTime) {
+    change({"leaf/" + id, std::to_string(birthTime), ++revision_, false});
   }
-  void spoil(const std::string& id) { change({"leaf/" + id, kSpoilt, ++revision_, false}); }
+  void invalidate(const std::string& id) { change({"leaf/" + id, kInvalid, ++revision_, false}); }
   void remove(const std::string& id) { change({"leaf/" + id, "", ++revision_, true}); }
 
   SourcePage answer(const SourceCall& call) const {
@@ -34,14 +34,14 @@
 
   /// Leafs whose record has not changed after `knownRevision` must be known in the listed incarnation; those
   /// whose record was deleted or invalid by then must not be known.
-  void check(std::uint64_t knownRevision, const Births& believed) const {
+  void check(std::uint64_t knownRevision, const BirthTimes& known) const {
     for (const auto& [key, record] : records_) {
       if (record.revision > knownRevision) {
         continue;
       }
-      const auto found = believed.find(key.substr(key.find('/') + 1));
-      const bool usable = !record.gone && record.value != kSpoilt;
-      RC_ASSERT((found != believed.end()) == usable);
+      const auto found = known.find(key.substr(key.find('/') + 1));
+      const bool usable = !record.deleted && record.value != kInvalid;
+      RC_ASSERT((found != known.end()) == usable);
       if (usable) {
         RC_ASSERT(found->second == std::stoull(record.value));
       }
@@ -60,7 +60,7 @@
     SourcePage page;
     page.revision = revision_;
     for (const auto& [key, record] : records_) {
-      if (key <= after || record.gone) {
+      if (key <= after || record.deleted) {
         continue;
       }
       if (page.records.size() == kPage) {
@@ -87,11 +87,11 @@
 
 SourceStatement interpret(const SourceRecord& record) {
   const std::string id = record.key.substr(record.key.find('/') + 1);
-  if (record.gone) {
+  if (record.deleted) {
     return LeafRemoval{id};
   }
-  if (record.value == kSpoilt) {
-    return UnusableLeaf{id, "spoilt"};
+  if (record.value == kInvalid) {
+    return UnusableLeaf{id, "invalid"};
   }
   LeafEntry entry = leafEntry(id, "s", 1);
   entry.bornAt = std::stoull(record.value);
@@ -100,13 +100,13 @@
 
 /// Some daemons that follow one source and send each other updates. Calls and messages are delayed, lost or
 /// duplicated.
-class FollowerWorld {
+class FollowerSimulation {
  public:
-  explicit FollowerWorld(std::size_t daemons) {
+  explicit FollowerSimulation(std::size_t daemons) {
     for (std::uint32_t number = 0; number < daemons; ++number) {
       members_.emplace_back(number + 1, 1);
       FollowerSettings settings;
-      settings.knowledge.removalDelay = Duration(0);
+      settings.state.removalDelay = Duration(0);
       daemons_.push_back(
           Daemon{SourceFollower(members_.back(), settings, interpret, RandomEngine(number)), {}, {}});
     }
@@ -124,7 +124,8 @@
                                                                          : std::vector<Endpoint>{});
         break;
       case 2:
-        deliver(*rc::gen::element(Fate::kLost, Fate::kArrives, Fate::kArrives, Fate::kArrivesAgain));
+        deliver(*rc::gen::element(Delivery::kLost, Delivery::kDelivered, Delivery::kDelivered,
+                                  Delivery::kDuplicated));
         break;
       default:
         advance(number);
@@ -134,17 +135,17 @@
   }
 
  private:
-  enum class Fate { kLost, kArrives, kArrivesAgain };
+  enum class Delivery { kLost, kDelivered, kDuplicated };
   struct Daemon {
     SourceFollower follower;
     /// The call in progress and the source's answer at the time that the call was made.
     std::optional<std::pair<SourceCall, SourcePage>> call;
-    Births believed;
+    BirthTimes known;
   };
   struct Message {
     Endpoint from;
     Endpoint to;
-    std::optional<SourceNews> news;
+    std::optional<SourceNews> update;
     SourceNewsRequest request;
   };
 
@@ -156,7 +157,7 @@
         source_.remove(id);
         break;
       case 2:
-        source_.spoil(id);
+        source_.invalidate(id);
         break;
       default:
         // Clocks may be set back, so that a later entry may have an earlier birth time.
@@ -175,60 +176,60 @@
     }
     const auto [call, page] = *daemon.call;
     daemon.call.reset();
-    const int fate = *rc::gen::inRange(0, 6);
+    const int outcome = *rc::gen::inRange(0, 6);
     SourceAnswer answer = page;
-    if (fate == 0) {
+    if (outcome == 0) {
       answer = SourceFailure::kNoAnswer;
-    } else if (fate == 1) {
-      answer = SourceFailure::kHistoryGone;
+    } else if (outcome == 1) {
+      answer = SourceFailure::kHistoryUnavailable;
     }
     send(number, daemon.follower.onAnswer(call, answer, now_));
   }
 
   void send(std::size_t number, const FollowerActions& actions) {
-    for (const OutgoingNews& outgoing : actions.news) {
-      messages_.push_back({members_[number], outgoing.to, outgoing.news, {}});
+    for (const OutgoingUpdate& outgoing : actions.updates) {
+      messages_.push_back({members_[number], outgoing.to, outgoing.update, {}});
     }
-    if (actions.ask) {
+    if (actions.requestFrom) {
       SourceNewsRequest request;
       request.set_known_revision(daemons_[number].follower.known().revision);
       request.set_known_epoch(daemons_[number].follower.known().epoch);
-      messages_.push_back({members_[number], *actions.ask, std::nullopt, request});
+      messages_.push_back({members_[number], *actions.requestFrom, std::nullopt, request});
     }
   }
 
-  void deliver(Fate fate) {
+  void deliver(Delivery delivery) {
     if (messages_.empty()) {
       return;
     }
-    const auto place = *rc::gen::inRange<std::size_t>(0, messages_.size());
-    const Message message = messages_[place];
-    if (fate != Fate::kArrivesAgain) {
-      messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(place));
+    const auto index = *rc::gen::inRange<std::size_t>(0, messages_.size());
+    const Message message = messages_[index];
+    if (delivery != Delivery::kDuplicated) {
+      messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(index));
     }
     const std::size_t receiver = message.to.packed() >> 16U;
-    if (fate == Fate::kLost) {
+    if (delivery == Delivery::kLost) {
       return;
     }
     SourceFollower& follower = daemons_[receiver - 1].follower;
-    if (message.news) {
-      send(receiver - 1, follower.onNews(message.from, *message.news, now_));
-    } else if (const auto all = follower.onNewsRequest(message.from, message.request, now_)) {
-      messages_.push_back({message.to, message.from, all->news, {}});
+    if (message.update) {
+      send(receiver - 1, follower.onUpdate(message.from, *message.update, now_));
+    } else if (const auto all = follower.onUpdateRequest(message.from, message.request, now_)) {
+      messages_.push_back({message.to, message.from, all->update, {}});
     }
   }
 
   void check() {
     for (Daemon& daemon : daemons_) {
       if (const auto view = daemon.follower.takeChangedView()) {
-        daemon.believed.clear();
+        daemon.known.clear();
         for (const auto& [service, leafs] : *view->leafs) {
           for (const LeafEntry& leaf : leafs) {
-            daemon.believed[leaf.id] = leaf.bornAt;
+            daemon.known[leaf.id] = leaf.bornAt;
           }
         }
       }
-      source_.check(daemon.follower.known().revision, daemon.believed);
+      source_.check(daemon.follower.known().revision, daemon.known);
     }
   }
 
@@ -243,10 +244,10 @@
 
 TEST_CASE("a daemon's leafs are those that the source held at its known revision", "[serving]") {
   OAKPIER_PROPERTY("followers", [] {
-    FollowerWorld world(*rc::gen::inRange<std::size_t>(1, 5));
+    FollowerSimulation simulation(*rc::gen::inRange<std::size_t>(1, 5));
     const auto steps = *rc::gen::inRange(1, 250);
     for (int step = 0; step < steps; ++step) {
-      world.step();
+      simulation.step();
     }
   });
 }
@@ -263,19 +264,20 @@
     follower.onAnswer(*listing, source.answer(*listing), at(1));
     const Moment next = follower.nextDueAt();
     if (self == members[0]) {
-      REQUIRE(next == at(1) + settings.reader.pace);
+      REQUIRE(next == at(1) + settings.reader.minCallInterval);
     } else {
-      REQUIRE(next > at(1) + settings.reader.pace + settings.reader.wait);
+      REQUIRE(next > at(1) + settings.reader.minCallInterval + settings.reader.maxWait);
     }
     const auto changes = follower.takeCall(next);
     follower.onAnswer(*changes, source.answer(*changes), next);
-    REQUIRE(follower.nextDueAt() == next + settings.reader.pace);
-    SourceNews news;
-    news.set_after_revision(follower.known().revision);
-    news.set_revision(follower.known().revision);
-    news.set_reader(Endpoint(0, 1).text());
-    follower.onNews(Endpoint(0, 1), news, next);
-    const bool stops = follower.nextDueAt() > next + settings.reader.pace + settings.reader.wait;
+    REQUIRE(follower.nextDueAt() == next + settings.reader.minCallInterval);
+    SourceNews update;
+    update.set_after_revision(follower.known().revision);
+    update.set_revision(follower.known().revision);
+    update.set_reader(Endpoint(0, 1).text());
+    follower.onUpdate(Endpoint(0, 1), update, next);
+    const bool stops =
+        follower.nextDueAt() > next + settings.reader.minCallInterval + settings.reader.maxWait;
     REQUIRE(stops == (self != members[0]));
   }
 }
@@ -284,13 +286,13 @@
   const Endpoint self(5, 1);
   SourceFollower follower(self, FollowerSettings{}, interpret, RandomEngine(1));
   follower.start({Endpoint(1, 1), Endpoint(2, 1)}, at(1000));
-  REQUIRE(follower.onTime(at(1000)).ask);
+  REQUIRE(follower.onTime(at(1000)).requestFrom);
   REQUIRE_FALSE(follower.takeCall(at(1000)));
   SECTION("no peer replies") { REQUIRE(follower.takeCall(at(2100))); }
   SECTION("a caller is refused") {
-    follower.onStateWanted(at(1010));
+    follower.onConfigurationNeeded(at(1010));
     REQUIRE(follower.takeCall(at(1010))->kind == SourceCall::Kind::kList);
-    follower.onStateWanted(at(1011));
+    follower.onConfigurationNeeded(at(1011));
     REQUIRE_FALSE(follower.takeCall(at(1011)));
   }
   SECTION("a seed does not wait") {
@@ -310,12 +312,12 @@
   const Moment next = follower.nextDueAt();
   follower.onAnswer(*follower.takeCall(next), SourceFailure::kUnavailable, next);
   REQUIRE(follower.sourceLost());
-  SourceNews news;
-  news.set_after_revision(follower.known().revision);
-  news.set_revision(follower.known().revision);
-  news.set_reader(members[1].text());
-  follower.onNews(members[1], news, next);
-  REQUIRE(follower.nextDueAt() > next + FollowerSettings{}.reader.wait);
+  SourceNews update;
+  update.set_after_revision(follower.known().revision);
+  update.set_revision(follower.known().revision);
+  update.set_reader(members[1].text());
+  follower.onUpdate(members[1], update, next);
+  REQUIRE(follower.nextDueAt() > next + FollowerSettings{}.reader.maxWait);
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/source_restored_test.cpp
+++ b/tests/serving/coordination/source_restored_test.cpp
@@ -16,9 +16,9 @@
 /// The time until a change is in effect at every connected daemon.
 constexpr Duration kConfigurationBound = seconds(3);
 /// Time in which writers rewrite what the source has lost.
-constexpr Duration kWrittenAgain = seconds(2);
+constexpr Duration kRewriteTime = seconds(2);
 
-std::size_t daemonsBelow(const SourceFleet& fleet, std::uint64_t version) {
+std::size_t outdatedDaemons(const SourceFleet& fleet, std::uint64_t version) {
   std::size_t count = 0;
   for (std::size_t number = 0; number < fleet.size(); ++number) {
     count += fleet.alive(number) && fleet.versionOf(number) < version ? 1 : 0;
@@ -43,7 +43,7 @@
   fleet.setSourceDown(true);
   fleet.runFor(milliseconds(2700));
   const std::uint64_t revisionBefore = fleet.sourceRevision();
-  fleet.restoreSource(seconds(11), kWrittenAgain);
+  fleet.restoreSource(seconds(11), kRewriteTime);
   REQUIRE(fleet.sourceRevision() < revisionBefore);
   fleet.setSourceDown(false);
   fleet.runFor(seconds(4));
@@ -58,10 +58,10 @@
     version = fleet.changeConfiguration();
     fleet.runFor(kConfigurationBound);
   }
-  REQUIRE(daemonsBelow(fleet, version) == 0);
+  REQUIRE(outdatedDaemons(fleet, version) == 0);
   version = fleet.changeConfiguration();
   fleet.runFor(kConfigurationBound);
-  REQUIRE(daemonsBelow(fleet, version) == 0);
+  REQUIRE(outdatedDaemons(fleet, version) == 0);
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/source_test.cpp
+++ b/tests/serving/coordination/source_test.cpp
@@ -4,7 +4,7 @@
 
 #include "coordination/serving/forwarding_tree.h"
 #include "coordination/serving/leaf_subset.h"
-#include "coordination/serving/serving_knowledge.h"
+#include "coordination/serving/serving_state.h"
 #include "coordination/serving/source_reader.h"
 #include "coordination/serving/source_relay.h"
 #include "serving/support/serving_fixtures.h"
@@ -29,52 +29,52 @@
 }  // namespace
 
 TEST_CASE("the version of the configuration never decreases", "[serving]") {
-  ServingKnowledge knowledge{KnowledgeSettings{}};
-  REQUIRE(knowledge.onConfiguration(configurationOf(5)).empty());
-  REQUIRE(knowledge.takeChangedView()->configuration->version == 5);
-  REQUIRE(knowledge.onConfiguration(configurationOf(4)).empty());
-  REQUIRE(knowledge.takeChangedView() == nullptr);
-  REQUIRE(knowledge.configurationVersion() == 5);
+  ServingState state{ServingStateSettings{}};
+  REQUIRE(state.onConfiguration(configurationOf(5)).empty());
+  REQUIRE(state.takeChangedView()->configuration->version == 5);
+  REQUIRE(state.onConfiguration(configurationOf(4)).empty());
+  REQUIRE(state.takeChangedView() == nullptr);
+  REQUIRE(state.configurationVersion() == 5);
   auto wrong = std::make_shared<ServingConfiguration>();
   wrong->version = 9;
   wrong->routes = {singleRoute("unknown", true, 1)};
-  REQUIRE_FALSE(knowledge.onConfiguration(wrong).empty());
-  REQUIRE(knowledge.configurationVersion() == 5);
+  REQUIRE_FALSE(state.onConfiguration(wrong).empty());
+  REQUIRE(state.configurationVersion() == 5);
 }
 
 TEST_CASE("a draining leaf is removed immediately, another one after a delay", "[serving]") {
-  ServingKnowledge knowledge{KnowledgeSettings{std::chrono::milliseconds(1000)}};
-  knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(1));
+  ServingState state{ServingStateSettings{std::chrono::milliseconds(1000)}};
+  state.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(1));
   LeafEntry draining = leafEntry("two", "s", 2);
   draining.draining = true;
-  knowledge.onLeaf(draining, inFirstEpoch(2));
-  knowledge.onListing({"one", "two"}, inFirstEpoch(2), at(0));
-  knowledge.onLeafRemoved("two", inFirstEpoch(3), at(0));
-  REQUIRE(knowledge.leafCount() == 1);
-  knowledge.onLeafRemoved("one", inFirstEpoch(4), at(0));
-  REQUIRE(knowledge.leafCount() == 1);
-  REQUIRE(knowledge.nextDueAt() == at(1000));
+  state.onLeaf(draining, inFirstEpoch(2));
+  state.onListing({"one", "two"}, inFirstEpoch(2), at(0));
+  state.onLeafRemoved("two", inFirstEpoch(3), at(0));
+  REQUIRE(state.leafCount() == 1);
+  state.onLeafRemoved("one", inFirstEpoch(4), at(0));
+  REQUIRE(state.leafCount() == 1);
+  REQUIRE(state.nextDueAt() == at(1000));
   SECTION("it is listed again") {
-    REQUIRE(knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(5)));
-    knowledge.onTime(at(2000));
-    REQUIRE(knowledge.leafCount() == 1);
+    REQUIRE(state.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(5)));
+    state.onTime(at(2000));
+    REQUIRE(state.leafCount() == 1);
   }
   SECTION("an older entry does not restore it") {
-    REQUIRE_FALSE(knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(3)));
-    knowledge.onTime(at(1000));
-    REQUIRE(knowledge.leafCount() == 0);
+    REQUIRE_FALSE(state.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(3)));
+    state.onTime(at(1000));
+    REQUIRE(state.leafCount() == 0);
   }
 }
 
 TEST_CASE("leafs of an evacuated zone get no requests until the evacuation ends", "[serving]") {
-  ServingKnowledge knowledge{KnowledgeSettings{}};
+  ServingState state{ServingStateSettings{}};
   LeafEntry elsewhere = leafEntry("two", "s", 2);
   elsewhere.zone = "b";
-  knowledge.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(1));
-  knowledge.onLeaf(elsewhere, inFirstEpoch(2));
+  state.onLeaf(leafEntry("one", "s", 1), inFirstEpoch(1));
+  state.onLeaf(elsewhere, inFirstEpoch(2));
   const auto takingWork = [&] {
     std::set<std::string> ids;
-    const auto view = knowledge.takeChangedView();
+    const auto view = state.takeChangedView();
     for (const LeafEntry& leaf : view->leafs->at("s")) {
       if (leaf.takesWork()) {
         ids.insert(leaf.id);
@@ -82,34 +82,34 @@
     }
     return ids;
   };
-  knowledge.onEvacuation("a", true, inFirstEpoch(5));
+  state.onEvacuation("a", true, inFirstEpoch(5));
   REQUIRE(takingWork() == std::set<std::string>{"two"});
-  REQUIRE(knowledge.evacuatedZones() == std::vector<std::string>{"a"});
+  REQUIRE(state.evacuatedZones() == std::vector<std::string>{"a"});
   SECTION("older records do not end it") {
-    knowledge.onEvacuation("a", false, inFirstEpoch(4));
-    knowledge.onEvacuationListing({}, inFirstEpoch(4), at(0));
-    REQUIRE(knowledge.takeChangedView() == nullptr);
+    state.onEvacuation("a", false, inFirstEpoch(4));
+    state.onEvacuationListing({}, inFirstEpoch(4), at(0));
+    REQUIRE(state.takeChangedView() == nullptr);
   }
   SECTION("it ends") {
-    knowledge.onEvacuation("a", false, inFirstEpoch(6));
+    state.onEvacuation("a", false, inFirstEpoch(6));
     REQUIRE(takingWork() == std::set<std::string>{"one", "two"});
   }
   SECTION("a listing does not name it") {
-    knowledge.onEvacuationListing({"b"}, inFirstEpoch(6), at(0));
+    state.onEvacuationListing({"b"}, inFirstEpoch(6), at(0));
     REQUIRE(takingWork() == std::set<std::string>{"one", "two"});
   }
   SECTION("a leaf that starts in the zone gets none either") {
-    knowledge.onLeaf(leafEntry("three", "s", 3), inFirstEpoch(6));
+    state.onLeaf(leafEntry("three", "s", 3), inFirstEpoch(6));
     REQUIRE(takingWork() == std::set<std::string>{"two"});
   }
 }
 
 TEST_CASE("a listing removes leafs that it does not name, except newer ones", "[serving]") {
-  ServingKnowledge knowledge{KnowledgeSettings{Duration(0)}};
-  knowledge.onLeaf(leafEntry("old", "s", 1), inFirstEpoch(1));
-  knowledge.onLeaf(leafEntry("new", "s", 2), inFirstEpoch(9));
-  knowledge.onListing({}, inFirstEpoch(5), at(0));
-  REQUIRE(knowledge.leafCount() == 1);
+  ServingState state{ServingStateSettings{Duration(0)}};
+  state.onLeaf(leafEntry("old", "s", 1), inFirstEpoch(1));
+  state.onLeaf(leafEntry("new", "s", 2), inFirstEpoch(9));
+  state.onListing({}, inFirstEpoch(5), at(0));
+  REQUIRE(state.leafCount() == 1);
 }
 
 TEST_CASE("a listing is followed by the changes since its first page", "[serving]") {
@@ -132,7 +132,7 @@
   reader.onPage(pageOf(10), 0, at(0));
   Moment now = reader.nextCallAt();
   REQUIRE(reader.takeCall(now));
-  reader.onFailure(SourceFailure::kHistoryGone, std::chrono::milliseconds(1000), now);
+  reader.onFailure(SourceFailure::kHistoryUnavailable, std::chrono::milliseconds(1000), now);
   for (int failures = 0; failures < 20; ++failures) {
     REQUIRE(reader.nextCallAt() - now <= std::chrono::milliseconds(1000));
     REQUIRE(reader.nextCallAt() - now >= std::chrono::milliseconds(75));
@@ -147,16 +147,16 @@
   reader.takeCall(at(0));
   reader.onPage(pageOf(10), 0, at(0));
   const SourceReaderSettings settings;
-  reader.onNews(inFirstEpoch(20));
-  reader.leaveToOther(at(100), std::chrono::milliseconds(200));
-  REQUIRE(reader.nextCallAt() == at(300) + settings.pace + settings.wait);
+  reader.onUpdate(inFirstEpoch(20));
+  reader.awaitUpdate(at(100), std::chrono::milliseconds(200));
+  REQUIRE(reader.nextCallAt() == at(300) + settings.minCallInterval + settings.maxWait);
   const auto overdue = reader.takeCall(reader.nextCallAt());
   REQUIRE(overdue->afterRevision == 20);
   // Peers wait for the answer too, so that the source must not hold the call open.
   REQUIRE(overdue->wait.count() == 0);
   reader.onPage(pageOf(20), 0, at(2000));
-  REQUIRE(reader.takeCall(reader.nextCallAt())->wait == settings.wait);
-  reader.onNews(inFirstEpoch(15));
+  REQUIRE(reader.takeCall(reader.nextCallAt())->wait == settings.maxWait);
+  reader.onUpdate(inFirstEpoch(15));
   REQUIRE(reader.known() == inFirstEpoch(20));
 }
 
@@ -168,17 +168,17 @@
       members.emplace_back(number * 7 + 1, 1);
     }
     const Endpoint root = members[*rc::gen::inRange<std::size_t>(0, members.size())];
-    std::map<Endpoint, int> told;
+    std::map<Endpoint, int> received;
     for (const Endpoint& member : members) {
-      const auto children = forwardTo(members, root, member);
+      const auto children = forwardingChildren(members, root, member);
       RC_ASSERT(children.size() <= kForwardingDegree);
       for (const Endpoint& child : children) {
-        ++told[child];
+        ++received[child];
       }
     }
-    RC_ASSERT(told.size() == members.size() - 1);
-    RC_ASSERT(told.count(root) == 0U);
-    for (const auto& [member, times] : told) {
+    RC_ASSERT(received.size() == members.size() - 1);
+    RC_ASSERT(received.count(root) == 0U);
+    for (const auto& [member, times] : received) {
       RC_ASSERT(times == 1);
     }
   });
@@ -192,29 +192,29 @@
   }
   SourceRelay relay(members[1]);
   relay.setMembers(members);
-  SourceNews news;
-  news.set_after_revision(8);
-  news.set_revision(8);
-  news.set_reader(root.text());
-  const std::size_t children = forwardTo(members, root, members[1]).size();
+  SourceNews update;
+  update.set_after_revision(8);
+  update.set_revision(8);
+  update.set_reader(root.text());
+  const std::size_t children = forwardingChildren(members, root, members[1]).size();
   REQUIRE(children > 0);
-  REQUIRE(relay.onNews(root, news, inFirstEpoch(8), at(1000)).news.size() == children);
-  REQUIRE(relay.onNews(root, news, inFirstEpoch(8), at(1001)).news.empty());
-  REQUIRE(relay.onNews(root, news, inFirstEpoch(8), at(2000)).news.size() == children);
-  REQUIRE(relay.freshAt() == at(2000));
+  REQUIRE(relay.onUpdate(root, update, inFirstEpoch(8), at(1000)).updates.size() == children);
+  REQUIRE(relay.onUpdate(root, update, inFirstEpoch(8), at(1001)).updates.empty());
+  REQUIRE(relay.onUpdate(root, update, inFirstEpoch(8), at(2000)).updates.size() == children);
+  REQUIRE(relay.confirmedAt() == at(2000));
 }
 
 TEST_CASE("the rate of complete states sent to peers is limited", "[serving]") {
   SourceRelay relay(Endpoint(1, 1));
-  std::size_t told = 0;
+  std::size_t received = 0;
   for (std::uint32_t number = 2; number < 102; ++number) {
-    told += relay.missedBy(Endpoint(number, 1), inFirstEpoch(0), inFirstEpoch(8), at(1000)) ? 1 : 0;
+    received += relay.catchUpFor(Endpoint(number, 1), inFirstEpoch(0), inFirstEpoch(8), at(1000)) ? 1 : 0;
   }
-  REQUIRE(told > 0);
-  REQUIRE(told < 30);
-  REQUIRE(relay.missedBy(Endpoint(200, 1), inFirstEpoch(0), inFirstEpoch(8), at(2000)));
+  REQUIRE(received > 0);
+  REQUIRE(received < 30);
+  REQUIRE(relay.catchUpFor(Endpoint(200, 1), inFirstEpoch(0), inFirstEpoch(8), at(2000)));
   // Changes are small and not limited.
-  REQUIRE(relay.missedBy(Endpoint(201, 1), inFirstEpoch(7), inFirstEpoch(8), at(1001)));
+  REQUIRE(relay.catchUpFor(Endpoint(201, 1), inFirstEpoch(7), inFirstEpoch(8), at(1001)));
 }
 
 TEST_CASE("a daemon with a gap requests the complete state and can apply it", "[serving]") {
@@ -224,47 +224,47 @@
   SourceRelay receiver(other);
   reader.setMembers(std::vector<Endpoint>{one, other});
   receiver.setMembers(std::vector<Endpoint>{one, other});
-  reader.setFreshAt(at(1000));
-  reader.keep({"servers/x", "value", 7, false});
+  reader.setConfirmedAt(at(1000));
+  reader.store({"servers/x", "value", 7, false});
   const auto sent = reader.onRead(5, inFirstEpoch(8), {{"servers/x", "value", 7, false}}, at(1100));
-  REQUIRE(sent.news.size() == 1);
-  const SourceNews news = sent.news[0].news;
-  REQUIRE(news.age_us() == 100'000);
+  REQUIRE(sent.updates.size() == 1);
+  const SourceNews update = sent.updates[0].update;
+  REQUIRE(update.age_us() == 100'000);
 
   SECTION("there is no gap") {
-    const auto taken = receiver.onNews(one, news, inFirstEpoch(6), at(5000));
+    const auto taken = receiver.onUpdate(one, update, inFirstEpoch(6), at(5000));
     REQUIRE(taken.accepted);
-    REQUIRE(receiver.freshAt() == at(4900));
+    REQUIRE(receiver.confirmedAt() == at(4900));
   }
   SECTION("there is a gap") {
-    const auto refused = receiver.onNews(one, news, inFirstEpoch(3), at(5000));
+    const auto refused = receiver.onUpdate(one, update, inFirstEpoch(3), at(5000));
     REQUIRE_FALSE(refused.accepted);
-    REQUIRE(*refused.ask == one);
-    const auto whole = reader.missedBy(other, inFirstEpoch(0), inFirstEpoch(8), at(1200));
-    REQUIRE(whole->news.whole());
-    REQUIRE(receiver.onNews(one, whole->news, inFirstEpoch(3), at(5100)).accepted);
-    REQUIRE(recordsOf(whole->news).size() == 1);
+    REQUIRE(*refused.requestFrom == one);
+    const auto whole = reader.catchUpFor(other, inFirstEpoch(0), inFirstEpoch(8), at(1200));
+    REQUIRE(whole->update.whole());
+    REQUIRE(receiver.onUpdate(one, whole->update, inFirstEpoch(3), at(5100)).accepted);
+    REQUIRE(recordsOf(whole->update).size() == 1);
   }
   SECTION("the known position is later") {
-    REQUIRE_FALSE(receiver.onNews(one, news, inFirstEpoch(9), at(5000)).accepted);
+    REQUIRE_FALSE(receiver.onUpdate(one, update, inFirstEpoch(9), at(5000)).accepted);
   }
 }
 
 TEST_CASE("leafs whose records are deleted for a moment stay in use", "[serving]") {
-  KnowledgeSettings settings;
+  ServingStateSettings settings;
   settings.removalDelay = removalDelayFor(std::chrono::seconds(5));
-  ServingKnowledge knowledge(settings);
-  knowledge.onLeaf(leafEntry("x", "s", 1), inFirstEpoch(1));
-  knowledge.onLeaf(leafEntry("y", "s", 2), inFirstEpoch(2));
-  knowledge.onListing({"x", "y"}, inFirstEpoch(2), at(0));
-  knowledge.onLeafRemoved("x", inFirstEpoch(3), at(0));
-  knowledge.onLeafRemoved("y", inFirstEpoch(4), at(0));
-  knowledge.onTime(at(2400));
-  REQUIRE(knowledge.leafCount() == 2);
-  knowledge.onLeaf(leafEntry("x", "s", 1), inFirstEpoch(5));
-  knowledge.onTime(at(2600));
+  ServingState state(settings);
+  state.onLeaf(leafEntry("x", "s", 1), inFirstEpoch(1));
+  state.onLeaf(leafEntry("y", "s", 2), inFirstEpoch(2));
+  state.onListing({"x", "y"}, inFirstEpoch(2), at(0));
+  state.onLeafRemoved("x", inFirstEpoch(3), at(0));
+  state.onLeafRemoved("y", inFirstEpoch(4), at(0));
+  state.onTime(at(2400));
+  REQUIRE(state.leafCount() == 2);
+  state.onLeaf(leafEntry("x", "s", 1), inFirstEpoch(5));
+  state.onTime(at(2600));
   // "y" was not listed again.
-  REQUIRE(knowledge.leafCount() == 1);
+  REQUIRE(state.leafCount() == 1);
 }
 
 TEST_CASE("the removal delay is at most half of the operator's bound", "[serving]") {
@@ -279,29 +279,30 @@
 
 TEST_CASE("a daemon that lacks a few changes is sent only these", "[serving]") {
   SourceRelay relay(Endpoint(1, 1));
-  const Endpoint asker(2, 1);
+  const Endpoint requester(2, 1);
   for (std::uint64_t revision = 1; revision <= 100; ++revision) {
-    relay.keep({"servers/" + std::to_string(revision), "value", revision, false});
+    relay.store({"servers/" + std::to_string(revision), "value", revision, false});
   }
-  relay.keep({"servers/7", "", 101, true});
-  relay.keep({"servers/8", "", 102, true});
-  relay.keep({"servers/8", "again", 103, false});
+  relay.store({"servers/7", "", 101, true});
+  relay.store({"servers/8", "", 102, true});
+  relay.store({"servers/8", "again", 103, false});
 
-  const SourceNews missed = relay.missedBy(asker, inFirstEpoch(99), inFirstEpoch(103), at(1000))->news;
+  const SourceNews missed =
+      relay.catchUpFor(requester, inFirstEpoch(99), inFirstEpoch(103), at(1000))->update;
   REQUIRE_FALSE(missed.whole());
   REQUIRE(missed.after_revision() == 99);
   REQUIRE(missed.revision() == 103);
   REQUIRE(missed.reader().empty());
-  std::set<std::string> told;
+  std::set<std::string> received;
   for (const SourceRecord& record : recordsOf(missed)) {
-    told.insert(record.key + (record.gone ? " gone" : ""));
+    received.insert(record.key + (record.deleted ? " deleted" : ""));
   }
-  REQUIRE(told == std::set<std::string>{"servers/100", "servers/7 gone", "servers/8"});
+  REQUIRE(received == std::set<std::string>{"servers/100", "servers/7 deleted", "servers/8"});
 
   // After a listing, earlier deletions are not known.
-  relay.dropUnlisted({"servers/100"}, inFirstEpoch(103));
-  REQUIRE(relay.missedBy(asker, inFirstEpoch(99), inFirstEpoch(104), at(1000))->news.whole());
-  REQUIRE_FALSE(relay.missedBy(asker, inFirstEpoch(103), inFirstEpoch(104), at(1000))->news.whole());
+  relay.removeUnlisted({"servers/100"}, inFirstEpoch(103));
+  REQUIRE(relay.catchUpFor(requester, inFirstEpoch(99), inFirstEpoch(104), at(1000))->update.whole());
+  REQUIRE_FALSE(relay.catchUpFor(requester, inFirstEpoch(103), inFirstEpoch(104), at(1000))->update.whole());
 }
 
 TEST_CASE("an update of one revision is forwarded once", "[serving]") {
@@ -311,12 +312,12 @@
   }
   SourceRelay relay(members[1]);
   relay.setMembers(members);
-  SourceNews news;
-  news.set_after_revision(1);
-  news.set_revision(2);
-  news.set_reader(members[0].text());
-  REQUIRE(relay.onNews(members[0], news, inFirstEpoch(1), at(1)).news.size() == kForwardingDegree);
-  REQUIRE(relay.onNews(members[5], news, inFirstEpoch(2), at(2)).news.empty());
+  SourceNews update;
+  update.set_after_revision(1);
+  update.set_revision(2);
+  update.set_reader(members[0].text());
+  REQUIRE(relay.onUpdate(members[0], update, inFirstEpoch(1), at(1)).updates.size() == kForwardingDegree);
+  REQUIRE(relay.onUpdate(members[5], update, inFirstEpoch(2), at(2)).updates.empty());
 }
 
 TEST_CASE("connections to a leaf stay within its limit for any number of daemons", "[serving]") {
--- a/tests/serving/platform/leaf_entries_test.cpp
+++ b/tests/serving/platform/leaf_entries_test.cpp
@@ -91,11 +91,11 @@
       added->set_key(record.key);
       added->set_value(record.value);
       added->set_revision(record.revision);
-      added->set_gone(record.gone);
+      added->set_gone(record.deleted);
     }
     SourceNews received;
     RC_ASSERT(received.ParseFromString(news.SerializeAsString()));
-    follower_.onNews(Endpoint(2, 1), received, now_);
+    follower_.onUpdate(Endpoint(2, 1), received, now_);
   }
   /// Ids of all leafs that may be used.
   std::set<std::string> leafs() {
@@ -116,7 +116,7 @@
  private:
   static FollowerSettings settings() {
     FollowerSettings settings;
-    settings.knowledge.removalDelay = Duration(0);
+    settings.state.removalDelay = Duration(0);
     return settings;
   }
   void answer(const SourceCall& call, const json& body) {
@@ -307,7 +307,7 @@
                            json({{"tls_key", "k"}, {"revision", 0}, {"value", ""}})}) {
     for (const auto& page : {pageOf(item, "items", kList), pageOf(item, "events", kChanges)}) {
       REQUIRE(page.records.size() == 1);
-      REQUIRE(page.unreadable == 1);
+      REQUIRE(page.malformed == 1);
       REQUIRE(page.records[0].key == "servers/i-1");
     }
   }
@@ -322,7 +322,7 @@
   }
   const auto notGone =
       pageOf({{"tls_key", "servers/i-2"}, {"revision", 5}, {"gone", "yes"}}, "events", kChanges);
-  REQUIRE_FALSE(notGone.records[0].gone);
+  REQUIRE_FALSE(notGone.records[0].deleted);
   REQUIRE(std::holds_alternative<UnusableLeaf>(dialect.interpret(notGone.records[0])));
 }
 
--- a/tests/serving/platform/platform_test.cpp
+++ b/tests/serving/platform/platform_test.cpp
@@ -273,13 +273,13 @@
   const auto events = std::get<SourcePage>(
       dialect.decode(changes, okReply(R"({"events":[{"tls_key":"k","revision":5,"gone":true}],"at":531})"))
           .content);
-  REQUIRE(events.records[0].gone);
+  REQUIRE(events.records[0].deleted);
   const auto failureOf = [&](unsigned status) {
     HttpReply reply;
     reply.status = status;
     return std::get<SourceFailure>(dialect.decode(changes, reply).content);
   };
-  REQUIRE(failureOf(410) == SourceFailure::kHistoryGone);
+  REQUIRE(failureOf(410) == SourceFailure::kHistoryUnavailable);
   REQUIRE(failureOf(429) == SourceFailure::kThrottled);
   REQUIRE(failureOf(503) == SourceFailure::kUnavailable);
   REQUIRE(failureOf(404) == SourceFailure::kNoAnswer);
@@ -299,19 +299,19 @@
   };
   for (const unsigned status : {200U, 404U, 410U, 429U, 503U}) {
     CAPTURE(status);
-    const ToldEpoch epoch = told(status, {{"store-era", "7"}});
-    REQUIRE(epoch.kind == ToldEpoch::Kind::kTold);
+    const ReportedEpoch epoch = told(status, {{"store-era", "7"}});
+    REQUIRE(epoch.kind == ReportedEpoch::Kind::kReported);
     REQUIRE(epoch.epoch == 7);
-    REQUIRE(told(status, {}).kind == ToldEpoch::Kind::kMissing);
+    REQUIRE(told(status, {}).kind == ReportedEpoch::Kind::kMissing);
   }
-  REQUIRE(told(200, {{"Store-Era", "0"}}).kind == ToldEpoch::Kind::kTold);
+  REQUIRE(told(200, {{"Store-Era", "0"}}).kind == ReportedEpoch::Kind::kReported);
   REQUIRE(told(200, {{"Store-Era", "18446744073709551615"}}).epoch == 18446744073709551615U);
   REQUIRE(told(200, {{"Store-Era", "7"}, {"Store-Era", "7"}}).epoch == 7);
   for (const char* malformed : {"", " ", "-1", "+7", "7.0", "7 8", "0x7", "seven", "18446744073709551616"}) {
     CAPTURE(malformed);
-    REQUIRE(told(200, {{"Store-Era", malformed}}).kind == ToldEpoch::Kind::kMalformed);
+    REQUIRE(told(200, {{"Store-Era", malformed}}).kind == ReportedEpoch::Kind::kMalformed);
   }
-  REQUIRE(told(200, {{"Store-Era", "7"}, {"Store-Era", "8"}}).kind == ToldEpoch::Kind::kMalformed);
+  REQUIRE(told(200, {{"Store-Era", "7"}, {"Store-Era", "8"}}).kind == ReportedEpoch::Kind::kMalformed);
 }
 
 }  // namespace oakpier::serving::platform
--- a/tests/serving/programs/peer_link_test.cpp
+++ b/tests/serving/programs/peer_link_test.cpp
@@ -12,8 +12,8 @@
 
 PeerLink::Handlers quietHandlers() {
   PeerLink::Handlers handlers;
-  handlers.onNews = [](const Endpoint&, const SourceNews&) {};
-  handlers.onNewsRequest = [](const Endpoint&, const SourceNewsRequest&) {};
+  handlers.onUpdate = [](const Endpoint&, const SourceNews&) {};
+  handlers.onUpdateRequest = [](const Endpoint&, const SourceNewsRequest&) {};
   handlers.onProofRequest = [](const Endpoint&, const ConfigurationProofRequest&) {};
   handlers.onProofReply = [](const Endpoint&, const ConfigurationProofReply&) {};
   handlers.onMembers = [](const DaemonGroup&) {};
--- a/tests/serving/support/source_fleet.cpp
+++ b/tests/serving/support/source_fleet.cpp
@@ -17,13 +17,13 @@
 constexpr Duration kCallTimeout = std::chrono::seconds(1);
 constexpr Duration kMemberPeriod = std::chrono::milliseconds(250);
 /// Maximum delays until daemons learn that a peer has started or crashed.
-constexpr Duration kLongestBirthLag = std::chrono::milliseconds(2500);
-constexpr Duration kLongestDeathLag = std::chrono::seconds(9);
-constexpr Duration kLongestStart = std::chrono::milliseconds(300);
-constexpr std::uint64_t kLagSteps = 1000;
+constexpr Duration kMaxJoinDelay = std::chrono::milliseconds(2500);
+constexpr Duration kMaxCrashDelay = std::chrono::seconds(9);
+constexpr Duration kMaxStartDelay = std::chrono::milliseconds(300);
+constexpr std::uint64_t kDelaySteps = 1000;
 
 /// The clocks of daemons differ by up to this.
-constexpr Duration kClockSpread = std::chrono::seconds(1000);
+constexpr Duration kMaxClockOffset = std::chrono::seconds(1000);
 
 SourceStatement interpret(const SourceRecord& record, bool tenants) {
   if (record.key == kConfigurationKey) {
@@ -36,9 +36,9 @@
   }
   if (record.key.compare(0, kEvacuationPrefix.size(), kEvacuationPrefix) == 0) {
     const std::string zone = record.key.substr(kEvacuationPrefix.size());
-    return record.gone ? SourceStatement{ZoneEvacuationEnd{zone}} : SourceStatement{ZoneEvacuation{zone}};
+    return record.deleted ? SourceStatement{ZoneEvacuationEnd{zone}} : SourceStatement{ZoneEvacuation{zone}};
   }
-  if (record.gone) {
+  if (record.deleted) {
     return LeafRemoval{record.key};
   }
   LeafEntry entry;
@@ -60,7 +60,7 @@
     daemon.address = Endpoint(number + 1, 7020);
     daemon.capacity =
         settings.capacities.empty() ? 0 : settings.capacities[number % settings.capacities.size()];
-    daemon.ahead = Duration(static_cast<std::int64_t>(drawBelow(kClockSpread.count(), random_)));
+    daemon.clockOffset = Duration(static_cast<std::int64_t>(drawBelow(kMaxClockOffset.count(), random_)));
     numbers_[daemon.address] = number;
     daemons_.push_back(std::move(daemon));
   }
@@ -68,7 +68,7 @@
     seeds_.push_back(daemons_[drawBelow(daemons_.size(), random_)].address);
   }
   for (std::size_t number = 0; number < daemons_.size(); ++number) {
-    const auto delay = static_cast<std::int64_t>(drawBelow(kLongestStart.count(), random_));
+    const auto delay = static_cast<std::int64_t>(drawBelow(kMaxStartDelay.count(), random_));
     at(now_ + Duration(delay), [this, number] { start(number); });
   }
   at(now_ + kMemberPeriod, [this] { refreshMembers(); });
@@ -86,10 +86,10 @@
   now_ = end;
 }
 
-void SourceFleet::change(const std::string& key, const std::string& value, bool gone) {
-  const SourceRecord record{key, value, ++revision_, gone};
-  written_[key] = record;
-  if (gone) {
+void SourceFleet::change(const std::string& key, const std::string& value, bool deleted) {
+  const SourceRecord record{key, value, ++revision_, deleted};
+  lastWrites_[key] = record;
+  if (deleted) {
     records_.erase(key);
   } else {
     records_[key] = record;
@@ -98,23 +98,24 @@
   if (sourceDown_) {
     return;
   }
-  std::vector<Waiting> ended;
-  ended.swap(waiting_);
-  for (const Waiting& waiting : ended) {
-    answer(waiting.daemon, waiting.life, waiting.call, told(contentFor(waiting.call)), kSourceDelay / 2);
+  std::vector<HeldCall> ended;
+  ended.swap(heldCalls_);
+  for (const HeldCall& heldCall : ended) {
+    answer(heldCall.daemon, heldCall.incarnation, heldCall.call, withEpoch(contentFor(heldCall.call)),
+           kSourceDelay / 2);
   }
 }
 
-SourceAnswer SourceFleet::told(SourceAnswer::Content content) const {
-  return epoch_ == 0 ? SourceAnswer(std::move(content), ToldEpoch{})
-                     : SourceAnswer(std::move(content), ToldEpoch::of(epoch_));
+SourceAnswer SourceFleet::withEpoch(SourceAnswer::Content content) const {
+  return epoch_ == 0 ? SourceAnswer(std::move(content), ReportedEpoch{})
+                     : SourceAnswer(std::move(content), ReportedEpoch::of(epoch_));
 }
 
-void SourceFleet::restoreSource(Duration age, Duration writtenAgainWithin) {
-  for (const Waiting& waiting : waiting_) {
-    answer(waiting.daemon, waiting.life, waiting.call, SourceFailure::kNoAnswer, Duration(0));
+void SourceFleet::restoreSource(Duration age, Duration rewriteWindow) {
+  for (const HeldCall& heldCall : heldCalls_) {
+    answer(heldCall.daemon, heldCall.incarnation, heldCall.call, SourceFailure::kNoAnswer, Duration(0));
   }
-  waiting_.clear();
+  heldCalls_.clear();
   while (!history_.empty() && history_.back().madeAt > now_ - age) {
     history_.pop_back();
   }
@@ -122,7 +123,7 @@
   revision_ = std::min(revision_, historyFrom_);
   for (const Change& change : history_) {
     revision_ = change.record.revision;
-    if (change.record.gone) {
+    if (change.record.deleted) {
       records_.erase(change.record.key);
     } else {
       records_[change.record.key] = change.record;
@@ -130,19 +131,20 @@
   }
   historyFrom_ = std::min(historyFrom_, revision_);
   ++epoch_;
-  for (const auto& [key, written] : written_) {
-    const auto delay = static_cast<std::int64_t>(drawBelow(writtenAgainWithin.count() + 1, random_));
-    at(now_ + Duration(delay), [this, key = key] { writeAgain(key); });
+  for (const auto& [key, lastWrite] : lastWrites_) {
+    const auto delay = static_cast<std::int64_t>(drawBelow(rewriteWindow.count() + 1, random_));
+    at(now_ + Duration(delay), [this, key = key] { rewrite(key); });
   }
 }
 
-void SourceFleet::writeAgain(const std::string& key) {
-  const SourceRecord& written = written_.at(key);
+void SourceFleet::rewrite(const std::string& key) {
+  const SourceRecord& lastWrite = lastWrites_.at(key);
   const auto listed = records_.find(key);
-  const bool asWritten =
-      listed == records_.end() ? written.gone : !written.gone && listed->second.value == written.value;
-  if (!asWritten) {
-    change(key, written.value, written.gone);
+  const bool unchanged = listed == records_.end()
+                             ? lastWrite.deleted
+                             : !lastWrite.deleted && listed->second.value == lastWrite.value;
+  if (!unchanged) {
+    change(key, lastWrite.value, lastWrite.deleted);
   }
 }
 
@@ -156,7 +158,7 @@
 
 void SourceFleet::removeLeaf(std::size_t number) { change("leaf/" + std::to_string(number), "", true); }
 
-std::size_t SourceFleet::wrongAboutLeafs() const {
+std::size_t SourceFleet::daemonsWithWrongLeafs() const {
   std::set<std::string> listed;
   for (const auto& [key, record] : records_) {
     if (key.compare(0, kLeafPrefix.size(), kLeafPrefix) == 0) {
@@ -166,8 +168,8 @@
   std::size_t wrong = 0;
   for (const Daemon& daemon : daemons_) {
     if (daemon.alive) {
-      const auto believed = daemon.follower->leafIds();
-      wrong += believed == listed ? 0 : 1;
+      const auto known = daemon.follower->leafIds();
+      wrong += known == listed ? 0 : 1;
     }
   }
   return wrong;
@@ -183,12 +185,12 @@
     return;
   }
   daemon.alive = true;
-  ++daemon.life;
+  ++daemon.incarnation;
   daemon.startedAt = now_;
   daemon.versions.clear();
   daemon.wakeAt = kNever;
   daemon.suspended = false;
-  daemon.lying.clear();
+  daemon.deferred.clear();
   const auto interpreter = [tenants = settings_.tenants](const SourceRecord& record) {
     return interpret(record, tenants);
   };
@@ -206,10 +208,10 @@
 void SourceFleet::setSourceDown(bool down) {
   sourceDown_ = down;
   if (down) {
-    for (const Waiting& waiting : waiting_) {
-      answer(waiting.daemon, waiting.life, waiting.call, SourceFailure::kNoAnswer, Duration(0));
+    for (const HeldCall& heldCall : heldCalls_) {
+      answer(heldCall.daemon, heldCall.incarnation, heldCall.call, SourceFailure::kNoAnswer, Duration(0));
     }
-    waiting_.clear();
+    heldCalls_.clear();
   }
 }
 
@@ -227,20 +229,20 @@
   if (!daemon.alive || daemon.suspended) {
     return;
   }
-  carryOut(number, daemon.follower->onTime(clockOf(number)));
+  apply(number, daemon.follower->onTime(clockOf(number)));
   if (const auto due = daemon.follower->takeCall(clockOf(number))) {
     call(number, *due);
   }
   const std::uint64_t version = daemon.follower->configurationVersion();
-  versionsBack_ += !daemon.versions.empty() && version < daemon.versions.rbegin()->first ? 1 : 0;
+  versionDecreases_ += !daemon.versions.empty() && version < daemon.versions.rbegin()->first ? 1 : 0;
   daemon.versions.try_emplace(version, now_);
   checkProof(number);
   const Moment due = daemon.follower->nextDueAt();
-  const Moment next = due == kNever ? kNever : due - daemon.ahead;
+  const Moment next = due == kNever ? kNever : due - daemon.clockOffset;
   if (next != kNever && (daemon.wakeAt <= now_ || next < daemon.wakeAt)) {
     daemon.wakeAt = std::max(next, now_);
-    at(daemon.wakeAt, [this, number, life = daemon.life, planned = daemon.wakeAt] {
-      runIn(number, life, [this, number, planned] {
+    at(daemon.wakeAt, [this, number, incarnation = daemon.incarnation, planned = daemon.wakeAt] {
+      runIn(number, incarnation, [this, number, planned] {
         if (daemons_[number].wakeAt == planned) {
           daemons_[number].wakeAt = kNever;
           pump(number);
@@ -250,58 +252,59 @@
   }
 }
 
-void SourceFleet::carryOut(std::size_t number, const FollowerActions& actions) {
+void SourceFleet::apply(std::size_t number, const FollowerActions& actions) {
   const Endpoint sender = daemons_[number].address;
-  for (const OutgoingNews& outgoing : actions.news) {
-    deliver(number, outgoing.to, [this, sender, news = outgoing.news](std::size_t receiver) {
-      carryOut(receiver, daemons_[receiver].follower->onNews(sender, news, clockOf(receiver)));
+  for (const OutgoingUpdate& outgoing : actions.updates) {
+    deliver(number, outgoing.to, [this, sender, update = outgoing.update](std::size_t receiver) {
+      apply(receiver, daemons_[receiver].follower->onUpdate(sender, update, clockOf(receiver)));
     });
   }
-  if (actions.ask) {
+  if (actions.requestFrom) {
     SourceNewsRequest request;
     request.set_known_revision(daemons_[number].follower->known().revision);
     request.set_known_epoch(daemons_[number].follower->known().epoch);
-    deliver(number, *actions.ask, [this, number, sender, request](std::size_t receiver) {
-      if (const auto told = daemons_[receiver].follower->onNewsRequest(sender, request, clockOf(receiver))) {
+    deliver(number, *actions.requestFrom, [this, number, sender, request](std::size_t receiver) {
+      if (const auto update =
+              daemons_[receiver].follower->onUpdateRequest(sender, request, clockOf(receiver))) {
         FollowerActions reply;
-        reply.news.push_back(*told);
-        carryOut(receiver, reply);
+        reply.updates.push_back(*update);
+        apply(receiver, reply);
       }
     });
   }
-  carryOutProofs(number, actions.proofs);
+  applyProofs(number, actions.proofs);
 }
 
-void SourceFleet::carryOutProofs(std::size_t number, const ProofActions& actions) {
+void SourceFleet::applyProofs(std::size_t number, const ProofActions& actions) {
   const Endpoint sender = daemons_[number].address;
   for (const OutgoingProofRequest& outgoing : actions.requests) {
-    ++proofQuestions_;
+    ++proofRequests_;
     deliver(number, outgoing.to, [this, sender, request = outgoing.request](std::size_t receiver) {
-      carryOut(receiver, daemons_[receiver].follower->onProofRequest(sender, request, clockOf(receiver)));
+      apply(receiver, daemons_[receiver].follower->onProofRequest(sender, request, clockOf(receiver)));
     });
   }
   for (const OutgoingProofReply& outgoing : actions.replies) {
     deliver(number, outgoing.to, [this, sender, reply = outgoing.reply](std::size_t receiver) {
-      carryOut(receiver, daemons_[receiver].follower->onProofReply(sender, reply, clockOf(receiver)));
+      apply(receiver, daemons_[receiver].follower->onProofReply(sender, reply, clockOf(receiver)));
     });
   }
 }
 
-void SourceFleet::setCut(std::size_t from, std::size_t to, bool cut) {
-  if (cut) {
-    cuts_.emplace(from, to);
+void SourceFleet::setLinkDown(std::size_t from, std::size_t to, bool down) {
+  if (down) {
+    linksDown_.emplace(from, to);
   } else {
-    cuts_.erase({from, to});
+    linksDown_.erase({from, to});
   }
 }
 
-void SourceFleet::runIn(std::size_t number, std::uint64_t life, std::function<void()> action) {
+void SourceFleet::runIn(std::size_t number, std::uint64_t incarnation, std::function<void()> action) {
   Daemon& daemon = daemons_[number];
-  if (!daemon.alive || daemon.life != life) {
+  if (!daemon.alive || daemon.incarnation != incarnation) {
     return;
   }
   if (daemon.suspended) {
-    daemon.lying.push_back(std::move(action));
+    daemon.deferred.push_back(std::move(action));
   } else {
     action();
   }
@@ -309,9 +312,9 @@
 
 void SourceFleet::resume(std::size_t number) {
   daemons_[number].suspended = false;
-  std::vector<std::function<void()>> lying;
-  lying.swap(daemons_[number].lying);
-  for (const auto& action : lying) {
+  std::vector<std::function<void()>> deferred;
+  deferred.swap(daemons_[number].deferred);
+  for (const auto& action : deferred) {
     action();
   }
   pump(number);
@@ -331,7 +334,7 @@
   return newer != acknowledged_.end() && now_ - newer->second > bound;
 }
 
-std::size_t SourceFleet::proofReads() const {
+std::size_t SourceFleet::proofReadRequests() const {
   std::size_t reads = 0;
   for (const Daemon& daemon : daemons_) {
     reads += daemon.alive ? daemon.follower->counters().proofs.readWishes : 0;
@@ -343,7 +346,7 @@
   const ConfigurationProof& proof = daemons_[number].follower->proof();
   const auto newer = acknowledged_.upper_bound(proof.version);
   if (proof.version != 0 && newer != acknowledged_.end()) {
-    unsoundProofs_ += newer->second < proof.provenAt - daemons_[number].ahead ? 1 : 0;
+    unsoundProofs_ += newer->second < proof.provenAt - daemons_[number].clockOffset ? 1 : 0;
   }
 }
 
@@ -354,71 +357,72 @@
       std::bernoulli_distribution(settings_.frameLoss)(random_)) {
     return;
   }
-  const Duration spread = settings_.longestFrame - settings_.shortestFrame;
+  const Duration spread = settings_.maxFrameDelay - settings_.minFrameDelay;
   const auto extra = static_cast<std::int64_t>(drawBelow(spread.count() + 1, random_));
   const std::size_t number = receiver->second;
-  if (cuts_.count({from, number}) > 0) {
+  if (linksDown_.count({from, number}) > 0) {
     return;
   }
   const auto arrive = [this, number, action = std::move(action)] {
-    runIn(number, daemons_[number].life, [this, number, action] {
+    runIn(number, daemons_[number].incarnation, [this, number, action] {
       action(number);
       pump(number);
     });
   };
-  const auto drawLateness = [this] {
-    return Duration(static_cast<std::int64_t>(drawBelow(settings_.longestLateness.count(), random_)));
+  const auto drawExtraDelay = [this] {
+    return Duration(static_cast<std::int64_t>(drawBelow(settings_.maxExtraDelay.count(), random_)));
   };
   const auto drawn = [this](double share) {
     return share > 0 && std::bernoulli_distribution(share)(random_);
   };
-  const Moment arrival = now_ + settings_.shortestFrame + Duration(extra);
-  at(drawn(settings_.lateFrames) ? arrival + drawLateness() : arrival, arrive);
-  if (drawn(settings_.replayedFrames)) {
-    at(arrival + drawLateness(), arrive);
+  const Moment arrival = now_ + settings_.minFrameDelay + Duration(extra);
+  at(drawn(settings_.delayedFrames) ? arrival + drawExtraDelay() : arrival, arrive);
+  if (drawn(settings_.duplicatedFrames)) {
+    at(arrival + drawExtraDelay(), arrive);
   }
 }
 
 void SourceFleet::call(std::size_t number, const SourceCall& call) {
   at(now_ + kSourceDelay / 2,
-     [this, number, life = daemons_[number].life, call] { onCall(number, life, call); });
+     [this, number, incarnation = daemons_[number].incarnation, call] { onCall(number, incarnation, call); });
 }
 
-void SourceFleet::onCall(std::size_t number, std::uint64_t life, const SourceCall& call) {
+void SourceFleet::onCall(std::size_t number, std::uint64_t incarnation, const SourceCall& call) {
   ++calls_;
   listings_ += call.kind == SourceCall::Kind::kList && call.afterKey.empty() ? 1 : 0;
   if (sourceDown_) {
-    answer(number, life, call, SourceFailure::kNoAnswer, call.wait + kCallTimeout);
+    answer(number, incarnation, call, SourceFailure::kNoAnswer, call.wait + kCallTimeout);
     return;
   }
   if (daemons_[number].refused) {
-    answer(number, life, call, told(SourceFailure::kUnavailable), kSourceDelay / 2);
+    answer(number, incarnation, call, withEpoch(SourceFailure::kUnavailable), kSourceDelay / 2);
     return;
   }
   if (call.kind == SourceCall::Kind::kList || hasChangesFor(call) || call.wait.count() == 0) {
-    answer(number, life, call, told(contentFor(call)), kSourceDelay / 2);
+    answer(number, incarnation, call, withEpoch(contentFor(call)), kSourceDelay / 2);
     return;
   }
-  const std::uint64_t held = nextWaiting_++;
-  waiting_.push_back(Waiting{number, life, call, held});
+  const std::uint64_t held = nextHeldCall_++;
+  heldCalls_.push_back(HeldCall{number, incarnation, call, held});
   at(now_ + call.wait, [this, held] {
-    const auto found = std::find_if(waiting_.begin(), waiting_.end(),
-                                    [&](const Waiting& waiting) { return waiting.number == held; });
-    if (found != waiting_.end()) {
-      const Waiting ended = *found;
-      waiting_.erase(found);
-      answer(ended.daemon, ended.life, ended.call, told(contentFor(ended.call)), kSourceDelay / 2);
+    const auto found = std::find_if(heldCalls_.begin(), heldCalls_.end(),
+                                    [&](const HeldCall& heldCall) { return heldCall.number == held; });
+    if (found != heldCalls_.end()) {
+      const HeldCall ended = *found;
+      heldCalls_.erase(found);
+      answer(ended.daemon, ended.incarnation, ended.call, withEpoch(contentFor(ended.call)),
+             kSourceDelay / 2);
     }
   });
 }
 
-void SourceFleet::answer(std::size_t number, std::uint64_t life, const SourceCall& call,
+void SourceFleet::answer(std::size_t number, std::uint64_t incarnation, const SourceCall& call,
                          const SourceAnswer& answer, Duration delay) {
-  at(now_ + delay, [this, number, life, call, answer] {
+  at(now_ + delay, [this, number, incarnation, call, answer] {
     const bool lost = daemons_[number].answersLost;
-    const auto take = [this, number, life, call](const SourceAnswer& taken) {
-      runIn(number, life, [this, number, call, taken] {
-        carryOut(number, daemons_[number].follower->onAnswer(call, taken, clockOf(number)));
+    const auto take = [this, number, incarnation, call](const SourceAnswer& taken) {
+      runIn(number, incarnation, [this, number, call, taken] {
+        apply(number, daemons_[number].follower->onAnswer(call, taken, clockOf(number)));
         pump(number);
       });
     };
@@ -440,7 +444,7 @@
   page.revision = revision_;
   if (call.kind == SourceCall::Kind::kChanges) {
     if (call.afterRevision < historyFrom_ || call.afterRevision > revision_) {
-      return SourceFailure::kHistoryGone;
+      return SourceFailure::kHistoryUnavailable;
     }
     for (const Change& change : history_) {
       if (change.record.revision > call.afterRevision) {
@@ -459,20 +463,20 @@
   return page;
 }
 
-Duration SourceFleet::lag(const Daemon& daemon, const Daemon& other, Duration longest) const {
-  const std::uint64_t drawn =
-      hashPair(hashPair(daemon.address.packed(), daemon.life), hashPair(other.address.packed(), other.life));
-  return longest * static_cast<int>(drawn % kLagSteps) / static_cast<int>(kLagSteps);
+Duration SourceFleet::learningDelay(const Daemon& daemon, const Daemon& other, Duration longest) const {
+  const std::uint64_t drawn = hashPair(hashPair(daemon.address.packed(), daemon.incarnation),
+                                       hashPair(other.address.packed(), other.incarnation));
+  return longest * static_cast<int>(drawn % kDelaySteps) / static_cast<int>(kDelaySteps);
 }
 
 bool SourceFleet::knows(const Daemon& daemon, const Daemon& other) const {
-  if (other.life == 0) {
+  if (other.incarnation == 0) {
     return false;
   }
   const Moment since = std::max(daemon.startedAt, other.startedAt);
-  const bool heard = now_ >= since + lag(daemon, other, kLongestBirthLag);
-  const bool knownDead = !other.alive && now_ >= other.endedAt + lag(daemon, other, kLongestDeathLag);
-  return heard && !knownDead;
+  const bool joined = now_ >= since + learningDelay(daemon, other, kMaxJoinDelay);
+  const bool knownDead = !other.alive && now_ >= other.endedAt + learningDelay(daemon, other, kMaxCrashDelay);
+  return joined && !knownDead;
 }
 
 void SourceFleet::refreshMembers() {
