--- a/tests/serving/support/source_fleet.h
+++ b/tests/serving/support/source_fleet.h
@@ -27,13 +27,13 @@
   std::vector<unsigned> capacities;
   /// Share of the frames between daemons that are lost.
   double frameLoss = 0.0;
-  Duration shortestFrame = std::chrono::milliseconds(1);
-  Duration longestFrame = std::chrono::milliseconds(15);
-  /// Shares of the frames that arrive up to `longestLateness` later, and of those that are delivered a second
+  Duration minFrameDelay = std::chrono::milliseconds(1);
+  Duration maxFrameDelay = std::chrono::milliseconds(15);
+  /// Shares of the frames that arrive up to `maxExtraDelay` later, and of those that are delivered a second
   /// time by then.
-  double lateFrames = 0.0;
-  double replayedFrames = 0.0;
-  Duration longestLateness = std::chrono::seconds(9);
+  double delayedFrames = 0.0;
+  double duplicatedFrames = 0.0;
+  Duration maxExtraDelay = std::chrono::seconds(9);
   /// The configuration contains a tenant.
   bool tenants = false;
   /// The source's epoch at the start; 0: it reports none until it is restored from a backup.
@@ -65,15 +65,15 @@
   /// The source receives the daemon's calls, but its answers are lost.
   void setAnswersLost(std::size_t number, bool lost) { daemons_[number].answersLost = lost; }
   /// Frames from one daemon to another are lost.
-  void setCut(std::size_t from, std::size_t to, bool cut);
-  void mendCuts() { cuts_.clear(); }
+  void setLinkDown(std::size_t from, std::size_t to, bool down);
+  void restoreLinks() { linksDown_.clear(); }
   /// The process does not run. Frames and answers are queued until it is resumed.
   void suspend(std::size_t number) { daemons_[number].suspended = true; }
   void resume(std::size_t number);
   /// Restores the source from a backup of age `age` and begins a new epoch: revisions go back, and later
-  /// records are lost until their writers rewrite them, each at a random time within `writtenAgainWithin`.
+  /// records are lost until their writers rewrite them, each at a random time within `rewriteWindow`.
   /// Calls that the source holds open are lost.
-  void restoreSource(Duration age, Duration writtenAgainWithin);
+  void restoreSource(Duration age, Duration rewriteWindow);
   /// The source drops its history of changes.
   void forgetHistory() { historyFrom_ = revision_; }
 
@@ -89,8 +89,8 @@
   /// Times that a daemon's proof named a time at which a newer version was already acknowledged.
   std::size_t unsoundProofs() const { return unsoundProofs_; }
   /// Times that a running daemon requested a read of the source for its own proof.
-  std::size_t proofReads() const;
-  std::size_t proofQuestions() const { return proofQuestions_; }
+  std::size_t proofReadRequests() const;
+  std::size_t proofRequests() const { return proofRequests_; }
   Moment aliveSince(std::size_t number) const { return daemons_[number].startedAt; }
   std::uint64_t versionOf(std::size_t number) const;
   /// When the process first had this version or a newer one; `kNever` if it has not.
@@ -105,9 +105,9 @@
   /// Listings that were requested from the source, including refused ones.
   std::size_t listings() const { return listings_; }
   /// Running daemons whose known leafs differ from those that the source lists.
-  std::size_t wrongAboutLeafs() const;
+  std::size_t daemonsWithWrongLeafs() const;
   /// Times that a daemon used an older version than before without a restart.
-  std::size_t versionsBack() const { return versionsBack_; }
+  std::size_t versionDecreases() const { return versionDecreases_; }
   /// For tests that inspect one daemon.
   const SourceFollower& followerOf(std::size_t number) const { return *daemons_[number].follower; }
   std::uint64_t knownRevisionOf(std::size_t number) const {
@@ -123,47 +123,47 @@
     bool refused = false;
     bool answersLost = false;
     bool suspended = false;
-    std::vector<std::function<void()>> lying;
+    std::vector<std::function<void()>> deferred;
     /// Offset of its clock.
-    Duration ahead{};
+    Duration clockOffset{};
     /// Number of the process at this address.
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     Moment startedAt{};
     Moment endedAt{};
     Moment wakeAt = kNever;
     std::map<std::uint64_t, Moment> versions;
   };
-  struct Waiting {
+  struct HeldCall {
     std::size_t daemon = 0;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     SourceCall call;
     std::uint64_t number = 0;
   };
 
   void at(Moment moment, std::function<void()> action) { events_.emplace(moment, std::move(action)); }
-  Moment clockOf(std::size_t number) const { return now_ + daemons_[number].ahead; }
+  Moment clockOf(std::size_t number) const { return now_ + daemons_[number].clockOffset; }
   /// Runs `action` now, or when the process is resumed; never if it crashes before.
-  void runIn(std::size_t number, std::uint64_t life, std::function<void()> action);
+  void runIn(std::size_t number, std::uint64_t incarnation, std::function<void()> action);
   void pump(std::size_t number);
   void checkProof(std::size_t number);
-  void carryOutProofs(std::size_t number, const ProofActions& actions);
-  void carryOut(std::size_t number, const FollowerActions& actions);
+  void applyProofs(std::size_t number, const ProofActions& actions);
+  void apply(std::size_t number, const FollowerActions& actions);
   void deliver(std::size_t from, const Endpoint& to, std::function<void(std::size_t receiver)> action);
   void call(std::size_t number, const SourceCall& call);
-  void onCall(std::size_t number, std::uint64_t life, const SourceCall& call);
-  void answer(std::size_t number, std::uint64_t life, const SourceCall& call, const SourceAnswer& answer,
-              Duration delay);
+  void onCall(std::size_t number, std::uint64_t incarnation, const SourceCall& call);
+  void answer(std::size_t number, std::uint64_t incarnation, const SourceCall& call,
+              const SourceAnswer& answer, Duration delay);
   SourceAnswer::Content contentFor(const SourceCall& call) const;
   /// Adds the source's epoch to an answer.
-  SourceAnswer told(SourceAnswer::Content content) const;
+  SourceAnswer withEpoch(SourceAnswer::Content content) const;
   /// The writer rewrites the record unless the source still holds what it wrote last.
-  void writeAgain(const std::string& key);
+  void rewrite(const std::string& key);
   bool hasChangesFor(const SourceCall& call) const;
-  void change(const std::string& key, const std::string& value, bool gone = false);
+  void change(const std::string& key, const std::string& value, bool deleted = false);
   /// Updates the members that each daemon knows.
   void refreshMembers();
   bool knows(const Daemon& daemon, const Daemon& other) const;
-  Duration lag(const Daemon& daemon, const Daemon& other, Duration longest) const;
+  Duration learningDelay(const Daemon& daemon, const Daemon& other, Duration longest) const;
 
   SourceFleetSettings settings_;
   RandomEngine random_;
@@ -184,17 +184,17 @@
   std::vector<Change> history_;
   std::uint64_t epoch_ = 0;
   /// The last write of each key, whether or not the source has lost it.
-  std::map<std::string, SourceRecord> written_;
-  std::vector<Waiting> waiting_;
-  std::uint64_t nextWaiting_ = 1;
+  std::map<std::string, SourceRecord> lastWrites_;
+  std::vector<HeldCall> heldCalls_;
+  std::uint64_t nextHeldCall_ = 1;
   std::size_t calls_ = 0;
   std::size_t listings_ = 0;
-  std::size_t versionsBack_ = 0;
-  std::set<std::pair<std::size_t, std::size_t>> cuts_;
+  std::size_t versionDecreases_ = 0;
+  std::set<std::pair<std::size_t, std::size_t>> linksDown_;
   /// When each version was acknowledged.
   std::map<std::uint64_t, Moment> acknowledged_;
   std::size_t unsoundProofs_ = 0;
-  std::size_t proofQuestions_ = 0;
+  std::size_t proofRequests_ = 0;
 };
 
 }  // namespace oakpier::serving
