--- a/src/coordination/serving/epoch_classifier.cpp
+++ b/src/coordination/serving/epoch_classifier.cpp
@@ -26,9 +26,9 @@
   return reported.epoch > known ? EpochVerdict::kNewer : EpochVerdict::kKnown;
 }
 
-void EpochClassifier::onRestored(std::uint64_t before, std::uint64_t now) {
+void EpochClassifier::onRestored(std::uint64_t previous, std::uint64_t current) {
   ++counters_.restorations;
-  counters_.skipped += now - before - 1;
+  counters_.skipped += current - previous - 1;
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/epoch_classifier.h
+++ b/src/coordination/serving/epoch_classifier.h
@@ -39,8 +39,8 @@
  public:
   /// `known`: the epoch of what is known here.
   EpochVerdict classify(const ReportedEpoch& reported, std::uint64_t known);
-  /// The known epoch changed from `before` to `now`.
-  void onRestored(std::uint64_t before, std::uint64_t now);
+  /// The known epoch changed from `previous` to `current`.
+  void onRestored(std::uint64_t previous, std::uint64_t current);
   const EpochCounters& counters() const { return counters_; }
 
  private:
--- a/src/coordination/serving/leaf_tombstones.cpp
+++ b/src/coordination/serving/leaf_tombstones.cpp
@@ -12,29 +12,29 @@
 
 }  // namespace
 
-void LeafTombstones::add(const LeafLife& life, Moment now) {
-  byId_[life.id] = Tombstone{life, now};
-  order_.push_back(Tombstone{life, now});
+void LeafTombstones::add(const LeafLife& incarnation, Moment now) {
+  byId_[incarnation.id] = Tombstone{incarnation, now};
+  order_.push_back(Tombstone{incarnation, now});
   while (order_.size() > kMaxTombstones) {
     removeOldest();
   }
 }
 
-bool LeafTombstones::contains(const LeafLife& life) const {
-  const auto found = byId_.find(life.id);
-  return found != byId_.end() && found->second.life == life;
+bool LeafTombstones::contains(const LeafLife& incarnation) const {
+  const auto found = byId_.find(incarnation.id);
+  return found != byId_.end() && found->second.incarnation == incarnation;
 }
 
 void LeafTombstones::onTime(Moment now) {
-  while (!order_.empty() && now - order_.front().at > kRetention) {
+  while (!order_.empty() && now - order_.front().removedAt > kRetention) {
     removeOldest();
   }
 }
 
 void LeafTombstones::removeOldest() {
   const Tombstone& oldest = order_.front();
-  const auto found = byId_.find(oldest.life.id);
-  if (found != byId_.end() && found->second.at == oldest.at) {
+  const auto found = byId_.find(oldest.incarnation.id);
+  if (found != byId_.end() && found->second.removedAt == oldest.removedAt) {
     byId_.erase(found);
   }
   order_.pop_front();
--- a/src/coordination/serving/leaf_tombstones.h
+++ b/src/coordination/serving/leaf_tombstones.h
@@ -19,9 +19,9 @@
 class LeafTombstones {
  public:
   /// The incarnation was removed at `now`.
-  void add(const LeafLife& life, Moment now);
+  void add(const LeafLife& incarnation, Moment now);
   /// Whether the incarnation has a tombstone.
-  bool contains(const LeafLife& life) const;
+  bool contains(const LeafLife& incarnation) const;
   /// Drops expired tombstones.
   void onTime(Moment now);
   /// Number of leafs with a tombstone.
@@ -29,8 +29,8 @@
 
  private:
   struct Tombstone {
-    LeafLife life;
-    Moment at{};
+    LeafLife incarnation;
+    Moment removedAt{};
   };
 
   void removeOldest();
--- a/src/coordination/serving/serving_state.cpp
+++ b/src/coordination/serving/serving_state.cpp
@@ -36,9 +36,9 @@
   if (configuration_ && configuration->version <= configuration_->version) {
     return {};
   }
-  std::vector<std::string> problems = problemsOf(*configuration);
-  if (!problems.empty()) {
-    return problems;
+  std::vector<std::string> errors = problemsOf(*configuration);
+  if (!errors.empty()) {
+    return errors;
   }
   tenants_ = std::make_shared<const TenantTable>(configuration->tenants);
   configuration_ = withoutKeys(std::move(configuration));
--- a/src/coordination/serving/source_follower.cpp
+++ b/src/coordination/serving/source_follower.cpp
@@ -11,7 +11,7 @@
 
 /// Limit of the invalid leaf entries reported per answer or message: writers can make any number of them, and
 /// each is a log line at every daemon.
-constexpr std::size_t kMaxReportedProblems = 8;
+constexpr std::size_t kMaxReportedErrors = 8;
 
 }  // namespace
 
@@ -91,7 +91,7 @@
   FollowerActions actions;
   const EpochVerdict verdict = classifyEpoch(answer.epoch, actions);
   const auto* failure = std::get_if<SourceFailure>(&answer.content);
-  const bool historyGone = failure != nullptr && *failure == SourceFailure::kHistoryUnavailable;
+  const bool historyUnavailable = failure != nullptr && *failure == SourceFailure::kHistoryUnavailable;
   const bool unusable = verdict == EpochVerdict::kMissing || verdict == EpochVerdict::kMalformed;
   const bool restored = verdict == EpochVerdict::kNewer;
   actions.reconnect = verdict == EpochVerdict::kOlder || unusable;
@@ -99,7 +99,7 @@
     onFailure(SourceFailure::kOlderEpoch, false, now, actions);
   } else if (unusable) {
     onFailure(failure == nullptr ? SourceFailure::kNoUsableEpoch : *failure, false, now, actions);
-  } else if (restored && historyGone) {
+  } else if (restored && historyUnavailable) {
     onSourceRestored(now);
   } else if (failure != nullptr) {
     onFailure(*failure, restored, now, actions);
@@ -130,8 +130,8 @@
   ++counters_.failures;
   election_.onFailure();
   // An error answer of a newer epoch means that the changes since the known position are useless.
-  const SourceFailure consequence = restored ? SourceFailure::kHistoryUnavailable : failure;
-  reader_.onFailure(consequence, election_.backoffCap(), now);
+  const SourceFailure effectiveFailure = restored ? SourceFailure::kHistoryUnavailable : failure;
+  reader_.onFailure(effectiveFailure, election_.backoffCap(), now);
   // A daemon whose calls fail depends on the forwarding tree, which is interrupted below a daemon whose crash
   // is not detected yet. A request to a peer covers that gap.
   actions.requestFrom = bootstrap_.randomPeer(random_);
@@ -166,7 +166,7 @@
   }
   if (page.malformed > 0) {
     counters_.unusableRecords += page.malformed;
-    actions.problems.push_back(std::to_string(page.malformed) + " records without a key or a revision");
+    actions.errors.push_back(std::to_string(page.malformed) + " records without a key or a revision");
   }
 }
 
@@ -323,38 +323,38 @@
     state_.onEvacuation(ended->zone, false, position);
   } else if (const auto* unusable = std::get_if<UnusableRecord>(&statement)) {
     ++counters_.unusableRecords;
-    actions.problems.push_back(unusable->problem);
+    actions.errors.push_back(unusable->error);
     if (unusable->isConfiguration) {
       prover_.onConfigurationRecord(position, false);
     }
   } else if (const auto* unusableLeaf = std::get_if<UnusableLeaf>(&statement)) {
-    applyUnusable(*unusableLeaf, position, actions);
+    applyUnusableLeaf(*unusableLeaf, position, actions);
   }
 }
 
-void SourceFollower::applyUnusable(const UnusableLeaf& leaf, const SourcePosition& position,
-                                   FollowerActions& actions) {
+void SourceFollower::applyUnusableLeaf(const UnusableLeaf& leaf, const SourcePosition& position,
+                                       FollowerActions& actions) {
   state_.onLeafUnusable(leaf.id, position);
   ++counters_.unusableRecords;
-  if (actions.problems.size() < kMaxReportedProblems) {
-    actions.problems.push_back(leaf.problem);
+  if (actions.errors.size() < kMaxReportedErrors) {
+    actions.errors.push_back(leaf.error);
   }
 }
 
 void SourceFollower::applyConfiguration(ServingConfiguration configuration, const SourceRecord& record,
                                         FollowerActions& actions) {
   const std::uint64_t version = configuration.version;
-  const auto problems =
+  const auto errors =
       state_.onConfiguration(std::make_shared<const ServingConfiguration>(std::move(configuration)));
-  for (const std::string& problem : problems) {
-    actions.problems.push_back("configuration " + std::to_string(version) + ": " + problem);
+  for (const std::string& error : errors) {
+    actions.errors.push_back("configuration " + std::to_string(version) + ": " + error);
   }
-  counters_.configurationsRefused += problems.empty() ? 0 : 1;
+  counters_.configurationsRefused += errors.empty() ? 0 : 1;
   if (state_.configurationVersion() == version) {
     configurationKey_ = record.key;
   }
   const SourcePosition position = record.position();
-  prover_.onConfigurationRecord(position, problems.empty());
+  prover_.onConfigurationRecord(position, errors.empty());
   prover_.onVersion(state_.configurationVersion(), state_.hasTenants());
   if (position > epochStart_) {
     prover_.onConfigurationWritten();
--- a/src/coordination/serving/source_follower.h
+++ b/src/coordination/serving/source_follower.h
@@ -41,7 +41,7 @@
   /// The peer to request all records after the known position from.
   std::optional<Endpoint> requestFrom;
   /// Reasons why records and configurations were rejected. Limited in number for the records of leafs.
-  std::vector<std::string> problems;
+  std::vector<std::string> errors;
   /// The connection may lead to an outdated replica of the source: the next call opens a new one.
   bool reconnect = false;
   std::vector<SourceNotice> notices;
@@ -146,7 +146,7 @@
   /// The record may be forwarded: it is not an older configuration than the one in effect.
   bool isNotSuperseded(const SourceStatement& statement) const;
   void applyUpdate(const SourceNews& update, Moment now, FollowerActions& actions);
-  void applyUnusable(const UnusableLeaf& leaf, const SourcePosition& position, FollowerActions& actions);
+  void applyUnusableLeaf(const UnusableLeaf& leaf, const SourcePosition& position, FollowerActions& actions);
   void applyConfiguration(ServingConfiguration configuration, const SourceRecord& record,
                           FollowerActions& actions);
   void onChanges(const SourceCall& call, const SourcePage& page, Moment now, FollowerActions& actions);
--- a/src/coordination/serving/source_records.h
+++ b/src/coordination/serving/source_records.h
@@ -102,7 +102,7 @@
 
 /// A record of a known kind whose value is invalid.
 struct UnusableRecord {
-  std::string problem;
+  std::string error;
   /// The record's key is that of a configuration, which may be newer than any known one.
   bool isConfiguration = false;
 };
@@ -110,7 +110,7 @@
 /// A leaf's record that was not written by a leaf. No leaf may be used because of it.
 struct UnusableLeaf {
   std::string id;
-  std::string problem;
+  std::string error;
 };
 
 /// The meaning of one record; `std::monostate` for records that do not concern the gateway.
--- a/src/programs/gateway/source_loop.cpp
+++ b/src/programs/gateway/source_loop.cpp
@@ -165,7 +165,7 @@
 }
 
 void SourceLoop::carryOut(const FollowerActions& actions) {
-  for (const std::string& problem : actions.problems) {
+  for (const std::string& problem : actions.errors) {
     log(LogLevel::kError, "record refused", {{"problem", problem}});
   }
   for (const SourceNotice& notice : actions.notices) {
--- a/tests/serving/platform/leaf_entries_test.cpp
+++ b/tests/serving/platform/leaf_entries_test.cpp
@@ -283,7 +283,7 @@
   huge.replace(huge.find("15.5"), 4, "1e999");
   REQUIRE(namesNoLeaf(huge));
   const auto statement = statementOf(R"({"service":")" + std::string(1U << 20U, 'x'));
-  REQUIRE(std::get<UnusableLeaf>(statement).problem.size() <= 300);
+  REQUIRE(std::get<UnusableLeaf>(statement).error.size() <= 300);
 }
 
 TEST_CASE("a key that no header can carry names no leaf", "[platform][lives]") {
@@ -376,7 +376,7 @@
   believer.list(items, 500);
   REQUIRE(believer.leafs().size() == kOthers.size());
   REQUIRE(believer.counters().unusableRecords == 401);
-  REQUIRE(believer.lastActions().problems.size() == 9);
+  REQUIRE(believer.lastActions().errors.size() == 9);
 }
 
 TEST_CASE("what another writer put under a leaf's key is not used, and all other leafs hold",
--- a/tests/serving/platform/platform_test.cpp
+++ b/tests/serving/platform/platform_test.cpp
@@ -231,7 +231,7 @@
   const std::string rest = whole.substr(whole.find("\"services\""));
   const auto problemWith = [&](const std::string& tenants) {
     const SourceRecord record{"op/config", head + "\"tenants\": " + tenants + ", " + rest, 1, false};
-    return std::get<UnusableRecord>(dialect.interpret(record)).problem;
+    return std::get<UnusableRecord>(dialect.interpret(record)).error;
   };
   for (const char* tenants :
        {R"([{"name": "amber", "api_keys": ["secret-1" "secret-2"]}])",
