--- a/src/coordination/serving/daemon_order.cpp
+++ b/src/coordination/serving/daemon_order.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Rises with the place: what the weight lacks to the greatest, then the address.
+/// Sort key, ascending: the weight subtracted from its upper bound, then the address.
 std::pair<unsigned, Endpoint> keyOf(const ServingDaemon& daemon) {
   return {kMostCapacity - placementWeight(daemon.capacity), daemon.address};
 }
--- a/src/coordination/serving/daemon_order.h
+++ b/src/coordination/serving/daemon_order.h
@@ -1,11 +1,12 @@
 #pragma once
 
-/// The one order of daemons in which they read the configuration source and pass its news on: the strongest
-/// first, equally strong ones by address. So the weak sit at the leaves of the forwarding tree and read last.
+/// The order of daemons for the election of the configuration source's reader and for the forwarding tree:
+/// descending by capacity, then ascending by address. Daemons with little capacity are thus the leaves of the
+/// tree and the last choice as reader.
 ///
-/// Invariants: equal member tables give equal orders; daemons that are not in the table have their place as
-/// ones that did not tell their capacity; where nobody tells one the order is that of the addresses, whatever
-/// the tables.
+/// Invariants: equal member tables give equal orders; a daemon that is not in the table is ordered as one
+/// with unknown capacity; if no capacity is known the order is that of the addresses, whichever daemons are
+/// known.
 
 #include <cstddef>
 #include <utility>
@@ -19,18 +20,17 @@
 class DaemonOrder {
  public:
   DaemonOrder() = default;
-  /// Daemons of which only the addresses are known, in any order.
+  /// Daemons of unknown capacity, in any order, without duplicates.
   DaemonOrder(const std::vector<Endpoint>& addresses);
   /// In any order, without duplicates.
   DaemonOrder(std::vector<ServingDaemon> daemons);
 
-  /// The first comes first.
   const std::vector<ServingDaemon>& daemons() const { return daemons_; }
   std::size_t size() const { return daemons_.size(); }
-  /// How many daemons come before this one, which need not be among them.
+  /// The number of daemons that precede this one, which need not be in the table.
   std::size_t placeOf(const Endpoint& address) const;
   bool before(const Endpoint& left, const Endpoint& right) const;
-  /// Adds a daemon that did not tell its capacity, unless it is there.
+  /// Adds a daemon of unknown capacity unless its address is in the table.
   void add(const Endpoint& address);
 
  private:
--- a/src/coordination/serving/fleet_settling.h
+++ b/src/coordination/serving/fleet_settling.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Tells when a daemon that has started may rely on its member table: once the table has stopped growing for
-/// a while, or after the longest time that a table takes to become whole.
+/// Determines when the member table of a newly started daemon is complete: when it has not grown for a quiet
+/// period, or when the maximum wait has elapsed.
 
 #include <algorithm>
 #include <cstddef>
@@ -11,13 +11,13 @@
 namespace oakpier::serving {
 
 struct FleetSettlingSettings {
-  /// Not before: the first answers of other daemons have to come.
+  /// Minimum wait after the start, for the first answers from other daemons.
   Duration shortest = std::chrono::milliseconds(1500);
-  /// Growth that ends for this long is over: some rounds of comparing tables, a quarter of a second each.
+  /// The table is complete when it has not grown for this long: several anti-entropy rounds of 250 ms each.
   Duration quiet = std::chrono::milliseconds(900);
-  /// At the latest.
+  /// Maximum wait after the start.
   Duration longest = std::chrono::seconds(4);
-  /// Growth by less than this share of the members is none.
+  /// Growth by at most this fraction of the members does not restart the quiet period.
   double growth = 0.1;
 };
 
@@ -26,7 +26,7 @@
   FleetSettling(const FleetSettlingSettings& settings, Moment startedAt)
       : settings_(settings), startedAt_(startedAt), grownAt_(startedAt) {}
 
-  /// The number of known daemons, this one included.
+  /// `count`: known daemons, including this one.
   void onMembers(std::size_t count, Moment now) {
     const double grown = static_cast<double>(count_) * (1.0 + settings_.growth);
     if (static_cast<double>(count) > grown) {
@@ -35,7 +35,7 @@
     }
   }
 
-  /// When the table may be relied on, unless it grows before.
+  /// When the table counts as complete, provided it does not grow before then.
   Moment settledAt() const {
     const Moment quiet = std::max(startedAt_ + settings_.shortest, grownAt_ + settings_.quiet);
     return std::min(quiet, startedAt_ + settings_.longest);
--- a/src/coordination/serving/loss_causes.h
+++ b/src/coordination/serving/loss_causes.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Why a query's answer is worth less than a whole one in time.
+/// Causes of missing, incomplete and late answers, with the loss of answer quality that each accounts for.
 
 #include <array>
 #include <cstddef>
@@ -8,61 +8,61 @@
 namespace oakpier::serving {
 
 enum class LossCause {
-  /// The daemon has just started.
+  /// The daemon has not received a configuration since its start.
   kNoConfiguration,
-  /// Refused at once, as the leafs' queues make the answer far too late.
+  /// Refused on arrival because the leafs' queues are too long for an answer within the target latency.
   kLeafsTooBusy,
-  /// No leaf of the service is listed, or none was left to ask.
+  /// The service has no leaf, or no eligible one was left.
   kNoUsableLeaf,
-  /// Every leaf that was asked turned the request away.
+  /// Every leaf that was asked rejected the request without executing it.
   kTurnedAway,
-  /// No connection to a leaf could be opened.
+  /// No connection to a leaf could be established.
   kLeafUnreachable,
-  /// A leaf gave a failure of its own.
+  /// A leaf answered with an error.
   kLeafFailed,
-  /// The leaf's process ended under the request.
+  /// The leaf's process terminated while it executed the request.
   kLeafEnded,
-  /// Rejected, or to be tried later, as leafs have ended each time that they ran the request.
+  /// Rejected or deferred because leafs have terminated each time they executed the request.
   kEndsLeafs,
-  /// A connection broke under the request, or the answer could not be used.
+  /// The connection failed during the request, or the answer was invalid.
   kConnectionBroken,
-  /// No connection was free until too little time was left.
+  /// No connection became free early enough for the request to be sent.
   kWaitedForConnection,
-  /// One leaf was asked and answered late or not at all; no other one was asked.
+  /// The only leaf that was asked answered late or not at all.
   kOneLeafSlow,
-  /// Several leafs were asked, and all answered late or not at all.
+  /// Several leafs were asked and all answered late or not at all.
   kEveryLeafSlow,
-  /// One leaf was late, and no extra send was left to ask another one.
+  /// One leaf was late and the retry budget did not allow another attempt.
   kNoExtraSendLeft,
-  /// The shard's owner, or the daemon that merges, was not heard any more.
+  /// The shard's owner or the merge server became unresponsive.
   kOwnerSilent,
-  /// The shard's owner had no answer in time; its own log says why.
+  /// The shard's owner did not answer in time; its log has the cause.
   kOwnerLate,
-  /// The shard's owner said that it has no answer; its own log says why.
+  /// The shard's owner reported that it has no answer; its log has the cause.
   kOwnerFailed,
-  /// The caller showed no key, or none that can be read.
+  /// The request carries no key or a malformed one.
   kKeyMissing,
-  /// No tenant holds the caller's key.
+  /// The key belongs to no tenant.
   kKeyUnknown,
-  /// No tenant is known to hold the caller's key, but the key may be new.
+  /// The key belongs to no known tenant but may have been added since the configuration was last verified.
   kKeyMaybeNew,
-  /// The caller's key may have been taken away: the configuration was not proved fresh for too long.
+  /// The key may have been revoked: the configuration has not been verified as current for too long.
   kProofTooOld,
-  /// The tenant has used up what it may ask of all daemons together.
+  /// The tenant has exhausted its fleet-wide request quota.
   kTenantOverLimit,
-  /// No daemon that could count for the tenant answered.
+  /// None of the daemons that count the tenant's requests answered.
   kTenantNotCounted,
-  /// A number, not a cause.
+  /// Number of causes.
   kCount,
 };
 
 inline constexpr std::size_t kLossCauses = static_cast<std::size_t>(LossCause::kCount);
 
-/// In plain words, as logs and reports name it.
+/// The name of the cause in logs and reports.
 const char* textOf(LossCause cause);
 
-/// How much was lost for which causes. A request that got nothing, or its answer after the target latency,
-/// has lost 1; one that got a share of the shards in time has lost 1 less the square of the share.
+/// Accumulated loss by cause. A request without an answer within the target latency counts as 1; one that got
+/// the fraction f of its shards in time counts as 1 - f².
 class Loss {
  public:
   void add(LossCause cause, double lost) { lost_[static_cast<std::size_t>(cause)] += lost; }
--- a/src/coordination/serving/machine_limits.h
+++ b/src/coordination/serving/machine_limits.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What the machine of a daemon allows it, as its settings tell, and the one figure that other daemons are
-/// told of it.
+/// The resource limits of a daemon's machine, as configured, and the capacity derived from them that is
+/// announced to other daemons.
 
 #include <cstddef>
 #include <string>
@@ -9,25 +9,26 @@
 
 namespace oakpier::serving {
 
-/// 0 where the settings do not tell.
+/// A value of 0 means not configured.
 struct MachineLimits {
-  /// Cores' worth of processor time, of cores as fast as those that capacities are counted in.
+  /// Processor time in cores of the reference speed in which capacities are expressed.
   double processorCores = 0;
   std::size_t memoryMegabytes = 0;
   std::size_t descriptors = 0;
-  /// Megabits a second, each way.
+  /// Mbit/s in each direction.
   double linkMegabits = 0;
 };
 
-/// Megabits a second, each way, that go with one core's work: an owner takes 0.11 ms of a core for a shard's
-/// part (docs/CAPACITY.md, the hop's cost), so 9,100 a second, each about 1,400 bytes in and out: an answer
-/// of 1,000 bytes and its headers, and the frame that passes it on (arithmetic).
+/// Network traffic of one fully used core, in Mbit/s in each direction. An owner needs 0.11 ms of a core per
+/// part (docs/CAPACITY.md, the hop's cost), that is 9,100 parts/s, each with about 1,400 bytes in and out: an
+/// answer of 1,000 bytes, its headers and the frame that forwards it.
 inline constexpr double kMegabitsPerCore = 100;
 
-/// In hundredths of a core: the least of what processor and link allow, at least 1; 0 when neither is told.
+/// The lower of the processor's and the link's capacity, in hundredths of a core, at least 1; 0 if neither is
+/// configured.
 unsigned capacityOf(const MachineLimits& limits);
 
-/// Every reason, in plain words, why the limits cannot be; empty when they can.
+/// Validates the limits. Returns one message per problem.
 std::vector<std::string> problemsOf(const MachineLimits& limits);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/merge_server.cpp
+++ b/src/coordination/serving/merge_server.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Kept free for the way back to the asking daemon.
+/// Time reserved for the frame's way back to the requester.
 constexpr Duration kReturnMargin = std::chrono::milliseconds(3);
 
 Duration microseconds(std::uint64_t count) { return Duration(static_cast<std::int64_t>(count)); }
@@ -65,8 +65,8 @@
   return result;
 }
 
-/// What the leaf told, and requests that wait here for a connection to it: a request of the asking daemon
-/// would queue behind both.
+/// Reports the load that the leaf has reported plus the requests that wait here for a connection to it, since
+/// further requests from the requester would queue behind both.
 void setLoad(const LeafStatus& leaf, const std::optional<ReportedLoad>& told, MergeResult& result) {
   const auto outstanding = static_cast<unsigned>(leaf.inProgress());
   const unsigned slots = std::max(1U, leaf.entry().slots);
@@ -76,7 +76,7 @@
   result.set_waiting(std::max(load.waiting, outstanding > slots ? outstanding - slots : 0));
 }
 
-/// Moves the task's results into a frame for the asking daemon.
+/// Moves the task's results into a frame for the requester.
 OutgoingMergeResults takeResults(MergeTask& task) {
   OutgoingMergeResults outgoing{task.asker, {}};
   outgoing.results.Swap(&task.results);
@@ -157,7 +157,7 @@
     result.set_signature(outcome.signature);
     task.newRecords = greatestRecords({task.newRecords, outcome.reply->body}, task.topRecords);
   }
-  // The asking daemon may send to another leaf at once.
+  // Other outcomes are urgent: the requester may send to another leaf.
   returnWhenDue(part.task, !answered, now, out);
   return out;
 }
--- a/src/coordination/serving/merge_server.h
+++ b/src/coordination/serving/merge_server.h
@@ -1,12 +1,13 @@
 #pragma once
 
-/// The merging side of requests from other zones: sends a request to the leafs that the asking daemon chose,
-/// once each, and returns of their records only those that can be among the greatest. Hedges and retries are
-/// the asking daemon's.
+/// The merge server's side of requests from other zones: sends a request once to each leaf that the requester
+/// chose, and returns only those of their records that can be among the greatest. Hedging and retrying are up
+/// to the requester.
 ///
-/// Invariants: each part gets one result; answers are returned without the records that other answers of the
-/// same work rule out, and with the number of earlier ones, so that the asking daemon notices a lost one; a
-/// result waits for others only while the asking daemon has nothing to decide on it.
+/// Invariants: each part gets exactly one result; records that other answers of the same work exclude are
+/// left out; each frame of results carries the number of answers in earlier frames, so that the requester
+/// detects a lost frame; only answers are held back for batching, other outcomes are returned immediately
+/// because the requester may react to them.
 
 #include <list>
 #include <memory>
@@ -20,29 +21,29 @@
 
 namespace oakpier::serving {
 
-/// One request of one asking daemon.
+/// One request from one requester.
 struct MergeTask {
   Endpoint asker;
   std::uint64_t askerRun = 0;
-  /// With what of the route concerns leafs.
+  /// Only the fields that sending to leafs requires are set.
   Route route;
   Moment receivedAt{};
   Moment deadline{};
-  /// Results wait for others until then.
+  /// Answers are batched until this time.
   Moment holdUntil{};
   HttpRequest request;
   std::size_t topRecords = 0;
   std::size_t openParts = 0;
-  /// Not returned yet.
+  /// The results that have not been returned yet.
   MergeResults results;
-  /// The greatest records of the answers among these.
+  /// The greatest records of the answers in `results`.
   std::string newRecords;
-  /// The greatest records of the answers that were returned.
+  /// The greatest records of all returned answers.
   std::string greatest;
   unsigned returnedAnswers = 0;
 };
 
-/// Send the task's request to this leaf.
+/// The request of `task`, to be sent to the action's leaf.
 struct MergeSend {
   std::shared_ptr<const MergeTask> task;
   SendAction action;
@@ -77,17 +78,18 @@
   struct Part {
     TaskPointer task;
     std::shared_ptr<LeafStatus> leaf;
-    /// The asking daemon's number.
+    /// The exchange number at the requester.
     ExchangeId askedAs = 0;
   };
 
   std::shared_ptr<LeafStatus> findLeaf(const MergePart& part) const;
-  /// Returns the results of the task that are ready, unless they may wait.
+  /// Returns the task's results if `urgent`, if no part is open or if the batching time has elapsed;
+  /// otherwise queues the task.
   void returnWhenDue(const TaskPointer& task, bool urgent, Moment now, MergeServerActions& out);
 
   QueryContext& context_;
   std::unordered_map<ExchangeId, Part> parts_;
-  /// Tasks with results that wait.
+  /// Tasks whose results are being batched.
   std::list<TaskPointer> waiting_;
 };
 
--- a/src/coordination/serving/peer_silence.cpp
+++ b/src/coordination/serving/peer_silence.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A living daemon answers sooner, if only to say that it lives.
+/// Longer than the interval at which a running daemon acknowledges pending requests.
 constexpr Duration kSilenceLimit = std::chrono::milliseconds(120);
 constexpr Duration kTryPeriod = std::chrono::milliseconds(250);
 
@@ -39,7 +39,7 @@
   if (heard != heardAt_.end() && now - heard->second <= kSilenceLimit) {
     return;
   }
-  // Just beyond the limit, so that it counts as silent from now on.
+  // Just over the limit, so that the peer is unresponsive immediately.
   const Moment since = now - kSilenceLimit - Duration(1);
   Silence& silence = silences_.try_emplace(peer, Silence{since, now, true}).first->second;
   silence.since = std::min(silence.since, since);
--- a/src/coordination/serving/peer_silence.h
+++ b/src/coordination/serving/peer_silence.h
@@ -1,9 +1,10 @@
 #pragma once
 
-/// Which daemons have left frames unanswered, here or at another daemon, so that others are preferred to
-/// them.
+/// Detects unresponsive peers: daemons that did not answer a frame within a timeout, as observed by this
+/// daemon or reported by another one. Callers prefer responsive daemons.
 ///
-/// Invariant: a daemon that was heard from in the last `kSilenceLimit` does not become silent by hearsay.
+/// Invariant: another daemon's report does not mark a peer as unresponsive if this daemon has received a
+/// frame from it within the timeout.
 
 #include <unordered_map>
 #include <vector>
@@ -16,33 +17,35 @@
 /// Not thread-safe.
 class PeerSilence {
  public:
-  /// A frame that asks for an answer was sent.
+  /// A frame that requires an answer was sent to the peer.
   void onSent(const Endpoint& peer, Moment now);
+  /// Any frame was received from the peer.
   void onHeard(const Endpoint& peer, Moment now);
-  /// The daemon has left a frame unanswered for longer than a living one would.
+  /// True if a frame to the peer has been unanswered for longer than the timeout.
   bool silent(const Endpoint& peer, Moment now) const;
-  /// True once in a while for a silent daemon: it may be tried again now.
+  /// True at most once per probe interval for an unresponsive peer: the caller may contact it again.
   bool takeTry(const Endpoint& peer, Moment now);
-  /// Silent daemons that may be tried again now.
+  /// The unresponsive peers whose probe interval has elapsed.
   std::vector<Endpoint> takeTries(Moment now);
-  /// Daemons that have become silent here and that others have not been told of yet.
+  /// Peers that this daemon has found unresponsive and that were not returned before. Peers reported by other
+  /// daemons are not included.
   std::vector<Endpoint> takeNewlySilent(Moment now);
-  /// Another daemon says that this one is silent.
+  /// Another daemon reported the peer as unresponsive.
   void onToldSilent(const Endpoint& peer, Moment now);
-  /// Forgets the daemons that are not among these.
+  /// Drops the state of all other peers.
   void retain(const std::vector<Endpoint>& peers);
 
  private:
   struct Silence {
     Moment since{};
     Moment triedAt{};
-    /// Others know of it.
+    /// Returned by `takeNewlySilent`, or reported by another daemon.
     bool told = false;
   };
 
   bool takeTry(const Endpoint& peer, Silence& silence, Moment now) const;
 
-  /// Daemons with a frame unanswered.
+  /// Peers with an unanswered frame.
   std::unordered_map<Endpoint, Silence> silences_;
   std::unordered_map<Endpoint, Moment> heardAt_;
 };
--- a/src/coordination/serving/record_merge.cpp
+++ b/src/coordination/serving/record_merge.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A record as two numbers that compare like its bytes.
+/// A record as two integers that compare in the order of its bytes.
 using RecordKey = std::pair<std::uint64_t, std::uint64_t>;
 
 RecordKey keyOf(const char* bytes) {
@@ -28,7 +28,7 @@
   }
 }
 
-/// The greatest records seen so far, the least of them first out. Most records are less than that one.
+/// The greatest `count` keys added so far, as a min-heap.
 class GreatestKeys {
  public:
   explicit GreatestKeys(std::size_t count) : count_(count) {}
--- a/src/coordination/serving/record_merge.h
+++ b/src/coordination/serving/record_merge.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Merges the shards' records to the greatest ones.
+/// Merges the records of several shards into a top-k list.
 
 #include <cstddef>
 #include <string>
@@ -11,12 +11,13 @@
 
 inline constexpr std::size_t kRecordBytes = 16;
 
-/// `parts`: bodies of whole records in no order; a shorter rest is not a record. Returns the greatest `count`
-/// records, compared byte by byte, greatest first; equal records all count.
+/// Returns the greatest `count` records of `parts` in descending order, compared as unsigned bytes.
+/// Duplicates are kept. `parts`: concatenated records in any order; trailing bytes shorter than a record are
+/// ignored.
 std::string greatestRecords(const std::vector<std::string_view>& parts, std::size_t count);
 
-/// Those of `records` that can be among the greatest `count` records together with `greatest`, which holds
-/// the greatest ones so far. Both are in falling order.
+/// Returns those of `records` that are not less than the `count`th record of `greatest`, or all if `greatest`
+/// has fewer than `count` records. Both are in descending order.
 std::string recordsThatCount(const std::string& records, const std::string& greatest, std::size_t count);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/relayed_part.cpp
+++ b/src/coordination/serving/relayed_part.cpp
@@ -39,7 +39,7 @@
   delegation.exchange = context_.exchanges.next++;
   delegation.owner = owners_[delegations_.size()];
   note(Decision::kDelegate, delegation.owner, now);
-  // In a trial the owner may not go on to a second leaf either.
+  // A trial request must reach one leaf only, so the owner must not retry.
   const unsigned attempts = caution_.holds() ? 1 : route_.attempts;
   actions.relays.push_back(RelayAction{delegation.exchange, delegation.owner, service_, attempts});
   delegations_.push_back(delegation);
--- a/src/coordination/serving/relayed_part.h
+++ b/src/coordination/serving/relayed_part.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// A shard of a query that is left to the shard's owner, another daemon or this one. The owner hedges and
-/// retries among the leafs.
+/// A shard of a query that is delegated to the shard's owner, which may be this daemon. The owner hedges and
+/// retries among the shard's leafs.
 ///
-/// Invariant: a second owner is asked only when the first is known to have sent nothing to any leaf, so that
-/// the owners together never use more attempts than the route allows, and no extra send that is not paid for:
-/// what a leaf turned away has arrived there too. So an owner that falls silent costs the
-/// query the part, at once; `ShardOwners` keeps later queries away from it.
+/// Invariant: a second owner is asked only if the first is known to have sent nothing to any leaf. Thus the
+/// owners together stay within the route's attempts and the retry budget; a request that a leaf has
+/// rejected counts as sent. If the owner becomes unresponsive the part therefore fails immediately;
+/// `ShardOwners` directs later queries to other owners.
 
 #include <string>
 #include <vector>
@@ -20,7 +20,7 @@
 
 class RelayedPart : public QueryPart {
  public:
-  /// `context.owners` is set; `trace` and `caution` outlive the part.
+  /// Requires `context.owners`. `trace` and `caution` must outlive the part.
   RelayedPart(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
               SendCaution& caution);
 
@@ -43,7 +43,7 @@
     bool knownNotRun = false;
   };
 
-  /// False when no owner is left.
+  /// Delegates to the next owner. Returns false if none is left.
   bool delegate(Moment now, QueryActions& actions);
   void note(Decision decision, const Endpoint& owner, Moment now,
             std::optional<LeafOutcome::Kind> outcome = std::nullopt);
@@ -55,7 +55,7 @@
   std::vector<Endpoint> owners_;
   std::vector<Delegation> delegations_;
   bool ownerSilent_ = false;
-  /// When to see whether the owner is silent.
+  /// When to check next whether the owner is unresponsive.
   Moment checkAt_ = kNever;
 };
 
--- a/src/coordination/serving/shard_owners.cpp
+++ b/src/coordination/serving/shard_owners.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Owners of one zone that may hold connections to a leaf at once: the first, its stand-in.
+/// Owners in one zone that may hold connections to a leaf at the same time: the primary and its successor.
 constexpr std::size_t kOwnersAtOnce = 2;
 constexpr std::size_t kMostOwnerConnections = 6;
-/// Member tables become equal within some seconds; connections are kept a little longer.
+/// Longer than member tables take to converge, which is a few seconds.
 constexpr Duration kServedForOthers = std::chrono::seconds(10);
 
 }  // namespace
@@ -55,7 +55,7 @@
 
 void ShardOwners::setDaemons(std::vector<ServingDaemon> ownZone) {
   if (ownZone == daemons_) {
-    // What other zones do changes nothing here: ranking 1,900 shards anew over 1,014 daemons takes 0.2 s.
+    // Avoids a recomputation on changes in other zones: ranking 1,900 shards over 1,014 daemons takes 0.2 s.
     return;
   }
   daemons_ = std::move(ownZone);
--- a/src/coordination/serving/shard_owners.h
+++ b/src/coordination/serving/shard_owners.h
@@ -1,13 +1,13 @@
 #pragma once
 
-/// Decides which daemon holds the connections to a shard's leafs for the callers of a zone: weighted
-/// rendezvous hashing over the zone's daemons, a daemon owning shards in proportion to its capacity. So a
-/// shard's connections stay few and in use, however many daemons there are.
+/// Assigns each shard to owners: the daemons of a zone that hold the connections to the shard's leafs on
+/// behalf of all daemons in the zone. Owners are chosen by weighted rendezvous hashing, in proportion to
+/// capacity. This bounds the number of connections per leaf independently of the number of daemons.
 ///
-/// Invariants: equal member tables give equal owners; a change of one daemon, or of its capacity, moves only
-/// the shards that it gains or loses; a daemon that leaves frames unanswered is asked only when no other one
-/// is left, until it is heard again; a daemon that is taken for an owner by one that knows or hears of others
-/// serves the shard for a while.
+/// Invariants: equal member tables give equal owners; adding, removing or resizing one daemon moves only the
+/// shards that it gains or loses; an unresponsive daemon is used only if no responsive candidate is left; a
+/// daemon that receives work for a shard that it does not own, because the sender's member table or its view
+/// of unresponsive daemons differs, serves the shard temporarily.
 
 #include <cstddef>
 #include <string>
@@ -23,7 +23,7 @@
 
 namespace oakpier::serving {
 
-/// The serving daemons, this one included, with what each can carry.
+/// All serving daemons, including this one, with their capacities.
 struct DaemonGroup {
   std::vector<ServingDaemon> all;
   std::vector<ServingDaemon> ownZone;
@@ -32,30 +32,32 @@
   std::size_t zones = 1;
 };
 
-/// What all together count for in placement, in hundredths of a core; those that did not tell count as usual
-/// ones.
+/// The sum of the daemons' placement weights, in hundredths of a core. A daemon with unknown capacity counts
+/// with the default capacity.
 std::uint64_t capacityOf(const std::vector<ServingDaemon>& daemons);
 
-/// The first owner and the one that steps in for it.
+/// The primary owner and its successor.
 inline constexpr std::size_t kOwnersPerShard = 2;
 
-/// Daemons that may step in as owners one after the other while those before them are silent. With three in
-/// ten of a zone's daemons at a standstill both of two owners are for one shard in eleven, more than an
-/// answer may lack where nineteen of twenty shards are wanted; all of six are for one in a thousand.
+/// Number of daemons ranked per shard. Lower ranks become owners while higher ones are unresponsive. With 30%
+/// of a zone's daemons unresponsive, two candidates would leave 9% of the shards without an owner, too many
+/// for a route that requires 95% of its shards; six leave 0.1%.
 inline constexpr std::size_t kCandidatesPerShard = 6;
 
-/// True when a leaf accepts too few connections for every daemon to have its own.
+/// True if a leaf accepts fewer connections than there are daemons.
 bool needsOwners(std::size_t maximumConnections, std::size_t daemons);
 
-/// The services that are left to owners: all whose leafs accept too few connections, but for those that a
-/// route sends whole requests to. Leafs that no route names yet count as well: they may be tomorrow's shards.
+/// The services that are accessed through owners: those whose leafs accept too few connections, except the
+/// targets of single-service routes. Services that no route references are included, since a later
+/// configuration may use them as shards.
 std::unordered_set<std::string> servicesForOwners(const ServingConfiguration& configuration,
                                                   std::size_t daemons);
 
-/// Owners of a shard in all zones that may be at work at once, while member tables differ.
+/// Maximum number of daemons, over all zones, that own a shard at the same time while member tables differ.
 std::size_t ownersAtOnce(std::size_t zones);
 
-/// Connections that one owner may hold to a leaf: those of two owners a zone, while views differ, fit.
+/// Connections that one owner may hold to a leaf, so that two owners in every zone stay within the leaf's
+/// maximum.
 std::size_t ownerConnections(std::size_t maximumConnections, std::size_t zones);
 
 /// Not thread-safe.
@@ -64,42 +66,44 @@
   explicit ShardOwners(const Endpoint& self) : self_(self), daemons_{self} {}
 
   void setDaemons(std::vector<ServingDaemon> ownZone);
-  /// The services that are left to owners; all others are sent to by every daemon.
+  /// The services that are accessed through owners. Every daemon connects to the leafs of all others
+  /// directly.
   void setServices(std::unordered_set<std::string> services) { services_ = std::move(services); }
 
   bool any() const { return !services_.empty(); }
   bool owned(const std::string& service) const { return services_.count(service) != 0; }
-  /// In the order in which they are to be tried.
+  /// At most `kOwnersPerShard` daemons, in the order in which to try them.
   std::vector<Endpoint> ownersOf(const std::string& service, Moment now);
-  /// This daemon is one of the shard's owners, or serves it for daemons that take it for one.
+  /// True if this daemon is the shard's primary owner or its successor, or serves the shard temporarily.
   bool isOwner(const std::string& service);
-  /// Another daemon takes this one for an owner of the shard. True when this daemon did not serve it yet.
+  /// Another daemon sent work for the shard. Returns true if this daemon starts to serve the shard
+  /// temporarily.
   bool serveForOther(const std::string& service, Moment now);
-  /// Ends what nobody has asked for in a while.
+  /// Stops serving shards that are not owned here and for which no work has been received recently.
   void dropUnasked(Moment now);
-  /// This daemon is the shard's first owner.
+  /// True if this daemon is the shard's primary owner, whether or not it is responsive to others.
   bool isFirstOwner(const std::string& service);
 
   void onSent(const Endpoint& owner, Moment now) { silence_.onSent(owner, now); }
   void onHeard(const Endpoint& owner, Moment now) { silence_.onHeard(owner, now); }
-  /// Daemons whose silence the others of the zone are to be told of now.
+  /// Newly unresponsive daemons, to be reported to the other daemons of the zone.
   std::vector<Endpoint> takeNewlySilent(Moment now) { return silence_.takeNewlySilent(now); }
-  /// Another daemon says that this one is silent.
+  /// Another daemon reported the owner as unresponsive.
   void onToldSilent(const Endpoint& owner, Moment now) { silence_.onToldSilent(owner, now); }
-  /// The daemon has left a frame unanswered for longer than a living one would.
+  /// True if a frame to the daemon has been unanswered for longer than the timeout.
   bool silent(const Endpoint& owner, Moment now) const { return silence_.silent(owner, now); }
-  /// Daemons that are silent and should be asked for a sign of life now.
+  /// Unresponsive daemons that are due for a probe.
   std::vector<Endpoint> takeProbes(Moment now) { return silence_.takeTries(now); }
 
  private:
-  /// The shard's candidates, the owners first.
+  /// The shard's candidates by rank, regardless of responsiveness.
   const std::vector<Endpoint>& ranked(const std::string& service);
 
   Endpoint self_;
   std::vector<ServingDaemon> daemons_;
   std::unordered_set<std::string> services_;
   std::unordered_map<std::string, std::vector<Endpoint>> ranked_;
-  /// Shards that only others take this daemon for an owner of, and when they last did.
+  /// Shards served temporarily, with the time at which work for them was last received.
   std::unordered_map<std::string, Moment> servedForOthers_;
   PeerSilence silence_;
 };
--- a/src/coordination/serving/shard_server.cpp
+++ b/src/coordination/serving/shard_server.cpp
@@ -19,7 +19,7 @@
   return request;
 }
 
-/// What of the route a part needs.
+/// The route fields that a part needs.
 Route routeOf(const OwnerWork& work) {
   Route route;
   route.name = work.route();
@@ -119,7 +119,7 @@
     const bool ran = part.exchange->mayHaveRun();
     OwnerResult& result = addResult(*work, out);
     result.set_exchange(part.askedAs);
-    // Not "not sent": the asker would try another owner.
+    // OWNER_NOT_SENT would make the requester try another owner.
     result.set_status(ran ? OWNER_NO_ANSWER : OWNER_NOT_RUN);
     giveUp(work, part, ran ? UnansweredPart::Reason::kNoAnswer : UnansweredPart::Reason::kNotRun, out);
   }
--- a/src/coordination/serving/shard_server.h
+++ b/src/coordination/serving/shard_server.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/// The owner's side of a shard: runs other daemons' parts of queries on the shard's leafs and tells them what
-/// came of it. Sends, hedges and retries are those of `PartExchange`.
+/// The owner's side of a shard: executes parts of other daemons' queries on the shard's leafs and returns the
+/// results. Sending, hedging and retrying are done by `PartExchange`.
 ///
-/// Invariants: each part gets one final result unless it was cancelled or its time has passed; a result goes
-/// to the process that asked, not to a later one at its address.
+/// Invariants: each part gets exactly one final result unless it is cancelled or its deadline passes; a
+/// result is addressed to the process that sent the work, not to a later process at the same address.
 
 #include <list>
 #include <memory>
@@ -17,10 +17,10 @@
 
 namespace oakpier::serving {
 
-/// Parts of one request for one asking daemon.
+/// The parts of one request that one requester has sent to this owner.
 struct ServedWork {
   struct Part {
-    /// The asking daemon's number.
+    /// The exchange number at the requester.
     ExchangeId askedAs = 0;
     std::unique_ptr<PartExchange> exchange;
     bool finished = false;
@@ -28,11 +28,11 @@
 
   Endpoint asker;
   std::uint64_t askerRun = 0;
-  /// With what of the route concerns leafs.
+  /// Only the fields that sending to leafs requires are set.
   Route route;
   std::size_t topRecords = 0;
   Moment receivedAt{};
-  /// The parts that are open then are given up.
+  /// Parts that are still open at this time are abandoned.
   Moment deadline{};
   HttpRequest request;
   RequestTrace trace;
@@ -40,7 +40,7 @@
   std::vector<Part> parts;
 };
 
-/// Send the work's request to this leaf.
+/// The request of `work`, to be sent to the action's leaf.
 struct ServedSend {
   std::shared_ptr<ServedWork> work;
   SendAction action;
@@ -51,14 +51,13 @@
   OwnerResults results;
 };
 
-/// A part that ended without an answer.
+/// A part that finished without an answer.
 struct UnansweredPart {
   enum class Reason { kNoAnswer, kNotRun, kWithdrawn, kTimePassed };
 
   std::shared_ptr<const ServedWork> work;
   std::string service;
   Reason reason = Reason::kNoAnswer;
-  /// What kept the answer away.
   LossCause cause = LossCause::kOneLeafSlow;
 };
 
@@ -91,12 +90,13 @@
     std::size_t part = 0;
   };
 
-  /// Carries out what the part decided and reports what became of it.
+  /// Passes on the part's sends; if the part has finished, adds its result and closes it.
   void settle(const WorkPointer& work, std::size_t part, QueryActions actions, ShardServerActions& out);
-  /// Refuses work on a request under which leafs have ended, unless its asker knows of it.
+  /// Refuses work for a quarantined request, one that has terminated leafs before, unless the requester
+  /// has already checked the request. Returns true if refused.
   bool refuse(const WorkPointer& work, const OwnerWork& asked, Moment now, ShardServerActions& out) const;
-  /// After an outcome: lets the work's parts go on that were held back, or ends them when no leaf that has
-  /// the request is left to answer.
+  /// After an outcome: resumes the work's parts that were held back, or, while `SendCaution` holds, finishes
+  /// them once no leaf that has received the request can still answer.
   void applyCaution(const WorkPointer& work, bool held, Moment now, ShardServerActions& out);
   static void finish(ServedWork::Part& part, ShardServerActions& out);
   static void giveUp(const WorkPointer& work, ServedWork::Part& part, UnansweredPart::Reason reason,
--- a/src/coordination/serving/weighted_rendezvous.cpp
+++ b/src/coordination/serving/weighted_rendezvous.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Bits of a hash that a double holds exactly.
+/// Bits of the hash that a double represents exactly.
 constexpr unsigned kExactBits = 53;
 
-/// A daemon's chance at a key: the lowest distance comes first.
+/// A daemon's score for a key: the lowest distance ranks first, the address breaks ties.
 struct Bid {
   double distance;
   Endpoint address;
@@ -23,12 +23,12 @@
   }
 };
 
-/// Exponentially distributed with the weight as its rate, so the least of several is a given daemon's with a
-/// chance in proportion to its weight. Processors may differ in the last bit of the logarithm; that changes
-/// a rank only where two distances agree to 15 digits.
+/// The distance is exponentially distributed with the weight as its rate, so the probability that a daemon
+/// has the least distance is proportional to its weight. The logarithm may differ in the last bit between
+/// processors, which affects the ranking only if two distances agree to 15 digits.
 Bid bidOf(std::uint64_t keyHash, const ServingDaemon& daemon) {
   const std::uint64_t hash = hashPair(keyHash, daemon.address.packed()) >> (64U - kExactBits);
-  // The half keeps it above 0 and below 1.
+  // Adding 0.5 keeps the value within the open interval (0, 1).
   const double even = std::ldexp(static_cast<double>(hash) + 0.5, -static_cast<int>(kExactBits));
   return Bid{-std::log(even) / placementWeight(daemon.capacity), daemon.address};
 }
--- a/src/coordination/serving/weighted_rendezvous.h
+++ b/src/coordination/serving/weighted_rendezvous.h
@@ -1,14 +1,14 @@
 #pragma once
 
-/// Ranks daemons for a key by weighted rendezvous hashing: over many keys each daemon comes first for a share
-/// in proportion to its capacity.
+/// Weighted rendezvous hashing: ranks daemons for a key so that each daemon ranks first for a fraction of the
+/// keys in proportion to its capacity.
 ///
-/// Invariants: the same daemons, in whatever order, give the same ranks on every daemon of one release; a
-/// daemon that joins, leaves or changes size changes its own place only, the others keep their order among
-/// themselves; where all capacities are equal the ranks are those of plain rendezvous hashing.
+/// Invariants: the same set of daemons gives the same ranking on every daemon of one release; a daemon that
+/// joins, leaves or changes its capacity changes only its own position, the relative order of the others
+/// stays; with equal capacities the ranking is that of unweighted rendezvous hashing.
 ///
-/// No state. Cost: 60 to 170 ns a daemon and key, thus 0.5 to 0.6 ms for a key over 7,100 daemons (optimized
-/// build, wall clock on a machine that was three times over-full): keep ranks that are used often.
+/// Cost: 60 to 170 ns per daemon and key, 0.5 to 0.6 ms for one key over 7,100 daemons (optimized build), so
+/// callers should cache rankings.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,21 +19,22 @@
 
 namespace oakpier::serving {
 
-/// Hundredths of a core that a daemon counts for when it did not tell: those of the platform's example
-/// machine (0.25 cores). A constant, not a mean over the fleet, so that nobody's place depends on the others.
+/// Weight of a daemon with unknown capacity, in hundredths of a core: that of the platform's example machine.
+/// A constant instead of the fleet's mean, so that a daemon's position does not depend on the others'
+/// capacities.
 inline constexpr unsigned kUsualCapacity = 25;
-/// Hundredths of a core that a daemon counts for at most: a machine of 256 cores. Guards against a wrong
-/// figure that would draw everything to one daemon.
+/// Upper bound of a daemon's weight, in hundredths of a core. Prevents a misconfigured capacity from
+/// assigning everything to one daemon.
 inline constexpr unsigned kMostCapacity = 25'600;
 
-/// A serving daemon and what it can carry.
+/// A serving daemon and its capacity.
 struct ServingDaemon {
   ServingDaemon() = default;
-  /// An address alone is a daemon that did not tell its capacity.
+  /// Implicit, so that an address alone is a daemon with unknown capacity.
   ServingDaemon(const Endpoint& where, unsigned hundredths = 0) : address(where), capacity(hundredths) {}
 
   Endpoint address;
-  /// In hundredths of a core; 0 when it did not tell.
+  /// In hundredths of a core; 0 if unknown.
   unsigned capacity = 0;
 
   friend bool operator==(const ServingDaemon& left, const ServingDaemon& right) {
@@ -44,15 +45,15 @@
 /// The addresses in the same order.
 std::vector<Endpoint> addressesOf(const std::vector<ServingDaemon>& daemons);
 
-/// What a daemon counts for in placement, in hundredths of a core; never 0.
+/// The weight of a daemon with this capacity, in hundredths of a core; never 0.
 unsigned placementWeight(unsigned capacity);
 
-/// The `most` first daemons for the key, the best first; all when there are fewer. `daemons` without
-/// duplicates, in any order.
+/// The `most` highest-ranked daemons for the key in order of rank, or all if there are fewer. `daemons`:
+/// without duplicates, in any order.
 std::vector<Endpoint> rankDaemons(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons,
                                   std::size_t most);
 
-/// The first of `rankDaemons`, found without sorting; empty when there is none.
+/// The first of `rankDaemons`, found in one pass; empty if `daemons` is empty.
 std::optional<Endpoint> firstDaemon(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/zone_mergers.cpp
+++ b/src/coordination/serving/zone_mergers.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-/// The frames for a single part cost about as many bytes as an exchange with the leaf.
+/// For a single part, the frames to and from a merge server take about as many bytes as a direct exchange.
 constexpr std::size_t kFewestMergedParts = 2;
+/// Ratio of the leaf's latency to the expected one.
 constexpr double kDoubtfulSlowness = 1.3;
 /// As a multiple of the leaf's slots.
 constexpr double kDoubtfulQueue = 1.0;
 
-/// What a leaf in trouble does is best seen first-hand.
+/// Leafs that may be failing or overloaded are contacted directly, so that this daemon observes them itself.
 bool doubtful(const LeafStatus& leaf, Moment now) {
   const double slots = std::max(1U, leaf.entry().slots);
   return leaf.ejected(now) || leaf.stalledFor(now).count() > 0 || leaf.slowness() > kDoubtfulSlowness ||
--- a/src/coordination/serving/zone_mergers.h
+++ b/src/coordination/serving/zone_mergers.h
@@ -1,10 +1,11 @@
 #pragma once
 
-/// Decides which requests to leafs of other zones go by way of a daemon there. That daemon sends them on and
-/// returns only records that can be among the greatest, so that fewer bytes cross between zones.
+/// Selects the requests to leafs of other zones that are routed through a merge server: a daemon in the
+/// leafs' zone that forwards them and returns only records that can be among the greatest. This reduces
+/// traffic between zones.
 ///
-/// Invariants: only first sends of a query over all shards go that way, so a part has at most one merged
-/// answer; a daemon that left work unanswered is tried again once in a while only.
+/// Invariants: only the first sends of a gather query are routed through merge servers, so a part gets at
+/// most one merged answer; an unresponsive merge server is used at most once per probe interval.
 
 #include <optional>
 #include <string>
@@ -26,18 +27,18 @@
   /// `otherZones`: the serving daemons of all zones but this daemon's own.
   void setDaemons(DaemonsByZone otherZones);
 
-  /// The zone that a query should turn to for what its own zone lacks, drawn anew for each; empty when there
-  /// is none. Leafs of one zone need one merger.
+  /// A random other zone, to be preferred by one query for shards that its own zone lacks, so that the query
+  /// needs one merge server only. Empty if no other zone is known.
   std::string drawZone(RandomEngine& random) const;
 
-  /// Sets the merger of those sends that should go by way of one. `sends` are all first sends of one query.
+  /// Sets the merge server of the sends to be routed through one. `sends`: all first sends of one query.
   void assign(std::vector<SendAction>& sends, RandomEngine& random, Moment now);
 
   void onSent(const Endpoint& merger, Moment now) { silence_.onSent(merger, now); }
   void onHeard(const Endpoint& merger, Moment now) { silence_.onHeard(merger, now); }
 
  private:
-  /// Drawn in proportion to capacity; empty when no daemon of the zone is known or all are silent.
+  /// A random daemon of the zone, with probability in proportion to capacity; empty if all are unresponsive.
   std::optional<Endpoint> chooseFrom(const std::string& zone, RandomEngine& random, Moment now);
 
   DaemonsByZone daemons_;
--- a/tests/serving/coordination/daemon_order_test.cpp
+++ b/tests/serving/coordination/daemon_order_test.cpp
@@ -1,5 +1,3 @@
-/// The order in which daemons read the configuration source and pass its news on.
-
 #include "coordination/serving/daemon_order.h"
 
 #include <algorithm>
@@ -15,7 +13,7 @@
 
 namespace {
 
-/// 66 weak daemons with the lower addresses and eight strong ones.
+/// 66 daemons of low capacity, which have the lower addresses, and eight of high capacity.
 std::vector<ServingDaemon> mixedFleet() {
   std::vector<ServingDaemon> fleet;
   for (std::uint32_t number = 1; number <= 74; ++number) {
@@ -35,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("the strong come first, equally strong ones by address", "[serving]") {
+TEST_CASE("daemons are ordered by descending capacity, then by address", "[serving]") {
   const DaemonOrder order(std::vector<ServingDaemon>{
       {Endpoint(1, 9), 12}, {Endpoint(4, 9), 50}, {Endpoint(2, 9), 0}, {Endpoint(3, 9), 50}});
   const std::vector<Endpoint> expected{Endpoint(3, 9), Endpoint(4, 9), Endpoint(2, 9), Endpoint(1, 9)};
@@ -44,13 +42,13 @@
   REQUIRE(order.before(Endpoint(4, 9), Endpoint(1, 9)));
   REQUIRE_FALSE(order.before(Endpoint(1, 9), Endpoint(4, 9)));
   REQUIRE_FALSE(order.before(Endpoint(1, 9), Endpoint(1, 9)));
-  // A daemon that is not known stands where one stands that told nothing.
+  // An unknown daemon is ordered as one of unknown capacity.
   REQUIRE(order.before(Endpoint(9, 9), Endpoint(1, 9)));
   REQUIRE(order.before(Endpoint(4, 9), Endpoint(9, 9)));
   REQUIRE(order.placeOf(Endpoint(9, 9)) == 3);
 }
 
-TEST_CASE("equal member tables give one order of all daemons", "[serving][property]") {
+TEST_CASE("equal member tables give the same total order", "[serving][property]") {
   OAKPIER_PROPERTY("order", [] {
     const auto fleet = drawnFleet();
     auto shuffled = fleet;
@@ -69,7 +67,7 @@
   });
 }
 
-TEST_CASE("without capacities the order is that of the addresses, whatever is known", "[serving][property]") {
+TEST_CASE("without capacities the order is by address, whichever daemons are known", "[serving][property]") {
   OAKPIER_PROPERTY("addresses", [] {
     const auto known = *rc::gen::inRange<std::uint32_t>(0, 20);
     std::vector<Endpoint> addresses;
@@ -83,7 +81,7 @@
   });
 }
 
-TEST_CASE("news of a strong reader goes through the strong", "[serving]") {
+TEST_CASE("updates from a reader of high capacity are forwarded by daemons of high capacity", "[serving]") {
   const DaemonOrder order(mixedFleet());
   const Endpoint root = order.daemons().front().address;
   std::size_t weakForwarders = 0;
@@ -91,11 +89,11 @@
     const bool forwards = !forwardTo(order, root, daemon.address).empty();
     weakForwarders += forwards && daemon.capacity < 50 ? 1 : 0;
   }
-  // Ten forward in a tree of 74; eight of them can be strong.
+  // A forwarding tree of 74 has ten inner nodes, and there are eight daemons of high capacity.
   REQUIRE(weakForwarders == 2);
 }
 
-TEST_CASE("every daemon is told once, however strong the members are", "[serving][property]") {
+TEST_CASE("the forwarding tree reaches every daemon once, whatever the capacities", "[serving][property]") {
   OAKPIER_PROPERTY("tree", [] {
     const auto fleet = drawnFleet();
     const DaemonOrder order(fleet);
@@ -114,7 +112,8 @@
   });
 }
 
-TEST_CASE("the strongest reads, and one that took over stops at the news of a stronger one", "[serving]") {
+TEST_CASE("the highest-ranked daemon reads, and a reader that took over yields to one of higher rank",
+          "[serving]") {
   const auto fleet = mixedFleet();
   const auto electionOf = [&](std::size_t number) {
     ReaderElection election(fleet[number].address, ReaderElectionSettings{});
--- a/tests/serving/coordination/fleet_settling_test.cpp
+++ b/tests/serving/coordination/fleet_settling_test.cpp
@@ -6,7 +6,7 @@
 
 namespace oakpier::serving {
 
-TEST_CASE("a member table is relied on once it has stopped growing", "[serving]") {
+TEST_CASE("a member table is complete after a period without growth", "[serving]") {
   const FleetSettlingSettings settings;
   FleetSettling settling(settings, at(0));
   REQUIRE(settling.settledAt() == at(0) + settings.shortest);
@@ -18,7 +18,7 @@
   REQUIRE(settling.settledAt() == at(1700) + settings.quiet);
 }
 
-TEST_CASE("a member table that grows on and on is relied on after the longest time", "[serving]") {
+TEST_CASE("a member table that keeps growing counts as complete after the maximum wait", "[serving]") {
   const FleetSettlingSettings settings;
   FleetSettling settling(settings, at(0));
   for (int count = 1; count < 500; count += 20) {
--- a/tests/serving/coordination/machine_limits_test.cpp
+++ b/tests/serving/coordination/machine_limits_test.cpp
@@ -1,5 +1,3 @@
-/// The one figure that stands for a machine.
-
 #include "coordination/serving/machine_limits.h"
 
 #include <catch2/catch.hpp>
@@ -19,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a machine carries the least of what its processor and its link allow", "[serving]") {
+TEST_CASE("a machine's capacity is the lower of its processor's and its link's", "[serving]") {
   REQUIRE(capacityOf(machine(0.5, 200)) == 50);
   REQUIRE(capacityOf(machine(0.28, 84)) == 28);
   REQUIRE(capacityOf(machine(0.12, 24)) == 12);
@@ -27,12 +25,12 @@
   REQUIRE(capacityOf(machine(0.5, 0)) == 50);
   REQUIRE(capacityOf(machine(0, 10)) == 10);
   REQUIRE(capacityOf(machine(0, 0)) == 0);
-  // However little it is, it was told.
+  // Not 0, which means unknown.
   REQUIRE(capacityOf(machine(0.001, 1000)) == 1);
   REQUIRE(capacityOf(machine(256, 1e7)) == kMostCapacity);
 }
 
-TEST_CASE("limits that no machine has are refused", "[serving]") {
+TEST_CASE("negative and implausibly high machine limits are rejected", "[serving]") {
   REQUIRE(problemsOf(machine(0.5, 200)).empty());
   REQUIRE(problemsOf(MachineLimits{}).empty());
   REQUIRE(problemsOf(machine(-1, -1)).size() == 2);
--- a/tests/serving/coordination/record_merge_test.cpp
+++ b/tests/serving/coordination/record_merge_test.cpp
@@ -6,7 +6,7 @@
 
 namespace oakpier::serving {
 
-TEST_CASE("the greatest records are those that a whole sort would put first", "[serving]") {
+TEST_CASE("the greatest records are the first ones of a complete sort", "[serving]") {
   OAKPIER_PROPERTY("merge", [] {
     const auto bodies = *rc::gen::container<std::vector<std::string>>(
         rc::gen::container<std::string>(rc::gen::element('\0', 'a', 'b', '\xff')));
--- a/tests/serving/coordination/shard_owners_test.cpp
+++ b/tests/serving/coordination/shard_owners_test.cpp
@@ -1,5 +1,3 @@
-/// Which daemon owns a shard, and what happens to owners that do not answer.
-
 #include "coordination/serving/shard_owners.h"
 
 #include <algorithm>
@@ -32,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("a daemon that others take for an owner serves the shard for a while", "[serving]") {
+TEST_CASE("a daemon that receives work for a shard it does not own serves it temporarily", "[serving]") {
   std::vector<Endpoint> daemons;
   for (std::uint32_t number = 1; number <= 40; ++number) {
     daemons.emplace_back(number, 1);
@@ -56,7 +54,7 @@
   REQUIRE_FALSE(owners.serveForOther("not left to owners", at(0)));
 }
 
-TEST_CASE("daemons that know the same others name the same owners", "[serving]") {
+TEST_CASE("daemons with equal member tables choose the same owners", "[serving]") {
   const auto group = daemons(17);
   auto first = ownersSeenBy(group[0], group);
   auto last = ownersSeenBy(group[16], group);
@@ -73,7 +71,7 @@
   }
 }
 
-TEST_CASE("daemons own shards in proportion to what they can carry", "[serving]") {
+TEST_CASE("daemons own shards in proportion to their capacity", "[serving]") {
   std::vector<ServingDaemon> zone;
   for (std::uint32_t number = 1; number <= 18; ++number) {
     zone.emplace_back(Endpoint(number, 9), number <= 2 ? 50 : 12);
@@ -92,7 +90,7 @@
   }
 }
 
-TEST_CASE("a daemon whose capacity changes gains or loses shards, the others swap none", "[serving]") {
+TEST_CASE("a daemon's capacity change moves shards only to or from that daemon", "[serving]") {
   std::vector<ServingDaemon> zone;
   for (std::uint32_t number = 1; number <= 7; ++number) {
     zone.emplace_back(Endpoint(number, 9), 29);
@@ -114,7 +112,7 @@
   REQUIRE(gained > 0);
 }
 
-TEST_CASE("a daemon that goes moves only its own shards, to their second owners", "[serving]") {
+TEST_CASE("the removal of a daemon moves only its shards, to their second owners", "[serving]") {
   OAKPIER_PROPERTY("moves", [] {
     auto group = daemons(*rc::gen::inRange<std::uint32_t>(2, 40));
     auto before = ownersSeenBy(group[0], group);
@@ -130,7 +128,7 @@
   });
 }
 
-TEST_CASE("an owner that leaves a frame unanswered is not asked until it is heard", "[serving]") {
+TEST_CASE("an unresponsive owner is not used until a frame is received from it", "[serving]") {
   const auto group = daemons(5);
   auto owners = ownersSeenBy(group[0], group);
   const auto usual = owners.ownersOf("s", at(0));
@@ -142,7 +140,7 @@
   REQUIRE(turned.size() == kOwnersPerShard);
   REQUIRE(turned[0] == usual[1]);
   REQUIRE(turned[1] != usual[0]);
-  // It is asked for a sign of life now and then, not sent work to.
+  // It is probed periodically but gets no work.
   REQUIRE(owners.takeProbes(at(300)) == std::vector<Endpoint>{usual[0]});
   REQUIRE(owners.takeProbes(at(310)).empty());
   REQUIRE(owners.takeProbes(at(600)).size() == 1);
@@ -150,7 +148,7 @@
   REQUIRE(owners.ownersOf("s", at(601)) == usual);
 }
 
-TEST_CASE("of two daemons a silent owner comes second", "[serving]") {
+TEST_CASE("of two daemons the unresponsive one is the second owner", "[serving]") {
   const auto group = daemons(2);
   auto owners = ownersSeenBy(group[0], group);
   const auto usual = owners.ownersOf("s", at(0));
@@ -159,7 +157,7 @@
   REQUIRE(owners.ownersOf("s", at(300)) == turned);
 }
 
-TEST_CASE("while both owners are silent further daemons step in, the same everywhere", "[serving]") {
+TEST_CASE("while both owners are unresponsive all daemons choose the same successors", "[serving]") {
   const auto group = daemons(19);
   auto owners = ownersSeenBy(group[0], group);
   auto others = ownersSeenBy(group[7], group);
@@ -173,7 +171,8 @@
   REQUIRE(std::find_first_of(stepIn.begin(), stepIn.end(), usual.begin(), usual.end()) == stepIn.end());
 }
 
-TEST_CASE("silence is told to others once, and believed unless the daemon was just heard", "[serving]") {
+TEST_CASE("an unresponsive daemon is reported once, and reports about a responsive one are ignored",
+          "[serving]") {
   const auto group = daemons(5);
   auto teller = ownersSeenBy(group[0], group);
   auto told = ownersSeenBy(group[1], group);
@@ -182,24 +181,24 @@
   REQUIRE(teller.takeNewlySilent(at(100)).empty());
   REQUIRE(teller.takeNewlySilent(at(150)) == std::vector<Endpoint>{usual[0]});
   REQUIRE(teller.takeNewlySilent(at(200)).empty());
-  SECTION("it is believed and not passed on") {
+  SECTION("the report is accepted and not propagated") {
     told.onToldSilent(usual[0], at(150));
     REQUIRE(told.ownersOf("s", at(151)).front() == usual[1]);
     REQUIRE(told.takeNewlySilent(at(151)).empty());
-    // It is asked for a sign of life like one that fell silent here.
+    // It is probed like a daemon that was found unresponsive locally.
     REQUIRE(told.takeProbes(at(150)).empty());
     REQUIRE(told.takeProbes(at(450)) == std::vector<Endpoint>{usual[0]});
     told.onHeard(usual[0], at(460));
     REQUIRE(told.ownersOf("s", at(461)) == usual);
   }
-  SECTION("it was heard a moment before") {
+  SECTION("a frame was received from the daemon within the timeout") {
     told.onHeard(usual[0], at(100));
     told.onToldSilent(usual[0], at(150));
     REQUIRE(told.ownersOf("s", at(151)) == usual);
   }
 }
 
-TEST_CASE("with both owners silent the first stays first", "[serving]") {
+TEST_CASE("with all owners unresponsive the order of the owners stays", "[serving]") {
   const auto group = daemons(2);
   auto owners = ownersSeenBy(group[0], group);
   const auto usual = owners.ownersOf("s", at(0));
@@ -208,7 +207,7 @@
   REQUIRE(owners.ownersOf("s", at(500)) == usual);
 }
 
-TEST_CASE("leafs that no route names yet are left to owners too", "[serving]") {
+TEST_CASE("services that no route references are accessed through owners too", "[serving]") {
   ServingConfiguration configuration;
   configuration.routes = {gatherRoute({"now"}, 0.5), singleRoute("whole", true, 2)};
   configuration.services = {{"now", 26}, {"next", 26}, {"whole", 26}, {"wide", 500}};
@@ -216,7 +215,7 @@
   REQUIRE(servicesForOwners(configuration, 12).empty());
 }
 
-TEST_CASE("the connections of all zones' owners fit a leaf", "[serving]") {
+TEST_CASE("the owners of all zones together stay within a leaf's maximum of connections", "[serving]") {
   OAKPIER_PROPERTY("connections", [] {
     const auto zones = *rc::gen::inRange<std::size_t>(1, 8);
     const auto maximum = *rc::gen::inRange<std::size_t>(2 * zones, 200);
--- a/tests/serving/coordination/shard_server_test.cpp
+++ b/tests/serving/coordination/shard_server_test.cpp
@@ -1,5 +1,5 @@
-/// The hop between daemons: a query that leaves its shards to owners, and the owners that serve them, with
-/// frames carried, lost and delayed by the test.
+/// Queries that delegate shards to owners, and the owners that execute them. The test delivers, loses and
+/// delays the frames in between.
 
 #include "coordination/serving/shard_server.h"
 
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-TEST_CASE("an owner answers the process that asked with the greatest records", "[serving]") {
+TEST_CASE("an owner returns the greatest records to the requesting process", "[serving]") {
   ServerWorld world;
   const auto started = world.server.onWork(kAsker, workOf({"s"}), at(0));
   REQUIRE(started.sends.size() == 1);
@@ -73,7 +73,7 @@
   REQUIRE(world.server.inProgress() == 0);
 }
 
-TEST_CASE("an owner asks leafs as the tenant, and with the rank, that it is told", "[serving]") {
+TEST_CASE("an owner passes the tenant and the rank on to the leafs", "[serving]") {
   ServerWorld world;
   OwnerWork work = workOf({"s"});
   work.set_tenant("amber");
@@ -83,7 +83,7 @@
   REQUIRE(started.sends.at(0).work->route.rank == 5);
 }
 
-TEST_CASE("an owner hedges, and takes back the loser once one has answered", "[serving]") {
+TEST_CASE("an owner hedges, and cancels the other attempt after the first answer", "[serving]") {
   ServerWorld world;
   const auto started = world.server.onWork(kAsker, workOf({"s"}), at(0));
   const ExchangeId first = started.sends[0].action.exchange;
@@ -98,11 +98,11 @@
                                            due + std::chrono::milliseconds(5));
   REQUIRE(done.abandons == std::vector<ExchangeId>{first});
   REQUIRE(done.results.size() == 1);
-  // The loser's late answer is nobody's.
+  // A late answer to the cancelled attempt is ignored.
   REQUIRE(world.server.onOutcome(first, outcomeOf(Kind::kAnswered, record('b')), at(300)).results.empty());
 }
 
-TEST_CASE("an owner says not run only when no leaf can have run the request", "[serving]") {
+TEST_CASE("an owner reports a part as not run only if no leaf can have executed it", "[serving]") {
   ServerWorld unknown;
   const auto nowhere = unknown.server.onWork(kAsker, workOf({"nowhere"}), at(0));
   REQUIRE(nowhere.results[0].results.results(0).status() == OWNER_NOT_SENT);
@@ -128,8 +128,7 @@
   REQUIRE(broken.results[0].results.results(0).status() == OWNER_NO_ANSWER);
 }
 
-TEST_CASE("an owner sends nothing of a request under which leafs have ended, unless the asker knows of it",
-          "[serving]") {
+TEST_CASE("an owner refuses a quarantined request unless the requester has checked it", "[serving]") {
   ServerWorld world;
   RequestQuarantine quarantine;
   world.context->quarantine = &quarantine;
@@ -137,7 +136,7 @@
   const RequestFingerprint fingerprint = fingerprintOf(HttpRequest{"GET", "/all/", {}, ""});
   quarantine.onLeafEnded(fingerprint, 1, at(0));
   quarantine.onLeafEnded(fingerprint, 2, at(0));
-  SECTION("the asker does not know") {
+  SECTION("the requester has not checked it") {
     const auto refused = world.server.onWork(kAsker, work, at(1000));
     REQUIRE(refused.sends.empty());
     REQUIRE(refused.results[0].results.results_size() == 2);
@@ -145,13 +144,13 @@
     REQUIRE(refused.unanswered[0].cause == LossCause::kEndsLeafs);
     REQUIRE(world.server.inProgress() == 0);
   }
-  SECTION("the asker knows") {
+  SECTION("the requester has checked it") {
     work.set_vetted(true);
     REQUIRE(world.server.onWork(kAsker, work, at(1000)).sends.size() == 2);
   }
 }
 
-TEST_CASE("an owner holds a request back once two leafs have ended under it", "[serving]") {
+TEST_CASE("an owner suspends a request after two leafs have crashed on it", "[serving]") {
   ServerWorld world(3);
   const auto started = world.server.onWork(kAsker, workOf({"s", "t"}, 3), at(0));
   for (const ServedSend& send : started.sends) {
@@ -166,21 +165,21 @@
   REQUIRE(held.sends.empty());
   REQUIRE(held.results.empty());
   const ExchangeId last = retried.sends[0].action.exchange;
-  SECTION("and ends it when the last leaf ends, too") {
+  SECTION("and finishes it without an answer if the last leaf crashes too") {
     const auto ended = world.server.onOutcome(last, outcomeOf(Kind::kLeafEnded), at(7));
     REQUIRE(ended.sends.empty());
     REQUIRE(ended.results[0].results.results_size() == 2);
     REQUIRE(ended.results[0].results.results(0).status() == OWNER_NO_ANSWER);
     REQUIRE(world.server.inProgress() == 0);
   }
-  SECTION("and goes on when a leaf answers") {
+  SECTION("and resumes it if a leaf answers") {
     const auto released = world.server.onOutcome(last, outcomeOf(Kind::kAnswered, record('a')), at(7));
     REQUIRE(released.sends.size() == 1);
     REQUIRE(released.sends[0].action.leaf->entry().service == "t");
   }
 }
 
-TEST_CASE("cancelled or expired work is taken back from leafs without a result", "[serving]") {
+TEST_CASE("cancelled and expired work is cancelled at the leafs and gets no result", "[serving]") {
   ServerWorld world;
   const auto started = world.server.onWork(kAsker, workOf({"s", "t"}), at(0));
   REQUIRE(started.sends.size() == 2);
@@ -207,7 +206,7 @@
 
 namespace {
 
-/// A query over owned shards at a daemon that is no owner.
+/// A query over owned shards at a daemon that owns none of them.
 struct AskerWorld : QueryWorld {
   explicit AskerWorld(const std::vector<std::string>& shards, double share)
       : QueryWorld(viewOf({gatherRoute(shards, share)}, shards, 2)),
@@ -226,7 +225,7 @@
 
 }  // namespace
 
-TEST_CASE("a second owner is asked only when the first has surely sent nothing", "[serving]") {
+TEST_CASE("a second owner is asked only if the first is known to have sent nothing", "[serving]") {
   for (const Kind kind : {Kind::kNotSent, Kind::kNotExecuted, Kind::kNoAnswer}) {
     AskerWorld world({"s"}, 1.0);
     const auto started = world.query->start(at(0));
@@ -239,7 +238,8 @@
       continue;
     }
     if (kind == Kind::kNotExecuted) {
-      // A leaf turned it away: what a second owner sends would be an extra send that nobody paid for.
+      // A leaf rejected the request, so a send by a second owner would be an extra attempt that is not
+      // charged to the retry budget.
       REQUIRE(next.relays.empty());
       REQUIRE(std::holds_alternative<Refusal>(*next.answer));
       continue;
@@ -257,14 +257,14 @@
   }
 }
 
-TEST_CASE("when the caller leaves, owners are told to withdraw", "[serving]") {
+TEST_CASE("a caller's disconnect cancels the parts at the owners", "[serving]") {
   AskerWorld world({"s", "t"}, 1.0);
   const auto started = world.query->start(at(0));
   world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
   REQUIRE(world.query->onCallerGone().abandons == std::vector<ExchangeId>{started.relays[1].exchange});
 }
 
-TEST_CASE("a query does not wait for an owner that has fallen silent", "[serving]") {
+TEST_CASE("a query does not wait for an unresponsive owner", "[serving]") {
   for (const double share : {0.5, 1.0}) {
     AskerWorld world({"s", "t"}, share);
     const auto started = world.query->start(at(0));
@@ -283,12 +283,12 @@
     } else {
       REQUIRE_FALSE(std::get<Failure>(*actions.answer).timedOut);
     }
-    // It may still be at work.
+    // The owner may still be executing the part.
     REQUIRE(actions.abandons == std::vector<ExchangeId>{started.relays[1].exchange});
   }
 }
 
-TEST_CASE("a query waits for an owner that says that it lives", "[serving]") {
+TEST_CASE("a query waits for a responsive owner", "[serving]") {
   AskerWorld world({"s"}, 1.0);
   const auto started = world.query->start(at(0));
   world.owners.onSent(started.relays[0].owner, at(0));
@@ -298,7 +298,7 @@
   }
 }
 
-TEST_CASE("a query merges what owners answered and says what is missing", "[serving]") {
+TEST_CASE("a query merges the owners' answers and reports the number of missing shards", "[serving]") {
   AskerWorld world({"s", "t", "u"}, 0.6);
   const auto started = world.query->start(at(0));
   REQUIRE(started.relays.size() == 3);
@@ -308,13 +308,13 @@
   const auto& merged = std::get<MergedAnswer>(*due.answer);
   REQUIRE(merged.missingShards == 1);
   REQUIRE(merged.records == record('b') + record('a'));
-  // What is still out at an owner is withdrawn.
+  // The part that is still open is cancelled at its owner.
   REQUIRE(due.abandons == std::vector<ExchangeId>{started.relays[1].exchange});
 }
 
 namespace {
 
-/// One query, three owners and the frames between them; frames and leafs fail as the generator says.
+/// One query, three owners and the frames in between. The generator decides which frames and leafs fail.
 class HopSimulation {
  public:
   HopSimulation() : asker_(shards_, 0.5) {
@@ -333,7 +333,7 @@
     frames_.pop_front();
     const int fate = *rc::gen::inRange(0, 4);
     if (fate == 0) {
-      // It never left: the transport says so.
+      // The transport reports that the frame was not sent.
       carry(asker_.query->onOutcome(relay.exchange, outcomeOf(Kind::kNotSent), now));
     } else if (fate != 1) {
       OwnerWork work = workOf({relay.service}, relay.attempts);
@@ -368,7 +368,7 @@
     }
   }
 
-  /// The most owners whose sends of one shard's request arrived at leafs.
+  /// The maximum, over all shards, of the number of owners from which leafs have received the request.
   std::size_t mostOwners() const {
     std::size_t most = 0;
     for (const auto& [shard, owners] : arrivedFrom_) {
@@ -377,7 +377,7 @@
     return most;
   }
 
-  /// The most leafs that may have run one shard's request.
+  /// The maximum, over all shards, of the number of leafs that may have executed the request.
   std::size_t mostLeafs() const {
     std::size_t most = 0;
     for (const auto& [shard, leafs] : ranAt_) {
@@ -427,15 +427,15 @@
   std::map<Endpoint, std::unique_ptr<ServerWorld>> owners_;
   std::deque<RelayAction> frames_;
   std::vector<Running> running_;
-  /// By shard: leafs that may have run the request.
+  /// By shard: leafs that may have executed the request.
   std::map<std::string, std::set<std::string>> ranAt_;
-  /// By shard: owners that a leaf has seen the request from.
+  /// By shard: owners from which a leaf has received the request.
   std::map<std::string, std::set<Endpoint>> arrivedFrom_;
 };
 
 }  // namespace
 
-TEST_CASE("owners together never let more leafs run a shard than the route allows", "[serving]") {
+TEST_CASE("the owners of a shard together stay within the route's attempts", "[serving]") {
   OAKPIER_PROPERTY("attempts", [] {
     HopSimulation simulation;
     for (int step = 1; step < 60; ++step) {
--- a/tests/serving/coordination/weighted_rendezvous_test.cpp
+++ b/tests/serving/coordination/weighted_rendezvous_test.cpp
@@ -1,5 +1,3 @@
-/// Which daemons come first for a key, by what they can carry.
-
 #include "coordination/serving/weighted_rendezvous.h"
 
 #include <algorithm>
@@ -63,7 +61,7 @@
 
 }  // namespace
 
-TEST_CASE("each daemon comes first for keys in proportion to its capacity", "[serving]") {
+TEST_CASE("each daemon ranks first for a share of the keys in proportion to its capacity", "[serving]") {
   const std::vector<Fleet> fleets = {fleetOf({{8, 50}, {7, 30}, {13, 28}}), fleetOf({{8, 50}, {66, 12}}),
                                      fleetOf({{1, 400}, {5, 100}, {6, 25}, {4, 0}})};
   for (const Fleet& fleet : fleets) {
@@ -76,9 +74,9 @@
   }
 }
 
-TEST_CASE("the second place is drawn in proportion as well", "[serving]") {
-  // Of one strong and many weak daemons the strong one is second wherever it is not first about as often as
-  // its share of what is left.
+TEST_CASE("each daemon ranks second in proportion to its capacity too", "[serving]") {
+  // Where the daemon of high capacity does not rank first, its share of the second ranks is its share of the
+  // total capacity without the first one's.
   const Fleet fleet = fleetOf({{1, 50}, {50, 10}});
   constexpr int kKeys = 50'000;
   int first = 0;
@@ -92,7 +90,8 @@
   REQUIRE(std::abs(second - due) < 0.1 * due);
 }
 
-TEST_CASE("a daemon that joins, leaves or changes size moves its own place only", "[serving][property]") {
+TEST_CASE("a daemon that joins, leaves or changes its capacity changes only its own rank",
+          "[serving][property]") {
   OAKPIER_PROPERTY("the others keep their order", [] {
     const Fleet fleet = drawnFleet();
     Fleet changed = fleet;
@@ -110,7 +109,7 @@
   });
 }
 
-TEST_CASE("no more keys move than a daemon's change of share asks for", "[serving]") {
+TEST_CASE("a capacity change moves only as many keys as the daemon's share changes by", "[serving]") {
   const Fleet before = fleetOf({{8, 50}, {66, 12}});
   const double total = totalWeight(before);
   constexpr int kKeys = 100'000;
@@ -136,7 +135,7 @@
   REQUIRE(std::abs(movedTo(grown) - grownGain) < 0.1 * grownGain);
 }
 
-TEST_CASE("the order in which daemons are known does not matter", "[serving][property]") {
+TEST_CASE("the ranking does not depend on the order of the input", "[serving][property]") {
   OAKPIER_PROPERTY("equal ranks", [] {
     const Fleet fleet = drawnFleet();
     Fleet shuffled = fleet;
@@ -153,24 +152,24 @@
   });
 }
 
-TEST_CASE("daemons that did not tell their capacity count as usual ones", "[serving]") {
+TEST_CASE("daemons of unknown capacity have the default capacity", "[serving]") {
   const Fleet untold = fleetOf({{20, 0}});
   const Fleet usual = fleetOf({{20, kUsualCapacity}});
   const Fleet strong = fleetOf({{20, 50}});
   for (int key = 0; key < 200; ++key) {
     REQUIRE(rankDaemons(keyHash(key), untold, 6) == rankDaemons(keyHash(key), usual, 6));
-    // Nor does it matter how strong all are alike.
+    // With equal capacities the ranking does not depend on their value.
     REQUIRE(rankDaemons(keyHash(key), untold, 6) == rankDaemons(keyHash(key), strong, 6));
   }
 }
 
-TEST_CASE("a figure beyond any machine draws no more than the largest machine", "[serving]") {
+TEST_CASE("the placement weight is limited to the maximum capacity", "[serving]") {
   REQUIRE(placementWeight(4'000'000'000U) == kMostCapacity);
   REQUIRE(placementWeight(0) == kUsualCapacity);
   REQUIRE(placementWeight(1) == 1);
 }
 
-TEST_CASE("without daemons there is no first one", "[serving]") {
+TEST_CASE("the ranking of no daemons is empty", "[serving]") {
   REQUIRE(rankDaemons(1, {}, 3).empty());
   REQUIRE_FALSE(firstDaemon(1, {}).has_value());
 }
--- a/tests/serving/coordination/zone_mergers_test.cpp
+++ b/tests/serving/coordination/zone_mergers_test.cpp
@@ -1,5 +1,3 @@
-/// Which requests go by way of a daemon in the leafs' zone.
-
 #include "coordination/serving/zone_mergers.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +13,7 @@
 const Endpoint kNear(2, 9);
 const Endpoint kFar(3, 9);
 
-/// Sends to leafs of the zones, one each.
+/// One send to a leaf of each of the zones.
 std::vector<SendAction> sendsTo(const std::vector<std::string>& zones) {
   std::vector<SendAction> sends;
   for (const std::string& zone : zones) {
@@ -28,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("leafs of another zone are asked by way of one daemon there", "[serving]") {
+TEST_CASE("requests to several leafs of another zone are routed through one merge server", "[serving]") {
   RandomEngine random(1);
   ZoneMergers mergers;
   mergers.setDaemons({{"b", {kNear, kFar}}});
@@ -40,7 +38,7 @@
   REQUIRE_FALSE(sends[3].merger);
 }
 
-TEST_CASE("a single leaf of a zone is asked directly", "[serving]") {
+TEST_CASE("a request to a single leaf of another zone is sent directly", "[serving]") {
   RandomEngine random(1);
   ZoneMergers mergers;
   mergers.setDaemons({{"b", {kNear}}, {"c", {kFar}}});
@@ -50,7 +48,7 @@
   REQUIRE(sends[1].merger == kFar);
 }
 
-TEST_CASE("a leaf that looks troubled is asked directly", "[serving]") {
+TEST_CASE("requests to ejected, stalled, slow and overloaded leafs are sent directly", "[serving]") {
   RandomEngine random(1);
   ZoneMergers mergers;
   mergers.setDaemons({{"b", {kNear}}});
@@ -74,7 +72,7 @@
   }));
 }
 
-TEST_CASE("a daemon that leaves work unanswered is avoided and tried again once in a while", "[serving]") {
+TEST_CASE("an unresponsive merge server is used at most once per probe interval", "[serving]") {
   RandomEngine random(1);
   ZoneMergers mergers;
   mergers.setDaemons({{"b", {kNear}}});
@@ -92,7 +90,7 @@
   REQUIRE(mergerAt(320) == kNear);
 }
 
-TEST_CASE("mergers are drawn in proportion to what they can carry", "[serving]") {
+TEST_CASE("merge servers are chosen in proportion to their capacity", "[serving]") {
   RandomEngine random(1);
   ZoneMergers mergers;
   std::vector<ServingDaemon> zone;
@@ -113,7 +111,7 @@
   }
 }
 
-TEST_CASE("the zone that a query turns to is one of the others", "[serving]") {
+TEST_CASE("the preferred zone of a query is one of the other zones", "[serving]") {
   RandomEngine random(1);
   ZoneMergers mergers;
   REQUIRE(mergers.drawZone(random).empty());
--- a/tests/serving/support/captured_log.h
+++ b/tests/serving/support/captured_log.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Keeps the log lines that are written while it lives.
+/// Records the log lines written during the lifetime of the object.
 
 #include <boost/log/core.hpp>
 #include <boost/log/expressions.hpp>
--- a/tests/serving/support/loopback.h
+++ b/tests/serving/support/loopback.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Raw peers on loopback that do exactly what a test says, driven by the same loop as the code under test.
+/// Scriptable TCP servers and clients on the loopback interface, driven by the event loop of the code under
+/// test.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -16,7 +17,7 @@
 
 namespace oakpier::serving {
 
-/// Runs the loop until the condition holds; fails when it does not within a generous bound.
+/// Runs the event loop until the condition holds. Fails the test after 20 s.
 inline void runUntil(boost::asio::io_context& context, const std::function<bool()>& condition) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!condition()) {
@@ -26,7 +27,7 @@
   }
 }
 
-/// Accepts connections; keeps all that each has received.
+/// Accepts connections and records the bytes that each receives.
 class RawServer {
  public:
   struct Connection {
@@ -49,10 +50,10 @@
     accept();
   }
 
-  /// From now on connections are accepted and reset at once.
+  /// From now on, new connections are reset immediately after they have been accepted.
   void resetNewConnections() { resets_ = true; }
   std::size_t resets() const { return resetCount_; }
-  /// From now on connections are refused; `reopen` takes them at the same address again.
+  /// From now on, connections are refused until `reopen` listens on the same address again.
   void close() {
     closedAt_ = acceptor_.local_endpoint();
     acceptor_.close();
@@ -86,7 +87,7 @@
           }
           connections_.push_back(std::make_shared<Connection>(std::move(socket)));
           if (resets_) {
-            // After the peer has seen that it is connected.
+            // Deferred, so that the peer sees the connection established first.
             boost::asio::post(acceptor_.get_executor(), [this, connection = connections_.back()] {
               connection->reset();
               ++resetCount_;
@@ -118,7 +119,7 @@
   std::vector<std::shared_ptr<Connection>> connections_;
 };
 
-/// One raw connection to a server under test.
+/// A TCP connection to a server under test.
 class RawClient {
  public:
   RawClient(boost::asio::io_context& context, const Endpoint& address)
--- a/tests/serving/support/serving_fixtures.h
+++ b/tests/serving/support/serving_fixtures.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Small configurations, leafs and outcomes for tests of the gateway.
+/// Minimal configurations, leafs and outcomes for tests of the gateway.
 
 #include <memory>
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace oakpier::serving {
 
-/// Of a source that tells no epoch.
+/// The position of a source that reports no epoch.
 inline SourcePosition inFirstEpoch(std::uint64_t revision) { return SourcePosition{0, revision}; }
 
 inline Moment at(int milliseconds) { return Moment(std::chrono::milliseconds(milliseconds)); }
@@ -49,7 +49,7 @@
   return entry;
 }
 
-/// `services` with `replicas` leafs each, named "service/number".
+/// Returns `replicas` leafs for each service, with ids of the form "service/number".
 inline LeafsByService leafsOf(const std::vector<std::string>& services, std::size_t replicas) {
   LeafsByService leafs;
   std::uint16_t port = 1;
@@ -90,7 +90,7 @@
   return outcome;
 }
 
-/// The shared state of queries, with an own registry and plenty of budget unless told otherwise.
+/// The shared state of queries, with its own registry and, by default, an ample retry budget.
 class QueryWorld {
  public:
   explicit QueryWorld(const std::shared_ptr<const ServingView>& view, double savedSends = 100)
