--- a/src/coordination/serving/machine_limits.cpp
+++ b/src/coordination/serving/machine_limits.cpp
@@ -33,10 +33,10 @@
 std::vector<std::string> problemsOf(const MachineLimits& limits) {
   std::vector<std::string> problems;
   if (!within(limits.processorCores, kMostCores)) {
-    problems.emplace_back("the machine's processor share must be between 0 and 256 cores");
+    problems.emplace_back("the processor share of the machine is not within 0 and 256 cores");
   }
   if (!within(limits.linkMegabits, kMostMegabits)) {
-    problems.emplace_back("the machine's link rate must be between 0 and 10,000,000 Mbit/s");
+    problems.emplace_back("the link of the machine is not within 0 and 10,000,000 Mbit/s");
   }
   return problems;
 }
--- a/src/coordination/serving/shard_owners.h
+++ b/src/coordination/serving/shard_owners.h
@@ -36,7 +36,7 @@
 /// with the default capacity.
 std::uint64_t capacityOf(const std::vector<ServingDaemon>& daemons);
 
-/// The primary owner and its successor.
+/// The first owner and its successor.
 inline constexpr std::size_t kOwnersPerShard = 2;
 
 /// Number of daemons ranked per shard. Lower ranks become owners while higher ones are unresponsive. With 30%
@@ -74,14 +74,14 @@
   bool owned(const std::string& service) const { return services_.count(service) != 0; }
   /// At most `kOwnersPerShard` daemons, in the order in which to try them.
   std::vector<Endpoint> ownersOf(const std::string& service, Moment now);
-  /// True if this daemon is the shard's primary owner or its successor, or serves the shard temporarily.
+  /// True if this daemon is the shard's first owner or its successor, or serves the shard temporarily.
   bool isOwner(const std::string& service);
   /// Another daemon sent work for the shard. Returns true if this daemon starts to serve the shard
   /// temporarily.
   bool serveForOther(const std::string& service, Moment now);
   /// Stops serving shards that are not owned here and for which no work has been received recently.
   void dropUnasked(Moment now);
-  /// True if this daemon is the shard's primary owner, whether or not it is responsive to others.
+  /// True if this daemon is the shard's first owner, whether or not it is responsive to others.
   bool isFirstOwner(const std::string& service);
 
   void onSent(const Endpoint& owner, Moment now) { silence_.onSent(owner, now); }
