--- a/src/coordination/serving/daemon_order.cpp
+++ b/src/coordination/serving/daemon_order.cpp
@@ -8,7 +8,7 @@
 
 /// Sort key, ascending: the weight subtracted from its upper bound, then the address.
 std::pair<unsigned, Endpoint> keyOf(const ServingDaemon& daemon) {
-  return {kMostCapacity - placementWeight(daemon.capacity), daemon.address};
+  return {kMaxCapacity - placementWeight(daemon.capacity), daemon.address};
 }
 
 bool comesBefore(const ServingDaemon& left, const ServingDaemon& right) { return keyOf(left) < keyOf(right); }
@@ -28,7 +28,7 @@
   return serving::keyOf(known != daemons_.end() ? *known : ServingDaemon(address));
 }
 
-std::size_t DaemonOrder::placeOf(const Endpoint& address) const {
+std::size_t DaemonOrder::rankOf(const Endpoint& address) const {
   const Key wanted = keyOf(address);
   const auto place = std::lower_bound(
       daemons_.begin(), daemons_.end(), wanted,
@@ -41,7 +41,7 @@
 }
 
 void DaemonOrder::add(const Endpoint& address) {
-  const auto place = daemons_.begin() + static_cast<std::ptrdiff_t>(placeOf(address));
+  const auto place = daemons_.begin() + static_cast<std::ptrdiff_t>(rankOf(address));
   if (place == daemons_.end() || place->address != address) {
     daemons_.insert(place, ServingDaemon(address));
   }
--- a/src/coordination/serving/daemon_order.h
+++ b/src/coordination/serving/daemon_order.h
@@ -28,7 +28,7 @@
   const std::vector<ServingDaemon>& daemons() const { return daemons_; }
   std::size_t size() const { return daemons_.size(); }
   /// The number of daemons that precede this one, which need not be in the table.
-  std::size_t placeOf(const Endpoint& address) const;
+  std::size_t rankOf(const Endpoint& address) const;
   bool before(const Endpoint& left, const Endpoint& right) const;
   /// Adds a daemon of unknown capacity unless its address is in the table.
   void add(const Endpoint& address);
--- a/src/coordination/serving/relayed_part.cpp
+++ b/src/coordination/serving/delegated_part.cpp
@@ -1,4 +1,4 @@
-#include "coordination/serving/relayed_part.h"
+#include "coordination/serving/delegated_part.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,20 +9,20 @@
 
 namespace {
 
-constexpr Duration kCheckPeriod = std::chrono::milliseconds(50);
+constexpr Duration kOwnerCheckInterval = std::chrono::milliseconds(50);
 
 }  // namespace
 
-RelayedPart::RelayedPart(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
-                         SendCaution& caution)
+DelegatedPart::DelegatedPart(std::string service, const Route& route, QueryContext& context,
+                             RequestTrace& trace, SendCaution& caution)
     : QueryPart(std::move(service)), route_(route), context_(context), trace_(trace), caution_(caution) {}
 
-void RelayedPart::note(Decision decision, const Endpoint& owner, Moment now,
-                       std::optional<LeafOutcome::Kind> outcome) {
+void DelegatedPart::note(Decision decision, const Endpoint& owner, Moment now,
+                         std::optional<LeafOutcome::Kind> outcome) {
   trace_.add(TraceEvent{now, decision, service_, nullptr, 0, 0, {}, outcome, owner});
 }
 
-void RelayedPart::start(Moment now, const PartTimes& times, QueryActions& actions) {
+void DelegatedPart::start(Moment now, const PartTimes& times, QueryActions& actions) {
   heldBack_ = false;
   times_ = times;
   owners_ = context_.owners->ownersOf(service_, now);
@@ -31,7 +31,7 @@
   }
 }
 
-bool RelayedPart::delegate(Moment now, QueryActions& actions) {
+bool DelegatedPart::delegate(Moment now, QueryActions& actions) {
   if (delegations_.size() >= owners_.size()) {
     return false;
   }
@@ -43,12 +43,12 @@
   const unsigned attempts = caution_.holds() ? 1 : route_.attempts;
   actions.relays.push_back(RelayAction{delegation.exchange, delegation.owner, service_, attempts});
   delegations_.push_back(delegation);
-  checkAt_ = now + kCheckPeriod;
+  checkAt_ = now + kOwnerCheckInterval;
   return true;
 }
 
-void RelayedPart::onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now,
-                            QueryActions& actions) {
+void DelegatedPart::onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now,
+                              QueryActions& actions) {
   Delegation& last = delegations_.back();
   if (last.exchange != exchange || last.finished || state_ != State::kOpen) {
     return;
@@ -69,26 +69,26 @@
   }
 }
 
-void RelayedPart::onTime(Moment now, QueryActions&) {
+void DelegatedPart::onTime(Moment now, QueryActions&) {
   if (state_ != State::kOpen || now < checkAt_) {
     return;
   }
-  checkAt_ = now + kCheckPeriod;
+  checkAt_ = now + kOwnerCheckInterval;
   const Endpoint& owner = delegations_.back().owner;
-  if (context_.owners->silent(owner, now)) {
+  if (context_.owners->isUnresponsive(owner, now)) {
     note(Decision::kOwnerSilent, owner, now);
-    ownerSilent_ = true;
+    ownerUnresponsive_ = true;
     state_ = State::kExhausted;
   }
 }
 
-void RelayedPart::onReleased(Moment now, QueryActions& actions) {
+void DelegatedPart::onReleased(Moment now, QueryActions& actions) {
   if (heldBack()) {
     start(now, times_, actions);
   }
 }
 
-void RelayedPart::close(QueryActions& actions) {
+void DelegatedPart::close(QueryActions& actions) {
   for (const Delegation& delegation : delegations_) {
     if (!delegation.finished) {
       actions.abandons.push_back(delegation.exchange);
@@ -96,24 +96,24 @@
   }
 }
 
-LossCause RelayedPart::lossCause() const {
+LossCause DelegatedPart::lossCause() const {
   if (heldBack()) {
-    return LossCause::kLeafEnded;
+    return LossCause::kLeafCrashed;
   }
   if (delegations_.empty()) {
     return LossCause::kNoUsableLeaf;
   }
-  if (ownerSilent_) {
-    return LossCause::kOwnerSilent;
+  if (ownerUnresponsive_) {
+    return LossCause::kOwnerUnresponsive;
   }
   return state_ == State::kExhausted ? LossCause::kOwnerFailed : LossCause::kOwnerLate;
 }
 
-bool RelayedPart::anythingOut() const {
+bool DelegatedPart::anythingOut() const {
   return state_ == State::kOpen && !delegations_.empty() && !delegations_.back().finished;
 }
 
-bool RelayedPart::mayHaveRun() const {
+bool DelegatedPart::mayHaveRun() const {
   return std::any_of(delegations_.begin(), delegations_.end(),
                      [](const Delegation& delegation) { return !delegation.knownNotRun; });
 }
--- a/src/coordination/serving/relayed_part.h
+++ b/src/coordination/serving/delegated_part.h
@@ -18,11 +18,11 @@
 
 namespace oakpier::serving {
 
-class RelayedPart : public QueryPart {
+class DelegatedPart : public QueryPart {
  public:
   /// Requires `context.owners`. `trace` and `caution` must outlive the part.
-  RelayedPart(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
-              SendCaution& caution);
+  DelegatedPart(std::string service, const Route& route, QueryContext& context, RequestTrace& trace,
+                SendCaution& caution);
 
   void start(Moment now, const PartTimes& times, QueryActions& actions) override;
   void onWritten(ExchangeId) override {}
@@ -54,7 +54,7 @@
   SendCaution& caution_;
   std::vector<Endpoint> owners_;
   std::vector<Delegation> delegations_;
-  bool ownerSilent_ = false;
+  bool ownerUnresponsive_ = false;
   /// When to check next whether the owner is unresponsive.
   Moment checkAt_ = kNever;
 };
--- a/src/coordination/serving/forwarding_tree.cpp
+++ b/src/coordination/serving/forwarding_tree.cpp
@@ -7,8 +7,8 @@
   members.add(self);
   // Places are counted from the root on.
   const std::size_t count = members.size();
-  const std::size_t first = members.placeOf(root);
-  const std::size_t own = (members.placeOf(self) + count - first) % count;
+  const std::size_t first = members.rankOf(root);
+  const std::size_t own = (members.rankOf(self) + count - first) % count;
   std::vector<Endpoint> children;
   for (std::size_t child = own * kForwardingDegree + 1;
        child <= (own + 1) * kForwardingDegree && child < count; ++child) {
--- a/src/coordination/serving/leaf_assignment.cpp
+++ b/src/coordination/serving/leaf_assignment.cpp
@@ -6,7 +6,7 @@
 
 /// How many daemons may send to a leaf of the service.
 std::size_t sendersTo(const std::string& service, const SharingDaemons& daemons, const ShardOwners& owners) {
-  return owners.owned(service) ? ownersAtOnce(daemons.mostZones) : daemons.mostPlanned;
+  return owners.owned(service) ? maxConcurrentOwners(daemons.mostZones) : daemons.mostPlanned;
 }
 
 void assignService(const std::vector<LeafEntry>& leafs, const ServiceDefinition& service,
@@ -21,7 +21,7 @@
   if (!owners.isOwner(service.name)) {
     return;
   }
-  const std::size_t connections = ownerConnections(service.maximumConnections, daemons.zones);
+  const std::size_t connections = connectionsPerOwner(service.maximumConnections, daemons.zones);
   assignment.shares[service.name] = ConnectionShare{leafs.size(), connections};
   assignment.leafs[service.name] = chooseSubset(leafs, leafs.size(), self);
 }
@@ -34,7 +34,7 @@
   if (!view.configuration) {
     return assignment;
   }
-  const auto owned = servicesForOwners(*view.configuration, daemons.planned);
+  const auto owned = ownedServices(*view.configuration, daemons.planned);
   owners.setServices(owned);
   for (const std::string& service : owned) {
     if (owners.isFirstOwner(service)) {
--- a/src/coordination/serving/loss_causes.cpp
+++ b/src/coordination/serving/loss_causes.cpp
@@ -12,15 +12,15 @@
       return "leafs too busy";
     case LossCause::kNoUsableLeaf:
       return "no usable leaf";
-    case LossCause::kTurnedAway:
+    case LossCause::kRejectedByLeafs:
       return "turned away by leafs";
     case LossCause::kLeafUnreachable:
       return "leaf unreachable";
     case LossCause::kLeafFailed:
       return "leaf's own failure";
-    case LossCause::kLeafEnded:
+    case LossCause::kLeafCrashed:
       return "leaf ended under the request";
-    case LossCause::kEndsLeafs:
+    case LossCause::kCrashesLeafs:
       return "leafs end under the request";
     case LossCause::kConnectionBroken:
       return "connection broken";
@@ -30,9 +30,9 @@
       return "one leaf slow, no other asked";
     case LossCause::kEveryLeafSlow:
       return "every leaf asked slow";
-    case LossCause::kNoExtraSendLeft:
+    case LossCause::kRetryBudgetExhausted:
       return "no extra send left";
-    case LossCause::kOwnerSilent:
+    case LossCause::kOwnerUnresponsive:
       return "owner silent";
     case LossCause::kOwnerLate:
       return "owner late";
@@ -48,7 +48,7 @@
       return "configuration not proved fresh";
     case LossCause::kTenantOverLimit:
       return "tenant over its limit";
-    case LossCause::kTenantNotCounted:
+    case LossCause::kQuotaUnavailable:
       return "no daemon counted for the tenant";
     default:
       return "unknown";
--- a/src/coordination/serving/loss_causes.h
+++ b/src/coordination/serving/loss_causes.h
@@ -15,15 +15,15 @@
   /// The service has no leaf, or no eligible one was left.
   kNoUsableLeaf,
   /// Every leaf that was asked rejected the request without executing it.
-  kTurnedAway,
+  kRejectedByLeafs,
   /// No connection to a leaf could be established.
   kLeafUnreachable,
   /// A leaf answered with an error.
   kLeafFailed,
   /// The leaf's process terminated while it executed the request.
-  kLeafEnded,
+  kLeafCrashed,
   /// Rejected or deferred because leafs have terminated each time they executed the request.
-  kEndsLeafs,
+  kCrashesLeafs,
   /// The connection failed during the request, or the answer was invalid.
   kConnectionBroken,
   /// No connection became free early enough for the request to be sent.
@@ -33,9 +33,9 @@
   /// Several leafs were asked and all answered late or not at all.
   kEveryLeafSlow,
   /// One leaf was late and the retry budget did not allow another attempt.
-  kNoExtraSendLeft,
+  kRetryBudgetExhausted,
   /// The shard's owner or the merge server became unresponsive.
-  kOwnerSilent,
+  kOwnerUnresponsive,
   /// The shard's owner did not answer in time; its log has the cause.
   kOwnerLate,
   /// The shard's owner reported that it has no answer; its log has the cause.
@@ -51,12 +51,12 @@
   /// The tenant has exhausted its fleet-wide request quota.
   kTenantOverLimit,
   /// None of the daemons that count the tenant's requests answered.
-  kTenantNotCounted,
+  kQuotaUnavailable,
   /// Number of causes.
   kCount,
 };
 
-inline constexpr std::size_t kLossCauses = static_cast<std::size_t>(LossCause::kCount);
+inline constexpr std::size_t kLossCauseCount = static_cast<std::size_t>(LossCause::kCount);
 
 /// The name of the cause in logs and reports.
 const char* textOf(LossCause cause);
@@ -70,7 +70,7 @@
   double total() const;
 
  private:
-  std::array<double, kLossCauses> lost_{};
+  std::array<double, kLossCauseCount> lost_{};
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/machine_limits.cpp
+++ b/src/coordination/serving/machine_limits.cpp
@@ -11,10 +11,10 @@
 
 constexpr double kHundredths = 100;
 /// Higher values exceed any machine and indicate a wrong unit.
-constexpr double kMostCores = kMostCapacity / kHundredths;
-constexpr double kMostMegabits = 1e7;
+constexpr double kMaxCores = kMaxCapacity / kHundredths;
+constexpr double kMaxMegabits = 1e7;
 
-bool within(double figure, double most) { return std::isfinite(figure) && figure >= 0 && figure <= most; }
+bool within(double figure, double max) { return std::isfinite(figure) && figure >= 0 && figure <= max; }
 
 }  // namespace
 
@@ -27,15 +27,15 @@
   if (cores <= 0) {
     return 0;
   }
-  return static_cast<unsigned>(std::lround(std::clamp(cores * kHundredths, 1.0, double{kMostCapacity})));
+  return static_cast<unsigned>(std::lround(std::clamp(cores * kHundredths, 1.0, double{kMaxCapacity})));
 }
 
 std::vector<std::string> problemsOf(const MachineLimits& limits) {
   std::vector<std::string> problems;
-  if (!within(limits.processorCores, kMostCores)) {
+  if (!within(limits.processorCores, kMaxCores)) {
     problems.emplace_back("the processor share of the machine is not within 0 and 256 cores");
   }
-  if (!within(limits.linkMegabits, kMostMegabits)) {
+  if (!within(limits.linkMegabits, kMaxMegabits)) {
     problems.emplace_back("the link of the machine is not within 0 and 10,000,000 Mbit/s");
   }
   return problems;
--- a/src/coordination/serving/fleet_settling.h
+++ b/src/coordination/serving/membership_stabilization.h
@@ -10,41 +10,41 @@
 
 namespace oakpier::serving {
 
-struct FleetSettlingSettings {
+struct MembershipStabilizationSettings {
   /// Minimum wait after the start, for the first answers from other daemons.
-  Duration shortest = std::chrono::milliseconds(1500);
+  Duration minWait = std::chrono::milliseconds(1500);
   /// The table is complete when it has not grown for this long: several anti-entropy rounds of 250 ms each.
-  Duration quiet = std::chrono::milliseconds(900);
+  Duration quietPeriod = std::chrono::milliseconds(900);
   /// Maximum wait after the start.
-  Duration longest = std::chrono::seconds(4);
+  Duration maxWait = std::chrono::seconds(4);
   /// Growth by at most this fraction of the members does not restart the quiet period.
-  double growth = 0.1;
+  double minGrowth = 0.1;
 };
 
-class FleetSettling {
+class MembershipStabilization {
  public:
-  FleetSettling(const FleetSettlingSettings& settings, Moment startedAt)
-      : settings_(settings), startedAt_(startedAt), grownAt_(startedAt) {}
+  MembershipStabilization(const MembershipStabilizationSettings& settings, Moment startedAt)
+      : settings_(settings), startedAt_(startedAt), lastGrowthAt_(startedAt) {}
 
   /// `count`: known daemons, including this one.
   void onMembers(std::size_t count, Moment now) {
-    const double grown = static_cast<double>(count_) * (1.0 + settings_.growth);
-    if (static_cast<double>(count) > grown) {
+    const double threshold = static_cast<double>(count_) * (1.0 + settings_.minGrowth);
+    if (static_cast<double>(count) > threshold) {
       count_ = count;
-      grownAt_ = now;
+      lastGrowthAt_ = now;
     }
   }
 
   /// When the table counts as complete, provided it does not grow before then.
-  Moment settledAt() const {
-    const Moment quiet = std::max(startedAt_ + settings_.shortest, grownAt_ + settings_.quiet);
-    return std::min(quiet, startedAt_ + settings_.longest);
+  Moment stableAt() const {
+    const Moment quietUntil = std::max(startedAt_ + settings_.minWait, lastGrowthAt_ + settings_.quietPeriod);
+    return std::min(quietUntil, startedAt_ + settings_.maxWait);
   }
 
  private:
-  FleetSettlingSettings settings_;
+  MembershipStabilizationSettings settings_;
   Moment startedAt_;
-  Moment grownAt_;
+  Moment lastGrowthAt_;
   std::size_t count_ = 1;
 };
 
--- a/src/coordination/serving/merge_server.cpp
+++ b/src/coordination/serving/merge_server.cpp
@@ -15,17 +15,17 @@
 
 Duration microseconds(std::uint64_t count) { return Duration(static_cast<std::int64_t>(count)); }
 
-std::shared_ptr<MergeTask> taskFor(const Endpoint& asker, const MergeWork& work, Moment now) {
+std::shared_ptr<MergeTask> taskFor(const Endpoint& requester, const MergeWork& work, Moment now) {
   auto task = std::make_shared<MergeTask>();
-  task->asker = asker;
-  task->askerRun = work.sender_run();
+  task->requester = requester;
+  task->requesterRunId = work.sender_run();
   task->route.name = work.route();
   task->route.repeatable = true;
   task->route.targetLatency = microseconds(work.target_latency_us());
   task->route.rank = work.rank();
   task->receivedAt = now;
   task->deadline = now + microseconds(work.remaining_us());
-  task->holdUntil = now + microseconds(work.hold_us()) - kReturnMargin;
+  task->batchUntil = now + microseconds(work.hold_us()) - kReturnMargin;
   task->request = HttpRequest{work.method(), work.target(), {}, work.body(), work.tenant()};
   for (const HeaderField& field : work.headers()) {
     task->request.headers.push_back(Header{field.name(), field.value()});
@@ -57,9 +57,9 @@
   }
 }
 
-MergeResult& addResult(MergeTask& task, ExchangeId askedAs, MergeOutcome outcome, Moment now) {
+MergeResult& addResult(MergeTask& task, ExchangeId requesterExchange, MergeOutcome outcome, Moment now) {
   MergeResult& result = *task.results.add_results();
-  result.set_exchange(askedAs);
+  result.set_exchange(requesterExchange);
   result.set_outcome(outcome);
   result.set_taken_us(static_cast<std::uint64_t>((now - task.receivedAt).count()));
   return result;
@@ -67,10 +67,10 @@
 
 /// Reports the load that the leaf has reported plus the requests that wait here for a connection to it, since
 /// further requests from the requester would queue behind both.
-void setLoad(const LeafStatus& leaf, const std::optional<ReportedLoad>& told, MergeResult& result) {
+void setLoad(const LeafStatus& leaf, const std::optional<ReportedLoad>& reported, MergeResult& result) {
   const auto outstanding = static_cast<unsigned>(leaf.inProgress());
   const unsigned slots = std::max(1U, leaf.entry().slots);
-  const ReportedLoad load = told.value_or(ReportedLoad{});
+  const ReportedLoad load = reported.value_or(ReportedLoad{});
   result.set_slots(slots);
   result.set_running(std::max(load.running, std::min(outstanding, slots)));
   result.set_waiting(std::max(load.waiting, outstanding > slots ? outstanding - slots : 0));
@@ -78,11 +78,11 @@
 
 /// Moves the task's results into a frame for the requester.
 OutgoingMergeResults takeResults(MergeTask& task) {
-  OutgoingMergeResults outgoing{task.asker, {}};
+  OutgoingMergeResults outgoing{task.requester, {}};
   outgoing.results.Swap(&task.results);
   task.greatest = greatestRecords({task.greatest, task.newRecords}, task.topRecords);
-  outgoing.results.set_receiver_run(task.askerRun);
-  outgoing.results.set_records(recordsThatCount(task.newRecords, task.greatest, task.topRecords));
+  outgoing.results.set_receiver_run(task.requesterRunId);
+  outgoing.results.set_records(recordsWithinTop(task.newRecords, task.greatest, task.topRecords));
   outgoing.results.set_earlier_answers(task.returnedAnswers);
   task.newRecords.clear();
   for (const MergeResult& result : outgoing.results.results()) {
@@ -102,9 +102,9 @@
   return found == leafs.end() ? nullptr : *found;
 }
 
-MergeServerActions MergeServer::onWork(const Endpoint& asker, const MergeWork& work, Moment now) {
+MergeServerActions MergeServer::onWork(const Endpoint& requester, const MergeWork& work, Moment now) {
   MergeServerActions out;
-  const TaskPointer task = taskFor(asker, work, now);
+  const TaskPointer task = taskFor(requester, work, now);
 
   const RouteLatency& latency = context_.latencyOf(task->route);
   const Duration expected = latency.high();
@@ -132,11 +132,11 @@
   if (task->results.results_size() == 0) {
     return;
   }
-  if (urgent || task->openParts == 0 || now >= task->holdUntil) {
-    waiting_.remove(task);
+  if (urgent || task->openParts == 0 || now >= task->batchUntil) {
+    batching_.remove(task);
     out.results.push_back(takeResults(*task));
-  } else if (std::find(waiting_.begin(), waiting_.end(), task) == waiting_.end()) {
-    waiting_.push_back(task);
+  } else if (std::find(batching_.begin(), batching_.end(), task) == batching_.end()) {
+    batching_.push_back(task);
   }
 }
 
@@ -150,7 +150,7 @@
   parts_.erase(found);
   MergeTask& task = *part.task;
   --task.openParts;
-  MergeResult& result = addResult(task, part.askedAs, codeOf(outcome.kind), now);
+  MergeResult& result = addResult(task, part.requesterExchange, codeOf(outcome.kind), now);
   setLoad(*part.leaf, outcome.load, result);
   const bool answered = outcome.kind == LeafOutcome::Kind::kAnswered;
   if (answered) {
@@ -164,7 +164,7 @@
 
 MergeServerActions MergeServer::onTime(Moment now) {
   MergeServerActions out;
-  const std::list<TaskPointer> waiting = waiting_;
+  const std::list<TaskPointer> waiting = batching_;
   for (const TaskPointer& task : waiting) {
     returnWhenDue(task, false, now, out);
   }
@@ -173,18 +173,18 @@
 
 Moment MergeServer::nextDecisionAt() const {
   Moment next = kNever;
-  for (const TaskPointer& task : waiting_) {
-    next = std::min(next, task->holdUntil);
+  for (const TaskPointer& task : batching_) {
+    next = std::min(next, task->batchUntil);
   }
   return next;
 }
 
-MergeServerActions MergeServer::onCancel(const Endpoint& asker, const MergeCancel& cancel) const {
+MergeServerActions MergeServer::onCancel(const Endpoint& requester, const MergeCancel& cancel) const {
   MergeServerActions out;
   const auto& exchanges = cancel.exchanges();
   for (const auto& [exchange, part] : parts_) {
-    const bool same = part.task->asker == asker && part.task->askerRun == cancel.sender_run();
-    if (same && std::find(exchanges.begin(), exchanges.end(), part.askedAs) != exchanges.end()) {
+    const bool same = part.task->requester == requester && part.task->requesterRunId == cancel.sender_run();
+    if (same && std::find(exchanges.begin(), exchanges.end(), part.requesterExchange) != exchanges.end()) {
       out.abandons.push_back(exchange);
     }
   }
--- a/src/coordination/serving/merge_server.h
+++ b/src/coordination/serving/merge_server.h
@@ -23,14 +23,14 @@
 
 /// One request from one requester.
 struct MergeTask {
-  Endpoint asker;
-  std::uint64_t askerRun = 0;
+  Endpoint requester;
+  std::uint64_t requesterRunId = 0;
   /// Only the fields that sending to leafs requires are set.
   Route route;
   Moment receivedAt{};
   Moment deadline{};
   /// Answers are batched until this time.
-  Moment holdUntil{};
+  Moment batchUntil{};
   HttpRequest request;
   std::size_t topRecords = 0;
   std::size_t openParts = 0;
@@ -65,12 +65,12 @@
  public:
   explicit MergeServer(QueryContext& context) : context_(context) {}
 
-  MergeServerActions onWork(const Endpoint& asker, const MergeWork& work, Moment now);
+  MergeServerActions onWork(const Endpoint& requester, const MergeWork& work, Moment now);
   MergeServerActions onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now);
   MergeServerActions onTime(Moment now);
   /// When `onTime` is due.
   Moment nextDecisionAt() const;
-  MergeServerActions onCancel(const Endpoint& asker, const MergeCancel& cancel) const;
+  MergeServerActions onCancel(const Endpoint& requester, const MergeCancel& cancel) const;
   std::size_t inProgress() const { return parts_.size(); }
 
  private:
@@ -79,7 +79,7 @@
     TaskPointer task;
     std::shared_ptr<LeafStatus> leaf;
     /// The exchange number at the requester.
-    ExchangeId askedAs = 0;
+    ExchangeId requesterExchange = 0;
   };
 
   std::shared_ptr<LeafStatus> findLeaf(const MergePart& part) const;
@@ -90,7 +90,7 @@
   QueryContext& context_;
   std::unordered_map<ExchangeId, Part> parts_;
   /// Tasks whose results are being batched.
-  std::list<TaskPointer> waiting_;
+  std::list<TaskPointer> batching_;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/zone_mergers.cpp
+++ b/src/coordination/serving/merge_server_selector.cpp
@@ -1,4 +1,4 @@
-#include "coordination/serving/zone_mergers.h"
+#include "coordination/serving/merge_server_selector.h"
 
 #include <algorithm>
 #include <iterator>
@@ -9,32 +9,32 @@
 namespace {
 
 /// For a single part, the frames to and from a merge server take about as many bytes as a direct exchange.
-constexpr std::size_t kFewestMergedParts = 2;
+constexpr std::size_t kMinMergedParts = 2;
 /// Ratio of the leaf's latency to the expected one.
-constexpr double kDoubtfulSlowness = 1.3;
+constexpr double kMaxSlowness = 1.3;
 /// As a multiple of the leaf's slots.
-constexpr double kDoubtfulQueue = 1.0;
+constexpr double kMaxQueueRatio = 1.0;
 
 /// Leafs that may be failing or overloaded are contacted directly, so that this daemon observes them itself.
-bool doubtful(const LeafStatus& leaf, Moment now) {
+bool shouldContactDirectly(const LeafStatus& leaf, Moment now) {
   const double slots = std::max(1U, leaf.entry().slots);
-  return leaf.ejected(now) || leaf.stalledFor(now).count() > 0 || leaf.slowness() > kDoubtfulSlowness ||
-         leaf.queueLength(now) > slots * kDoubtfulQueue;
+  return leaf.ejected(now) || leaf.stalledFor(now).count() > 0 || leaf.slowness() > kMaxSlowness ||
+         leaf.queueLength(now) > slots * kMaxQueueRatio;
 }
 
 }  // namespace
 
-void ZoneMergers::setDaemons(DaemonsByZone otherZones) {
+void MergeServerSelector::setDaemons(DaemonsByZone otherZones) {
   daemons_ = std::move(otherZones);
   std::vector<Endpoint> known;
   for (const auto& [zone, daemons] : daemons_) {
     const auto addresses = addressesOf(daemons);
     known.insert(known.end(), addresses.begin(), addresses.end());
   }
-  silence_.retain(known);
+  failureDetector_.retain(known);
 }
 
-std::string ZoneMergers::drawZone(RandomEngine& random) const {
+std::string MergeServerSelector::chooseZone(RandomEngine& random) const {
   if (daemons_.empty()) {
     return {};
   }
@@ -42,30 +42,32 @@
   return std::next(daemons_.begin(), place)->first;
 }
 
-void ZoneMergers::assign(std::vector<SendAction>& sends, RandomEngine& random, Moment now) {
+void MergeServerSelector::assign(std::vector<SendAction>& sends, RandomEngine& random, Moment now) {
   std::unordered_map<std::string, std::vector<SendAction*>> byZone;
   for (SendAction& send : sends) {
     const std::string& zone = send.leaf->entry().zone;
-    if (daemons_.count(zone) != 0 && !doubtful(*send.leaf, now)) {
+    if (daemons_.count(zone) != 0 && !shouldContactDirectly(*send.leaf, now)) {
       byZone[zone].push_back(&send);
     }
   }
   for (const auto& [zone, parts] : byZone) {
-    if (parts.size() < kFewestMergedParts) {
+    if (parts.size() < kMinMergedParts) {
       continue;
     }
-    const auto merger = chooseFrom(zone, random, now);
+    const auto mergeServer = chooseFrom(zone, random, now);
     for (SendAction* part : parts) {
-      part->merger = merger;
+      part->mergeServer = mergeServer;
     }
   }
 }
 
-std::optional<Endpoint> ZoneMergers::chooseFrom(const std::string& zone, RandomEngine& random, Moment now) {
+std::optional<Endpoint> MergeServerSelector::chooseFrom(const std::string& zone, RandomEngine& random,
+                                                        Moment now) {
   std::vector<ServingDaemon> candidates;
   std::size_t total = 0;
   for (const ServingDaemon& daemon : daemons_.at(zone)) {
-    if (!silence_.silent(daemon.address, now) || silence_.takeTry(daemon.address, now)) {
+    if (!failureDetector_.isUnresponsive(daemon.address, now) ||
+        failureDetector_.takeProbe(daemon.address, now)) {
       candidates.push_back(daemon);
       total += placementWeight(daemon.capacity);
     }
@@ -74,12 +76,12 @@
     return std::nullopt;
   }
   std::size_t drawn = drawBelow(total, random);
-  auto merger = candidates.begin();
-  while (drawn >= placementWeight(merger->capacity)) {
-    drawn -= placementWeight(merger->capacity);
-    ++merger;
+  auto mergeServer = candidates.begin();
+  while (drawn >= placementWeight(mergeServer->capacity)) {
+    drawn -= placementWeight(mergeServer->capacity);
+    ++mergeServer;
   }
-  return merger->address;
+  return mergeServer->address;
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/zone_mergers.h
+++ b/src/coordination/serving/merge_server_selector.h
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/serving/peer_silence.h"
+#include "coordination/serving/peer_failure_detector.h"
 #include "coordination/serving/query_actions.h"
 #include "coordination/serving/weighted_rendezvous.h"
 #include "state/random.h"
@@ -20,7 +20,7 @@
 namespace oakpier::serving {
 
 /// Not thread-safe.
-class ZoneMergers {
+class MergeServerSelector {
  public:
   using DaemonsByZone = std::unordered_map<std::string, std::vector<ServingDaemon>>;
 
@@ -29,20 +29,20 @@
 
   /// A random other zone, to be preferred by one query for shards that its own zone lacks, so that the query
   /// needs one merge server only. Empty if no other zone is known.
-  std::string drawZone(RandomEngine& random) const;
+  std::string chooseZone(RandomEngine& random) const;
 
   /// Sets the merge server of the sends to be routed through one. `sends`: all first sends of one query.
   void assign(std::vector<SendAction>& sends, RandomEngine& random, Moment now);
 
-  void onSent(const Endpoint& merger, Moment now) { silence_.onSent(merger, now); }
-  void onHeard(const Endpoint& merger, Moment now) { silence_.onHeard(merger, now); }
+  void onSent(const Endpoint& mergeServer, Moment now) { failureDetector_.onSent(mergeServer, now); }
+  void onReceived(const Endpoint& mergeServer, Moment now) { failureDetector_.onReceived(mergeServer, now); }
 
  private:
   /// A random daemon of the zone, with probability in proportion to capacity; empty if all are unresponsive.
   std::optional<Endpoint> chooseFrom(const std::string& zone, RandomEngine& random, Moment now);
 
   DaemonsByZone daemons_;
-  PeerSilence silence_;
+  PeerFailureDetector failureDetector_;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/part_exchange.cpp
+++ b/src/coordination/serving/part_exchange.cpp
@@ -266,23 +266,23 @@
 
 LossCause PartExchange::lossCause() const {
   if (heldBack()) {
-    return LossCause::kLeafEnded;
+    return LossCause::kLeafCrashed;
   }
   if (attempts_.empty()) {
     return LossCause::kNoUsableLeaf;
   }
   if (state_ == State::kAnswered || anyOut()) {
     if (extraSendDenied_) {
-      return LossCause::kNoExtraSendLeft;
+      return LossCause::kRetryBudgetExhausted;
     }
     return attempts_.size() == 1 ? LossCause::kOneLeafSlow : LossCause::kEveryLeafSlow;
   }
   switch (lastFailure_.value_or(LeafOutcome::Kind::kNoAnswer)) {
     case LeafOutcome::Kind::kNotExecuted:
     case LeafOutcome::Kind::kWrongInstance:
-      return LossCause::kTurnedAway;
+      return LossCause::kRejectedByLeafs;
     case LeafOutcome::Kind::kLeafEnded:
-      return LossCause::kLeafEnded;
+      return LossCause::kLeafCrashed;
     case LeafOutcome::Kind::kNotSent:
       return LossCause::kLeafUnreachable;
     case LeafOutcome::Kind::kExpired:
--- a/src/coordination/serving/peer_silence.h
+++ b/src/coordination/serving/peer_failure_detector.h
@@ -15,39 +15,39 @@
 namespace oakpier::serving {
 
 /// Not thread-safe.
-class PeerSilence {
+class PeerFailureDetector {
  public:
   /// A frame that requires an answer was sent to the peer.
   void onSent(const Endpoint& peer, Moment now);
   /// Any frame was received from the peer.
-  void onHeard(const Endpoint& peer, Moment now);
+  void onReceived(const Endpoint& peer, Moment now);
   /// True if a frame to the peer has been unanswered for longer than the timeout.
-  bool silent(const Endpoint& peer, Moment now) const;
+  bool isUnresponsive(const Endpoint& peer, Moment now) const;
   /// True at most once per probe interval for an unresponsive peer: the caller may contact it again.
-  bool takeTry(const Endpoint& peer, Moment now);
+  bool takeProbe(const Endpoint& peer, Moment now);
   /// The unresponsive peers whose probe interval has elapsed.
-  std::vector<Endpoint> takeTries(Moment now);
+  std::vector<Endpoint> takeDueProbes(Moment now);
   /// Peers that this daemon has found unresponsive and that were not returned before. Peers reported by other
   /// daemons are not included.
-  std::vector<Endpoint> takeNewlySilent(Moment now);
+  std::vector<Endpoint> takeNewlyUnresponsive(Moment now);
   /// Another daemon reported the peer as unresponsive.
-  void onToldSilent(const Endpoint& peer, Moment now);
+  void onReportedUnresponsive(const Endpoint& peer, Moment now);
   /// Drops the state of all other peers.
   void retain(const std::vector<Endpoint>& peers);
 
  private:
-  struct Silence {
+  struct UnansweredFrame {
     Moment since{};
-    Moment triedAt{};
-    /// Returned by `takeNewlySilent`, or reported by another daemon.
-    bool told = false;
+    Moment probedAt{};
+    /// Returned by `takeNewlyUnresponsive`, or reported by another daemon.
+    bool reported = false;
   };
 
-  bool takeTry(const Endpoint& peer, Silence& silence, Moment now) const;
+  bool takeProbe(const Endpoint& peer, UnansweredFrame& entry, Moment now) const;
 
   /// Peers with an unanswered frame.
-  std::unordered_map<Endpoint, Silence> silences_;
-  std::unordered_map<Endpoint, Moment> heardAt_;
+  std::unordered_map<Endpoint, UnansweredFrame> unanswered_;
+  std::unordered_map<Endpoint, Moment> receivedAt_;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/query.cpp
+++ b/src/coordination/serving/query.cpp
@@ -3,11 +3,11 @@
 #include <algorithm>
 #include <utility>
 
+#include "coordination/serving/delegated_part.h"
+#include "coordination/serving/merge_server_selector.h"
 #include "coordination/serving/part_exchange.h"
 #include "coordination/serving/record_merge.h"
-#include "coordination/serving/relayed_part.h"
 #include "coordination/serving/shard_owners.h"
-#include "coordination/serving/zone_mergers.h"
 
 namespace oakpier::serving {
 
@@ -58,8 +58,8 @@
       isGather() ? gather_->shards : std::vector<std::string>{chooseService()};
   parts_.reserve(services.size());
   const PartTimes times{answerBy_, leafDeadline_, deadline_};
-  if (context_.mergers != nullptr) {
-    context_.preferredZone = context_.mergers->drawZone(context_.random);
+  if (context_.mergeServers != nullptr) {
+    context_.preferredZone = context_.mergeServers->chooseZone(context_.random);
   }
   bool trialBegun = false;
   for (const std::string& service : services) {
@@ -73,8 +73,8 @@
     advance(part, actions, [&] { part.start(now, times, actions); });
     trialBegun = isTrial() && part.anythingOut();
   }
-  if (isGather() && context_.mergers != nullptr) {
-    context_.mergers->assign(actions.sends, context_.random, now);
+  if (isGather() && context_.mergeServers != nullptr) {
+    context_.mergeServers->assign(actions.sends, context_.random, now);
   }
   decide(now, actions);
   return actions;
@@ -82,7 +82,7 @@
 
 std::unique_ptr<QueryPart> Query::newPart(const std::string& service) {
   if (isGather() && context_.owners != nullptr && context_.owners->owned(service)) {
-    return std::make_unique<RelayedPart>(service, route_, context_, *trace_, *caution_);
+    return std::make_unique<DelegatedPart>(service, route_, context_, *trace_, *caution_);
   }
   return std::make_unique<PartExchange>(service, route_, context_, *trace_, *caution_);
 }
--- a/src/coordination/serving/query_actions.h
+++ b/src/coordination/serving/query_actions.h
@@ -30,7 +30,7 @@
   ExchangeId exchange = 0;
   std::shared_ptr<LeafStatus> leaf;
   /// The daemon by way of which the request goes; none where it goes directly.
-  std::optional<Endpoint> merger;
+  std::optional<Endpoint> mergeServer;
   /// The leaf may work on the request until then.
   Moment deadline{};
   /// With less time than this left the request is not sent any more.
--- a/src/coordination/serving/query_policy.h
+++ b/src/coordination/serving/query_policy.h
@@ -59,7 +59,7 @@
 };
 
 class ShardOwners;
-class ZoneMergers;
+class MergeServerSelector;
 
 /// Numbers exchanges, so that no two of a process are alike.
 struct ExchangeNumbers {
@@ -78,7 +78,7 @@
   ShardOwners* owners = nullptr;
   std::unordered_map<std::string, RouteLatency> latencies;
   /// Null when nothing is merged in other zones.
-  ZoneMergers* mergers = nullptr;
+  MergeServerSelector* mergeServers = nullptr;
   /// Of the other zones the one that is chosen from first, while a query starts.
   std::string preferredZone = {};
   WarmupAllowances warmups = {};
--- a/src/coordination/serving/reader_election.cpp
+++ b/src/coordination/serving/reader_election.cpp
@@ -11,7 +11,7 @@
 
 void ReaderElection::setMembers(DaemonOrder members) {
   members_ = std::move(members);
-  place_ = members_.placeOf(self_);
+  place_ = members_.rankOf(self_);
   count_ = std::max<std::size_t>(1, members_.size());
 }
 
--- a/src/coordination/serving/record_merge.cpp
+++ b/src/coordination/serving/record_merge.cpp
@@ -46,7 +46,7 @@
     std::push_heap(kept_.begin(), kept_.end(), std::greater<>());
   }
 
-  std::vector<RecordKey> takeFalling() {
+  std::vector<RecordKey> takeDescending() {
     std::sort(kept_.begin(), kept_.end(), std::greater<>());
     return std::move(kept_);
   }
@@ -65,7 +65,7 @@
       greatest.add(keyOf(part.data() + begin));
     }
   }
-  const std::vector<RecordKey> keys = greatest.takeFalling();
+  const std::vector<RecordKey> keys = greatest.takeDescending();
   std::string merged;
   merged.reserve(keys.size() * kRecordBytes);
   for (const RecordKey& key : keys) {
@@ -74,7 +74,7 @@
   return merged;
 }
 
-std::string recordsThatCount(const std::string& records, const std::string& greatest, std::size_t count) {
+std::string recordsWithinTop(const std::string& records, const std::string& greatest, std::size_t count) {
   if (count == 0 || greatest.size() < count * kRecordBytes) {
     return records;
   }
--- a/src/coordination/serving/record_merge.h
+++ b/src/coordination/serving/record_merge.h
@@ -18,6 +18,6 @@
 
 /// Returns those of `records` that are not less than the `count`th record of `greatest`, or all if `greatest`
 /// has fewer than `count` records. Both are in descending order.
-std::string recordsThatCount(const std::string& records, const std::string& greatest, std::size_t count);
+std::string recordsWithinTop(const std::string& records, const std::string& greatest, std::size_t count);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/shard_owners.cpp
+++ b/src/coordination/serving/shard_owners.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 /// Owners in one zone that may hold connections to a leaf at the same time: the first one and its successor.
-constexpr std::size_t kOwnersAtOnce = 2;
-constexpr std::size_t kMostOwnerConnections = 6;
+constexpr std::size_t kMaxOwnersPerZone = 2;
+constexpr std::size_t kMaxOwnerConnections = 6;
 /// Longer than member tables take to converge, which is a few seconds.
-constexpr Duration kServedForOthers = std::chrono::seconds(10);
+constexpr Duration kAcceptedOwnershipDuration = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -23,8 +23,8 @@
   return maximumConnections < std::max<std::size_t>(1, daemons);
 }
 
-std::unordered_set<std::string> servicesForOwners(const ServingConfiguration& configuration,
-                                                  std::size_t daemons) {
+std::unordered_set<std::string> ownedServices(const ServingConfiguration& configuration,
+                                              std::size_t daemons) {
   std::unordered_set<std::string> owned;
   for (const ServiceDefinition& service : configuration.services) {
     if (needsOwners(service.maximumConnections, daemons)) {
@@ -41,13 +41,15 @@
   return owned;
 }
 
-std::size_t ownersAtOnce(std::size_t zones) { return std::max<std::size_t>(1, zones) * kOwnersAtOnce; }
+std::size_t maxConcurrentOwners(std::size_t zones) {
+  return std::max<std::size_t>(1, zones) * kMaxOwnersPerZone;
+}
 
-std::size_t ownerConnections(std::size_t maximumConnections, std::size_t zones) {
-  return std::clamp<std::size_t>(maximumConnections / ownersAtOnce(zones), 1, kMostOwnerConnections);
+std::size_t connectionsPerOwner(std::size_t maximumConnections, std::size_t zones) {
+  return std::clamp<std::size_t>(maximumConnections / maxConcurrentOwners(zones), 1, kMaxOwnerConnections);
 }
 
-std::uint64_t capacityOf(const std::vector<ServingDaemon>& daemons) {
+std::uint64_t totalPlacementWeight(const std::vector<ServingDaemon>& daemons) {
   return std::accumulate(
       daemons.begin(), daemons.end(), std::uint64_t{0},
       [](std::uint64_t sum, const ServingDaemon& daemon) { return sum + placementWeight(daemon.capacity); });
@@ -60,7 +62,7 @@
   }
   daemons_ = std::move(ownZone);
   ranked_.clear();
-  silence_.retain(addressesOf(daemons_));
+  failureDetector_.retain(addressesOf(daemons_));
 }
 
 const std::vector<Endpoint>& ShardOwners::ranked(const std::string& service) {
@@ -74,33 +76,33 @@
 std::vector<Endpoint> ShardOwners::ownersOf(const std::string& service, Moment now) {
   std::vector<Endpoint> owners = ranked(service);
   std::stable_partition(owners.begin(), owners.end(),
-                        [&](const Endpoint& candidate) { return !silent(candidate, now); });
+                        [&](const Endpoint& candidate) { return !isUnresponsive(candidate, now); });
   owners.resize(std::min(kOwnersPerShard, owners.size()));
   return owners;
 }
 
-bool ShardOwners::serveForOther(const std::string& service, Moment now) {
-  const auto served = servedForOthers_.find(service);
-  if (served != servedForOthers_.end()) {
+bool ShardOwners::acceptOwnership(const std::string& service, Moment now) {
+  const auto served = acceptedShards_.find(service);
+  if (served != acceptedShards_.end()) {
     served->second = now;
     return false;
   }
   if (!owned(service) || isOwner(service)) {
     return false;
   }
-  servedForOthers_.emplace(service, now);
+  acceptedShards_.emplace(service, now);
   return true;
 }
 
-void ShardOwners::dropUnasked(Moment now) {
-  for (auto served = servedForOthers_.begin(); served != servedForOthers_.end();) {
-    const bool unasked = now - served->second > kServedForOthers;
-    served = unasked ? servedForOthers_.erase(served) : std::next(served);
+void ShardOwners::expireAcceptedOwnership(Moment now) {
+  for (auto served = acceptedShards_.begin(); served != acceptedShards_.end();) {
+    const bool expired = now - served->second > kAcceptedOwnershipDuration;
+    served = expired ? acceptedShards_.erase(served) : std::next(served);
   }
 }
 
 bool ShardOwners::isOwner(const std::string& service) {
-  if (servedForOthers_.count(service) != 0) {
+  if (acceptedShards_.count(service) != 0) {
     return true;
   }
   const auto& candidates = ranked(service);
--- a/src/coordination/serving/shard_owners.h
+++ b/src/coordination/serving/shard_owners.h
@@ -15,7 +15,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "coordination/serving/peer_silence.h"
+#include "coordination/serving/peer_failure_detector.h"
 #include "coordination/serving/weighted_rendezvous.h"
 #include "state/endpoint.h"
 #include "state/serving/serving_configuration.h"
@@ -34,7 +34,7 @@
 
 /// The sum of the daemons' placement weights, in hundredths of a core. A daemon with unknown capacity counts
 /// with the default capacity.
-std::uint64_t capacityOf(const std::vector<ServingDaemon>& daemons);
+std::uint64_t totalPlacementWeight(const std::vector<ServingDaemon>& daemons);
 
 /// The first owner and its successor.
 inline constexpr std::size_t kOwnersPerShard = 2;
@@ -50,15 +50,14 @@
 /// The services that are accessed through owners: those whose leafs accept too few connections, except the
 /// targets of single-service routes. Services that no route references are included, since a later
 /// configuration may use them as shards.
-std::unordered_set<std::string> servicesForOwners(const ServingConfiguration& configuration,
-                                                  std::size_t daemons);
+std::unordered_set<std::string> ownedServices(const ServingConfiguration& configuration, std::size_t daemons);
 
 /// Maximum number of daemons, over all zones, that own a shard at the same time while member tables differ.
-std::size_t ownersAtOnce(std::size_t zones);
+std::size_t maxConcurrentOwners(std::size_t zones);
 
 /// Connections that one owner may hold to a leaf, so that two owners in every zone stay within the leaf's
 /// maximum.
-std::size_t ownerConnections(std::size_t maximumConnections, std::size_t zones);
+std::size_t connectionsPerOwner(std::size_t maximumConnections, std::size_t zones);
 
 /// Not thread-safe.
 class ShardOwners {
@@ -70,7 +69,7 @@
   /// directly.
   void setServices(std::unordered_set<std::string> services) { services_ = std::move(services); }
 
-  bool any() const { return !services_.empty(); }
+  bool hasOwnedServices() const { return !services_.empty(); }
   bool owned(const std::string& service) const { return services_.count(service) != 0; }
   /// At most `kOwnersPerShard` daemons, in the order in which to try them.
   std::vector<Endpoint> ownersOf(const std::string& service, Moment now);
@@ -78,22 +77,28 @@
   bool isOwner(const std::string& service);
   /// Another daemon sent work for the shard. Returns true if this daemon starts to serve the shard
   /// temporarily.
-  bool serveForOther(const std::string& service, Moment now);
+  bool acceptOwnership(const std::string& service, Moment now);
   /// Stops serving shards that are not owned here and for which no work has been received recently.
-  void dropUnasked(Moment now);
+  void expireAcceptedOwnership(Moment now);
   /// True if this daemon is the shard's first owner, whether or not it is responsive to others.
   bool isFirstOwner(const std::string& service);
 
-  void onSent(const Endpoint& owner, Moment now) { silence_.onSent(owner, now); }
-  void onHeard(const Endpoint& owner, Moment now) { silence_.onHeard(owner, now); }
+  void onSent(const Endpoint& owner, Moment now) { failureDetector_.onSent(owner, now); }
+  void onReceived(const Endpoint& owner, Moment now) { failureDetector_.onReceived(owner, now); }
   /// Newly unresponsive daemons, to be reported to the other daemons of the zone.
-  std::vector<Endpoint> takeNewlySilent(Moment now) { return silence_.takeNewlySilent(now); }
+  std::vector<Endpoint> takeNewlyUnresponsive(Moment now) {
+    return failureDetector_.takeNewlyUnresponsive(now);
+  }
   /// Another daemon reported the owner as unresponsive.
-  void onToldSilent(const Endpoint& owner, Moment now) { silence_.onToldSilent(owner, now); }
+  void onReportedUnresponsive(const Endpoint& owner, Moment now) {
+    failureDetector_.onReportedUnresponsive(owner, now);
+  }
   /// True if a frame to the daemon has been unanswered for longer than the timeout.
-  bool silent(const Endpoint& owner, Moment now) const { return silence_.silent(owner, now); }
+  bool isUnresponsive(const Endpoint& owner, Moment now) const {
+    return failureDetector_.isUnresponsive(owner, now);
+  }
   /// Unresponsive daemons that are due for a probe.
-  std::vector<Endpoint> takeProbes(Moment now) { return silence_.takeTries(now); }
+  std::vector<Endpoint> takeDueProbes(Moment now) { return failureDetector_.takeDueProbes(now); }
 
  private:
   /// The shard's candidates by rank, regardless of responsiveness.
@@ -104,8 +109,8 @@
   std::unordered_set<std::string> services_;
   std::unordered_map<std::string, std::vector<Endpoint>> ranked_;
   /// Shards served temporarily, with the time at which work for them was last received.
-  std::unordered_map<std::string, Moment> servedForOthers_;
-  PeerSilence silence_;
+  std::unordered_map<std::string, Moment> acceptedShards_;
+  PeerFailureDetector failureDetector_;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/shard_server.cpp
+++ b/src/coordination/serving/shard_server.cpp
@@ -40,208 +40,212 @@
   return part.mayHaveArrived() ? OWNER_NOT_RUN : OWNER_NOT_SENT;
 }
 
-OwnerResult& addResult(const ServedWork& work, ShardServerActions& out) {
-  if (out.results.empty() || !(out.results.back().to == work.asker)) {
-    out.results.push_back(OutgoingResults{work.asker, {}});
-    out.results.back().results.set_receiver_run(work.askerRun);
+OwnerResult& addResult(const OwnerTask& task, ShardServerActions& out) {
+  if (out.results.empty() || !(out.results.back().to == task.requester)) {
+    out.results.push_back(OutgoingOwnerResults{task.requester, {}});
+    out.results.back().results.set_receiver_run(task.requesterRunId);
   }
   return *out.results.back().results.add_results();
 }
 
 }  // namespace
 
-ShardServerActions ShardServer::onWork(const Endpoint& asker, const OwnerWork& work, Moment now) {
+ShardServerActions ShardServer::onWork(const Endpoint& requester, const OwnerWork& work, Moment now) {
   ShardServerActions out;
-  auto served = std::make_shared<ServedWork>();
-  served->asker = asker;
-  served->askerRun = work.sender_run();
-  served->route = routeOf(work);
-  served->topRecords = work.top_records();
-  served->receivedAt = now;
+  auto task = std::make_shared<OwnerTask>();
+  task->requester = requester;
+  task->requesterRunId = work.sender_run();
+  task->route = routeOf(work);
+  task->topRecords = work.top_records();
+  task->receivedAt = now;
   const Moment leafDeadline = now + microseconds(work.remaining_us());
-  served->deadline = std::max(leafDeadline, now + microseconds(work.renewable_us()));
-  served->request = requestOf(work);
-  if (refuse(served, work, now, out)) {
+  task->deadline = std::max(leafDeadline, now + microseconds(work.renewable_us()));
+  task->request = requestOf(work);
+  if (refuse(task, work, now, out)) {
     return out;
   }
-  works_.push_back(served);
-  const PartTimes times{now + microseconds(work.useful_us()), leafDeadline, served->deadline};
+  tasks_.push_back(task);
+  const PartTimes times{now + microseconds(work.useful_us()), leafDeadline, task->deadline};
   for (const OwnerPart& asked : work.parts()) {
-    auto exchange = std::make_unique<PartExchange>(asked.service(), served->route, context_, served->trace,
-                                                   served->caution);
-    served->parts.push_back(ServedWork::Part{asked.exchange(), std::move(exchange)});
-    PartExchange& part = *served->parts.back().exchange;
+    auto exchange =
+        std::make_unique<PartExchange>(asked.service(), task->route, context_, task->trace, task->caution);
+    task->parts.push_back(OwnerTask::Part{asked.exchange(), std::move(exchange)});
+    PartExchange& part = *task->parts.back().exchange;
     QueryActions actions;
     part.start(now, times, actions);
-    settle(served, served->parts.size() - 1, std::move(actions), out);
+    applyActions(task, task->parts.size() - 1, std::move(actions), out);
   }
-  forgetFinished();
+  removeFinished();
   return out;
 }
 
-bool ShardServer::refuse(const WorkPointer& work, const OwnerWork& asked, Moment now,
+bool ShardServer::refuse(const TaskPointer& task, const OwnerWork& work, Moment now,
                          ShardServerActions& out) const {
-  if (context_.quarantine == nullptr || context_.quarantine->empty() || asked.vetted()) {
+  if (context_.quarantine == nullptr || context_.quarantine->empty() || work.vetted()) {
     return false;
   }
-  const auto judgement = context_.quarantine->judge(fingerprintOf(work->request), now);
+  const auto judgement = context_.quarantine->judge(fingerprintOf(task->request), now);
   if (judgement.verdict == RequestQuarantine::Verdict::kOrdinary) {
     return false;
   }
-  for (const OwnerPart& part : asked.parts()) {
-    OwnerResult& result = addResult(*work, out);
+  for (const OwnerPart& part : work.parts()) {
+    OwnerResult& result = addResult(*task, out);
     result.set_exchange(part.exchange());
     result.set_status(OWNER_NOT_RUN);
     out.unanswered.push_back(
-        UnansweredPart{work, part.service(), UnansweredPart::Reason::kNotRun, LossCause::kEndsLeafs});
+        UnansweredPart{task, part.service(), UnansweredPart::Reason::kNotExecuted, LossCause::kCrashesLeafs});
   }
   return true;
 }
 
-void ShardServer::applyCaution(const WorkPointer& work, bool held, Moment now, ShardServerActions& out) {
-  if (!work->caution.holds()) {
-    for (std::size_t number = 0; held && number < work->parts.size(); ++number) {
-      if (!work->parts[number].finished) {
+void ShardServer::applyCrashGuard(const TaskPointer& task, bool wasBlocked, Moment now,
+                                  ShardServerActions& out) {
+  if (!task->caution.holds()) {
+    for (std::size_t number = 0; wasBlocked && number < task->parts.size(); ++number) {
+      if (!task->parts[number].finished) {
         QueryActions actions;
-        work->parts[number].exchange->onReleased(now, actions);
-        settle(work, number, std::move(actions), out);
+        task->parts[number].exchange->onReleased(now, actions);
+        applyActions(task, number, std::move(actions), out);
       }
     }
     return;
   }
-  const bool anyOut = std::any_of(work->parts.begin(), work->parts.end(), [](const ServedWork::Part& part) {
+  const bool anyOut = std::any_of(task->parts.begin(), task->parts.end(), [](const OwnerTask::Part& part) {
     return !part.finished && part.exchange->anythingOut();
   });
-  for (ServedWork::Part& part : work->parts) {
+  for (OwnerTask::Part& part : task->parts) {
     if (anyOut || part.finished) {
       continue;
     }
     const bool ran = part.exchange->mayHaveRun();
-    OwnerResult& result = addResult(*work, out);
-    result.set_exchange(part.askedAs);
+    OwnerResult& result = addResult(*task, out);
+    result.set_exchange(part.requesterExchange);
     // OWNER_NOT_SENT would make the requester try another owner.
     result.set_status(ran ? OWNER_NO_ANSWER : OWNER_NOT_RUN);
-    giveUp(work, part, ran ? UnansweredPart::Reason::kNoAnswer : UnansweredPart::Reason::kNotRun, out);
+    finishUnanswered(task, part,
+                     ran ? UnansweredPart::Reason::kNoAnswer : UnansweredPart::Reason::kNotExecuted, out);
   }
 }
 
-void ShardServer::settle(const WorkPointer& work, std::size_t number, QueryActions actions,
-                         ShardServerActions& out) {
-  ServedWork::Part& part = work->parts[number];
+void ShardServer::applyActions(const TaskPointer& task, std::size_t number, QueryActions actions,
+                               ShardServerActions& out) {
+  OwnerTask::Part& part = task->parts[number];
   for (SendAction& send : actions.sends) {
-    places_.emplace(send.exchange, Place{work, number});
-    out.sends.push_back(ServedSend{work, std::move(send)});
+    partRefs_.emplace(send.exchange, PartRef{task, number});
+    out.sends.push_back(OwnerSend{task, std::move(send)});
   }
   const PartExchange& exchange = *part.exchange;
   if (exchange.state() == QueryPart::State::kOpen) {
     return;
   }
-  OwnerResult& result = addResult(*work, out);
-  result.set_exchange(part.askedAs);
+  OwnerResult& result = addResult(*task, out);
+  result.set_exchange(part.requesterExchange);
   result.set_status(statusOf(exchange));
   if (exchange.state() == QueryPart::State::kAnswered) {
     result.set_signature(exchange.outcome().signature);
-    result.set_records(greatestRecords({exchange.outcome().reply->body}, work->topRecords));
+    result.set_records(greatestRecords({exchange.outcome().reply->body}, task->topRecords));
     finish(part, out);
     return;
   }
   const bool ran = exchange.mayHaveRun();
-  giveUp(work, part, ran ? UnansweredPart::Reason::kNoAnswer : UnansweredPart::Reason::kNotRun, out);
+  finishUnanswered(task, part, ran ? UnansweredPart::Reason::kNoAnswer : UnansweredPart::Reason::kNotExecuted,
+                   out);
 }
 
-void ShardServer::giveUp(const WorkPointer& work, ServedWork::Part& part, UnansweredPart::Reason reason,
-                         ShardServerActions& out) {
+void ShardServer::finishUnanswered(const TaskPointer& task, OwnerTask::Part& part,
+                                   UnansweredPart::Reason reason, ShardServerActions& out) {
   out.unanswered.push_back(
-      UnansweredPart{work, part.exchange->service(), reason, part.exchange->lossCause()});
+      UnansweredPart{task, part.exchange->service(), reason, part.exchange->lossCause()});
   finish(part, out);
 }
 
-void ShardServer::finish(ServedWork::Part& part, ShardServerActions& out) {
+void ShardServer::finish(OwnerTask::Part& part, ShardServerActions& out) {
   part.finished = true;
   QueryActions closing;
   part.exchange->close(closing);
   out.abandons.insert(out.abandons.end(), closing.abandons.begin(), closing.abandons.end());
 }
 
-void ShardServer::forgetFinished() {
-  works_.remove_if([](const WorkPointer& work) {
-    return std::all_of(work->parts.begin(), work->parts.end(),
-                       [](const ServedWork::Part& part) { return part.finished; });
+void ShardServer::removeFinished() {
+  tasks_.remove_if([](const TaskPointer& task) {
+    return std::all_of(task->parts.begin(), task->parts.end(),
+                       [](const OwnerTask::Part& part) { return part.finished; });
   });
 }
 
 void ShardServer::onWritten(ExchangeId exchange) {
-  const auto place = places_.find(exchange);
-  if (place != places_.end()) {
-    place->second.work->parts[place->second.part].exchange->onWritten(exchange);
+  const auto ref = partRefs_.find(exchange);
+  if (ref != partRefs_.end()) {
+    ref->second.task->parts[ref->second.part].exchange->onWritten(exchange);
   }
 }
 
 ShardServerActions ShardServer::onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now) {
   ShardServerActions out;
-  const auto found = places_.find(exchange);
-  if (found == places_.end()) {
+  const auto found = partRefs_.find(exchange);
+  if (found == partRefs_.end()) {
     return out;
   }
-  const Place place = found->second;
-  places_.erase(found);
-  ServedWork::Part& part = place.work->parts[place.part];
+  const PartRef ref = found->second;
+  partRefs_.erase(found);
+  OwnerTask::Part& part = ref.task->parts[ref.part];
   if (part.finished) {
     return out;
   }
   QueryActions actions;
-  const bool held = place.work->caution.holds();
+  const bool wasBlocked = ref.task->caution.holds();
   part.exchange->onOutcome(exchange, outcome, now, actions);
-  settle(place.work, place.part, std::move(actions), out);
-  applyCaution(place.work, held, now, out);
-  forgetFinished();
+  applyActions(ref.task, ref.part, std::move(actions), out);
+  applyCrashGuard(ref.task, wasBlocked, now, out);
+  removeFinished();
   return out;
 }
 
-ShardServerActions ShardServer::onCancel(const Endpoint& asker, const OwnerCancel& cancel) {
+ShardServerActions ShardServer::onCancel(const Endpoint& requester, const OwnerCancel& cancel) {
   ShardServerActions out;
-  for (const WorkPointer& work : works_) {
-    if (!(work->asker == asker) || work->askerRun != cancel.sender_run()) {
+  for (const TaskPointer& task : tasks_) {
+    if (!(task->requester == requester) || task->requesterRunId != cancel.sender_run()) {
       continue;
     }
-    for (ServedWork::Part& part : work->parts) {
+    for (OwnerTask::Part& part : task->parts) {
       const auto& exchanges = cancel.exchanges();
-      const bool named = std::find(exchanges.begin(), exchanges.end(), part.askedAs) != exchanges.end();
-      if (named && !part.finished) {
-        giveUp(work, part, UnansweredPart::Reason::kWithdrawn, out);
+      const bool listed =
+          std::find(exchanges.begin(), exchanges.end(), part.requesterExchange) != exchanges.end();
+      if (listed && !part.finished) {
+        finishUnanswered(task, part, UnansweredPart::Reason::kCancelled, out);
       }
     }
   }
-  forgetFinished();
+  removeFinished();
   return out;
 }
 
 ShardServerActions ShardServer::onTime(Moment now) {
   ShardServerActions out;
-  for (const WorkPointer& work : works_) {
-    for (std::size_t number = 0; number < work->parts.size(); ++number) {
-      ServedWork::Part& part = work->parts[number];
+  for (const TaskPointer& task : tasks_) {
+    for (std::size_t number = 0; number < task->parts.size(); ++number) {
+      OwnerTask::Part& part = task->parts[number];
       if (part.finished) {
         continue;
       }
-      if (now >= work->deadline) {
-        giveUp(work, part, UnansweredPart::Reason::kTimePassed, out);
+      if (now >= task->deadline) {
+        finishUnanswered(task, part, UnansweredPart::Reason::kExpired, out);
         continue;
       }
       QueryActions actions;
       part.exchange->onTime(now, actions);
-      settle(work, number, std::move(actions), out);
+      applyActions(task, number, std::move(actions), out);
     }
   }
-  forgetFinished();
+  removeFinished();
   return out;
 }
 
 Moment ShardServer::nextDecisionAt() const {
   Moment next = kNever;
-  for (const WorkPointer& work : works_) {
-    next = std::min(next, work->deadline);
-    for (const ServedWork::Part& part : work->parts) {
+  for (const TaskPointer& task : tasks_) {
+    next = std::min(next, task->deadline);
+    for (const OwnerTask::Part& part : task->parts) {
       next = part.finished ? next : std::min(next, part.exchange->nextDecisionAt());
     }
   }
--- a/src/coordination/serving/shard_server.h
+++ b/src/coordination/serving/shard_server.h
@@ -18,16 +18,16 @@
 namespace oakpier::serving {
 
 /// The parts of one request that one requester has sent to this owner.
-struct ServedWork {
+struct OwnerTask {
   struct Part {
     /// The exchange number at the requester.
-    ExchangeId askedAs = 0;
+    ExchangeId requesterExchange = 0;
     std::unique_ptr<PartExchange> exchange;
     bool finished = false;
   };
 
-  Endpoint asker;
-  std::uint64_t askerRun = 0;
+  Endpoint requester;
+  std::uint64_t requesterRunId = 0;
   /// Only the fields that sending to leafs requires are set.
   Route route;
   std::size_t topRecords = 0;
@@ -40,31 +40,31 @@
   std::vector<Part> parts;
 };
 
-/// The request of `work`, to be sent to the action's leaf.
-struct ServedSend {
-  std::shared_ptr<ServedWork> work;
+/// The request of `task`, to be sent to the action's leaf.
+struct OwnerSend {
+  std::shared_ptr<OwnerTask> task;
   SendAction action;
 };
 
-struct OutgoingResults {
+struct OutgoingOwnerResults {
   Endpoint to;
   OwnerResults results;
 };
 
 /// A part that finished without an answer.
 struct UnansweredPart {
-  enum class Reason { kNoAnswer, kNotRun, kWithdrawn, kTimePassed };
+  enum class Reason { kNoAnswer, kNotExecuted, kCancelled, kExpired };
 
-  std::shared_ptr<const ServedWork> work;
+  std::shared_ptr<const OwnerTask> task;
   std::string service;
   Reason reason = Reason::kNoAnswer;
   LossCause cause = LossCause::kOneLeafSlow;
 };
 
 struct ShardServerActions {
-  std::vector<ServedSend> sends;
+  std::vector<OwnerSend> sends;
   std::vector<ExchangeId> abandons;
-  std::vector<OutgoingResults> results;
+  std::vector<OutgoingOwnerResults> results;
   std::vector<UnansweredPart> unanswered;
 };
 
@@ -73,39 +73,39 @@
  public:
   explicit ShardServer(QueryContext& context) : context_(context) {}
 
-  ShardServerActions onWork(const Endpoint& asker, const OwnerWork& work, Moment now);
+  ShardServerActions onWork(const Endpoint& requester, const OwnerWork& work, Moment now);
   void onWritten(ExchangeId exchange);
   ShardServerActions onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now);
-  ShardServerActions onCancel(const Endpoint& asker, const OwnerCancel& cancel);
+  ShardServerActions onCancel(const Endpoint& requester, const OwnerCancel& cancel);
   ShardServerActions onTime(Moment now);
 
   /// When `onTime` is due.
   Moment nextDecisionAt() const;
-  std::size_t inProgress() const { return works_.size(); }
+  std::size_t inProgress() const { return tasks_.size(); }
 
  private:
-  using WorkPointer = std::shared_ptr<ServedWork>;
-  struct Place {
-    WorkPointer work;
+  using TaskPointer = std::shared_ptr<OwnerTask>;
+  struct PartRef {
+    TaskPointer task;
     std::size_t part = 0;
   };
 
   /// Passes on the part's sends; if the part has finished, adds its result and closes it.
-  void settle(const WorkPointer& work, std::size_t part, QueryActions actions, ShardServerActions& out);
+  void applyActions(const TaskPointer& task, std::size_t part, QueryActions actions, ShardServerActions& out);
   /// Refuses work for a quarantined request, one that has terminated leafs before, unless the requester
   /// has already checked the request. Returns true if refused.
-  bool refuse(const WorkPointer& work, const OwnerWork& asked, Moment now, ShardServerActions& out) const;
-  /// After an outcome: resumes the work's parts that were held back, or, while `SendCaution` holds, finishes
-  /// them once no leaf that has received the request can still answer.
-  void applyCaution(const WorkPointer& work, bool held, Moment now, ShardServerActions& out);
-  static void finish(ServedWork::Part& part, ShardServerActions& out);
-  static void giveUp(const WorkPointer& work, ServedWork::Part& part, UnansweredPart::Reason reason,
-                     ShardServerActions& out);
-  void forgetFinished();
+  bool refuse(const TaskPointer& task, const OwnerWork& work, Moment now, ShardServerActions& out) const;
+  /// After an outcome: resumes the suspended parts of the task, or, if further sends are blocked, finishes all
+  /// parts once no leaf that has received the request can still answer.
+  void applyCrashGuard(const TaskPointer& task, bool wasBlocked, Moment now, ShardServerActions& out);
+  static void finish(OwnerTask::Part& part, ShardServerActions& out);
+  static void finishUnanswered(const TaskPointer& task, OwnerTask::Part& part, UnansweredPart::Reason reason,
+                               ShardServerActions& out);
+  void removeFinished();
 
   QueryContext& context_;
-  std::list<WorkPointer> works_;
-  std::unordered_map<ExchangeId, Place> places_;
+  std::list<TaskPointer> tasks_;
+  std::unordered_map<ExchangeId, PartRef> partRefs_;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/token_homes.cpp
+++ b/src/coordination/serving/token_homes.cpp
@@ -49,7 +49,7 @@
   carryOver(gone, added);
   daemons_ = std::move(daemons);
   const std::vector<Endpoint> addresses = addressesOf(daemons_);
-  silence_.retain(addresses);
+  failureDetector_.retain(addresses);
   const auto retain = [&](std::unordered_map<Endpoint, Moment>& moments) {
     for (auto entry = moments.begin(); entry != moments.end();) {
       const bool known = std::binary_search(addresses.begin(), addresses.end(), entry->first);
@@ -114,7 +114,7 @@
 }
 
 bool TokenHomes::expectedToAnswer(const Endpoint& home, Moment now) const {
-  if (silence_.silent(home, now)) {
+  if (failureDetector_.isUnresponsive(home, now)) {
     return false;
   }
   // A request has few tries. By own silences alone each daemon of a small piece of a cut would spend them on
@@ -163,15 +163,17 @@
 
 void TokenHomes::onSent(const Endpoint& home, Moment now) {
   if (home != self_) {
-    silence_.onSent(home, now);
+    failureDetector_.onSent(home, now);
   }
 }
 
 void TokenHomes::onHeard(const Endpoint& home, Moment now) {
-  silence_.onHeard(home, now);
+  failureDetector_.onReceived(home, now);
   heardAt_[home] = now;
 }
 
-void TokenHomes::onUnreachable(const Endpoint& home, Moment now) { silence_.onToldSilent(home, now); }
+void TokenHomes::onUnreachable(const Endpoint& home, Moment now) {
+  failureDetector_.onReportedUnresponsive(home, now);
+}
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/token_homes.h
+++ b/src/coordination/serving/token_homes.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/serving/peer_silence.h"
+#include "coordination/serving/peer_failure_detector.h"
 #include "coordination/serving/weighted_rendezvous.h"
 #include "state/endpoint.h"
 #include "state/time.h"
@@ -57,7 +57,7 @@
   void onHeard(const Endpoint& home, Moment now);
   void onUnreachable(const Endpoint& home, Moment now);
   /// Silent daemons that should be asked for a sign of life now.
-  std::vector<Endpoint> takeProbes(Moment now) { return silence_.takeTries(now); }
+  std::vector<Endpoint> takeProbes(Moment now) { return failureDetector_.takeDueProbes(now); }
 
  private:
   const std::vector<ServingDaemon>& ranked(const std::string& tenant);
@@ -70,7 +70,7 @@
   std::vector<ServingDaemon> daemons_;
   /// The first of each ranking: all of it, or some.
   std::unordered_map<std::string, std::vector<ServingDaemon>> ranked_;
-  PeerSilence silence_;
+  PeerFailureDetector failureDetector_;
   std::unordered_map<Endpoint, Moment> heardAt_;
   /// Suspected daemons, and since when.
   std::unordered_map<Endpoint, Moment> suspectedAt_;
--- a/src/coordination/serving/weighted_rendezvous.cpp
+++ b/src/coordination/serving/weighted_rendezvous.cpp
@@ -14,11 +14,11 @@
 constexpr unsigned kExactBits = 53;
 
 /// A daemon's score for a key: the lowest distance ranks first, the address breaks ties.
-struct Bid {
+struct Score {
   double distance;
   Endpoint address;
 
-  friend bool operator<(const Bid& left, const Bid& right) {
+  friend bool operator<(const Score& left, const Score& right) {
     return std::tie(left.distance, left.address) < std::tie(right.distance, right.address);
   }
 };
@@ -26,11 +26,11 @@
 /// The distance is exponentially distributed with the weight as its rate, so the probability that a daemon
 /// has the least distance is proportional to its weight. The logarithm may differ in the last bit between
 /// processors, which affects the ranking only if two distances agree to 15 digits.
-Bid bidOf(std::uint64_t keyHash, const ServingDaemon& daemon) {
+Score scoreOf(std::uint64_t keyHash, const ServingDaemon& daemon) {
   const std::uint64_t hash = hashPair(keyHash, daemon.address.packed()) >> (64U - kExactBits);
   // Adding 0.5 keeps the value within the open interval (0, 1).
-  const double even = std::ldexp(static_cast<double>(hash) + 0.5, -static_cast<int>(kExactBits));
-  return Bid{-std::log(even) / placementWeight(daemon.capacity), daemon.address};
+  const double uniform = std::ldexp(static_cast<double>(hash) + 0.5, -static_cast<int>(kExactBits));
+  return Score{-std::log(uniform) / placementWeight(daemon.capacity), daemon.address};
 }
 
 }  // namespace
@@ -45,32 +45,33 @@
 }
 
 unsigned placementWeight(unsigned capacity) {
-  return capacity == 0 ? kUsualCapacity : std::min(capacity, kMostCapacity);
+  return capacity == 0 ? kDefaultCapacity : std::min(capacity, kMaxCapacity);
 }
 
 std::vector<Endpoint> rankDaemons(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons,
-                                  std::size_t most) {
-  std::vector<Bid> bids;
-  bids.reserve(daemons.size());
+                                  std::size_t maxCount) {
+  std::vector<Score> scores;
+  scores.reserve(daemons.size());
   for (const ServingDaemon& daemon : daemons) {
-    bids.push_back(bidOf(keyHash, daemon));
+    scores.push_back(scoreOf(keyHash, daemon));
   }
-  const std::size_t kept = std::min(most, bids.size());
-  std::partial_sort(bids.begin(), bids.begin() + static_cast<std::ptrdiff_t>(kept), bids.end());
+  const std::size_t kept = std::min(maxCount, scores.size());
+  std::partial_sort(scores.begin(), scores.begin() + static_cast<std::ptrdiff_t>(kept), scores.end());
   std::vector<Endpoint> ranked;
   ranked.reserve(kept);
   for (std::size_t place = 0; place < kept; ++place) {
-    ranked.push_back(bids[place].address);
+    ranked.push_back(scores[place].address);
   }
   return ranked;
 }
 
-std::optional<Endpoint> firstDaemon(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons) {
-  std::optional<Bid> best;
+std::optional<Endpoint> highestRankedDaemon(std::uint64_t keyHash,
+                                            const std::vector<ServingDaemon>& daemons) {
+  std::optional<Score> best;
   for (const ServingDaemon& daemon : daemons) {
-    const Bid bid = bidOf(keyHash, daemon);
-    if (!best || bid < *best) {
-      best = bid;
+    const Score score = scoreOf(keyHash, daemon);
+    if (!best || score < *best) {
+      best = score;
     }
   }
   return best ? std::optional<Endpoint>(best->address) : std::nullopt;
--- a/src/coordination/serving/weighted_rendezvous.h
+++ b/src/coordination/serving/weighted_rendezvous.h
@@ -22,10 +22,10 @@
 /// Weight of a daemon with unknown capacity, in hundredths of a core: that of the platform's example machine.
 /// A constant instead of the fleet's mean, so that a daemon's position does not depend on the others'
 /// capacities.
-inline constexpr unsigned kUsualCapacity = 25;
+inline constexpr unsigned kDefaultCapacity = 25;
 /// Upper bound of a daemon's weight, in hundredths of a core. Prevents a misconfigured capacity from
 /// assigning everything to one daemon.
-inline constexpr unsigned kMostCapacity = 25'600;
+inline constexpr unsigned kMaxCapacity = 25'600;
 
 /// A serving daemon and its capacity.
 struct ServingDaemon {
@@ -48,12 +48,12 @@
 /// The weight of a daemon with this capacity, in hundredths of a core; never 0.
 unsigned placementWeight(unsigned capacity);
 
-/// The `most` highest-ranked daemons for the key in order of rank, or all if there are fewer. `daemons`:
+/// The `maxCount` highest-ranked daemons for the key in order of rank, or all if there are fewer. `daemons`:
 /// without duplicates, in any order.
 std::vector<Endpoint> rankDaemons(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons,
-                                  std::size_t most);
+                                  std::size_t maxCount);
 
 /// The first of `rankDaemons`, found in one pass; empty if `daemons` is empty.
-std::optional<Endpoint> firstDaemon(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons);
+std::optional<Endpoint> highestRankedDaemon(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons);
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <thread>
 
-#include "coordination/serving/fleet_settling.h"
+#include "coordination/serving/membership_stabilization.h"
 #include "programs/common/held_signals.h"
 #include "programs/common/logging.h"
 #include "programs/gateway/request_gateway.h"
@@ -225,15 +225,15 @@
   void onDaemons(const DaemonGroup& daemons) {
     lastDaemons_ = daemons;
     const Moment now = steadyNow();
-    settling_.onMembers(daemons.all.size(), now);
-    settled_ = settled_ || now >= settling_.settledAt();
+    stabilization_.onMembers(daemons.all.size(), now);
+    settled_ = settled_ || now >= stabilization_.stableAt();
     const bool settled = settled_;
     const std::size_t count = daemons.all.size();
     const std::size_t planned = settled ? count + count / kSpareShare + 1 : std::max(count, kUsualDaemons);
     boost::asio::post(requestContext_, [this, daemons, planned, settled, counters = source_.counters()] {
       sourceCounters_ = counters;
       daemons_ = daemons.all.size();
-      fleetCapacity_ = capacityOf(daemons.all);
+      fleetCapacity_ = totalPlacementWeight(daemons.all);
       requests_.setDaemons(daemons, planned, settled);
       extraSendShare_.onDaemonCount(planned);
       budgets_.setBounds(extraSendShare_.bounds());
@@ -244,12 +244,12 @@
 
   /// On the control thread. The others have had time to be found.
   void scheduleSettled() {
-    setFor(settledTimer_, settling_.settledAt());
+    setFor(settledTimer_, stabilization_.stableAt());
     settledTimer_.async_wait([this](const boost::system::error_code& error) {
       if (error || settled_) {
         return;
       }
-      if (steadyNow() < settling_.settledAt()) {
+      if (steadyNow() < stabilization_.stableAt()) {
         scheduleSettled();
         return;
       }
@@ -404,7 +404,7 @@
   bool stopping_ = false;
   /// Requests in progress were answered as given up; the process ends at the next check.
   bool gaveUp_ = false;
-  FleetSettling settling_{FleetSettlingSettings{}, steadyNow()};
+  MembershipStabilization stabilization_{MembershipStabilizationSettings{}, steadyNow()};
   /// Of the member table; stays once it is.
   bool settled_ = false;
   Moment stopRequestedAt_{};
--- a/src/programs/gateway/gateway_metrics.cpp
+++ b/src/programs/gateway/gateway_metrics.cpp
@@ -140,10 +140,11 @@
                figures.owners.undeliverable);
   list.counter("parts_served_total", "Shards served as their owner", figures.partsServed);
   list.counter("parts_by_way_of_mergers_total",
-               "Requests to leafs that went by way of a daemon of their zone", figures.mergers.parts);
-  list.counter("merger_results_expired_total", "Of these, without a result in time", figures.mergers.expired);
+               "Requests to leafs that went by way of a daemon of their zone", figures.mergeServers.parts);
+  list.counter("merger_results_expired_total", "Of these, without a result in time",
+               figures.mergeServers.expired);
   list.counter("merger_answers_incomplete_total", "Answers that relied on a lost frame",
-               figures.mergers.incomplete);
+               figures.mergeServers.incomplete);
   list.counter("parts_merged_total", "Requests sent to leafs for daemons of other zones",
                figures.partsMerged);
 }
--- a/src/programs/gateway/gateway_metrics.h
+++ b/src/programs/gateway/gateway_metrics.h
@@ -51,7 +51,7 @@
   const OwnerClientCounters& owners;
   /// Shards served for other daemons.
   std::uint64_t partsServed = 0;
-  const MergeClientCounters& mergers;
+  const MergeClientCounters& mergeServers;
   /// Requests to leafs sent for daemons of other zones.
   std::uint64_t partsMerged = 0;
   const PeerTransportCounters& peers;
--- a/src/programs/gateway/loss_ledger.cpp
+++ b/src/programs/gateway/loss_ledger.cpp
@@ -9,7 +9,7 @@
 constexpr Duration kPeriod = std::chrono::seconds(1);
 
 void writeCauses(const char* message, const std::string& route, const Loss& loss) {
-  for (std::size_t number = 0; number < kLossCauses; ++number) {
+  for (std::size_t number = 0; number < kLossCauseCount; ++number) {
     const auto cause = static_cast<LossCause>(number);
     if (loss.of(cause) > 0) {
       log(LogLevel::kInfo, message, {{"route", route}, {"cause", textOf(cause)}, {"lost", loss.of(cause)}});
@@ -23,7 +23,7 @@
   writeWhenDue(now);
   RouteLoss& sum = routes_[route];
   ++sum.requests;
-  for (std::size_t number = 0; number < kLossCauses; ++number) {
+  for (std::size_t number = 0; number < kLossCauseCount; ++number) {
     const auto cause = static_cast<LossCause>(number);
     sum.loss.add(cause, loss.of(cause));
   }
--- a/src/programs/gateway/merge_client.cpp
+++ b/src/programs/gateway/merge_client.cpp
@@ -78,10 +78,10 @@
 
 }  // namespace
 
-MergeClient::MergeClient(boost::asio::io_context& io, QueryContext& context, ZoneMergers& mergers,
-                         FrameSender sendFrame)
+MergeClient::MergeClient(boost::asio::io_context& io, QueryContext& context,
+                         MergeServerSelector& mergeServers, FrameSender sendFrame)
     : context_(context),
-      mergers_(mergers),
+      mergeServers_(mergeServers),
       sendFrame_(std::move(sendFrame)),
       run_(context.random()),
       timer_(io) {}
@@ -90,10 +90,10 @@
   const Moment now = steadyNow();
   std::map<Endpoint, std::pair<std::shared_ptr<Work>, PeerEnvelope>> frames;
   for (const SendAction& send : sends) {
-    const auto [entry, isNew] = frames.try_emplace(*send.merger);
+    const auto [entry, isNew] = frames.try_emplace(*send.mergeServer);
     auto& [work, frame] = entry->second;
     if (isNew) {
-      work = std::make_shared<Work>(Work{*send.merger, order.route, 0});
+      work = std::make_shared<Work>(Work{*send.mergeServer, order.route, 0});
       *frame.mutable_merge_work() = workFor(order, run_, now);
       frame.set_time_to_live_ms(kWorkLifetimeMilliseconds);
     }
@@ -107,9 +107,9 @@
     expiries_.emplace(expiresAt, send.exchange);
     ++counters_.parts;
   }
-  for (auto& [merger, entry] : frames) {
-    mergers_.onSent(merger, now);
-    sendFrame_(merger, std::move(entry.second));
+  for (auto& [mergeServer, entry] : frames) {
+    mergeServers_.onSent(mergeServer, now);
+    sendFrame_(mergeServer, std::move(entry.second));
   }
   armTimer();
 }
@@ -122,22 +122,22 @@
       continue;
     }
     pending->second.listener = nullptr;
-    PeerEnvelope& frame = frames[pending->second.work->merger];
+    PeerEnvelope& frame = frames[pending->second.work->mergeServer];
     frame.mutable_merge_cancel()->set_sender_run(run_);
     frame.mutable_merge_cancel()->add_exchanges(exchange);
     frame.set_time_to_live_ms(kCancelLifetimeMilliseconds);
   }
-  for (auto& [merger, frame] : frames) {
-    sendFrame_(merger, std::move(frame));
+  for (auto& [mergeServer, frame] : frames) {
+    sendFrame_(mergeServer, std::move(frame));
   }
 }
 
-void MergeClient::onResults(const Endpoint& merger, const MergeResults& results) {
+void MergeClient::onResults(const Endpoint& mergeServer, const MergeResults& results) {
   if (results.receiver_run() != run_) {
     return;
   }
   const Moment now = steadyNow();
-  mergers_.onHeard(merger, now);
+  mergeServers_.onReceived(mergeServer, now);
   const bool complete = countIn(results);
   std::string records = results.records();
   std::shared_ptr<const Listener> listener;
--- a/src/programs/gateway/merge_client.h
+++ b/src/programs/gateway/merge_client.h
@@ -15,8 +15,8 @@
 #include <utility>
 #include <vector>
 
+#include "coordination/serving/merge_server_selector.h"
 #include "coordination/serving/query_policy.h"
-#include "coordination/serving/zone_mergers.h"
 #include "oakpier/peer.pb.h"
 #include "programs/gateway/decision_timer.h"
 #include "programs/gateway/owner_client.h"
@@ -48,21 +48,21 @@
     std::shared_ptr<const Listener> listener;
   };
 
-  MergeClient(boost::asio::io_context& io, QueryContext& context, ZoneMergers& mergers,
+  MergeClient(boost::asio::io_context& io, QueryContext& context, MergeServerSelector& mergeServers,
               FrameSender sendFrame);
 
-  /// `sends` are those of one query that have a merger.
+  /// `sends` are those of one query that have a merge server.
   void send(const std::vector<SendAction>& sends, const Order& order);
   /// Withdraws those of the exchanges that went to merging daemons. What becomes of them is still noted.
   void cancel(const std::vector<ExchangeId>& exchanges);
-  void onResults(const Endpoint& merger, const MergeResults& results);
+  void onResults(const Endpoint& mergeServer, const MergeResults& results);
   void onUndeliverable(const MergeWork& work);
   const MergeClientCounters& counters() const { return counters_; }
 
  private:
   /// What one merging daemon does for one query.
   struct Work {
-    Endpoint merger;
+    Endpoint mergeServer;
     std::shared_ptr<const Route> route;
     unsigned answersReceived = 0;
   };
@@ -87,7 +87,7 @@
   void armTimer();
 
   QueryContext& context_;
-  ZoneMergers& mergers_;
+  MergeServerSelector& mergeServers_;
   FrameSender sendFrame_;
   /// Tells this process from earlier ones at its address.
   std::uint64_t run_;
--- a/src/programs/gateway/merge_service.cpp
+++ b/src/programs/gateway/merge_service.cpp
@@ -16,13 +16,13 @@
       server_(context),
       timer_(io) {}
 
-void MergeService::onWork(const Endpoint& asker, const MergeWork& work) {
+void MergeService::onWork(const Endpoint& requester, const MergeWork& work) {
   partsMerged_ += static_cast<std::uint64_t>(work.parts_size());
-  apply(server_.onWork(asker, work, steadyNow()));
+  apply(server_.onWork(requester, work, steadyNow()));
 }
 
-void MergeService::onCancel(const Endpoint& asker, const MergeCancel& cancel) {
-  apply(server_.onCancel(asker, cancel));
+void MergeService::onCancel(const Endpoint& requester, const MergeCancel& cancel) {
+  apply(server_.onCancel(requester, cancel));
 }
 
 void MergeService::apply(const MergeServerActions& actions) {
--- a/src/programs/gateway/owner_client.cpp
+++ b/src/programs/gateway/owner_client.cpp
@@ -98,7 +98,7 @@
 }
 
 void OwnerClient::probeSilentOwners(Moment now) {
-  for (const Endpoint& owner : owners_.takeProbes(now)) {
+  for (const Endpoint& owner : owners_.takeDueProbes(now)) {
     ++counters_.probes;
     askForSignOfLife(owner);
   }
@@ -113,7 +113,7 @@
 
 void OwnerClient::tellOfSilence() {
   const Moment now = steadyNow();
-  const std::vector<Endpoint> silent = owners_.takeNewlySilent(now);
+  const std::vector<Endpoint> silent = owners_.takeNewlyUnresponsive(now);
   if (silent.empty()) {
     return;
   }
@@ -124,7 +124,7 @@
   frame.set_time_to_live_ms(kWorkLifetimeMilliseconds);
   ++counters_.silencesTold;
   for (const Endpoint& daemon : greeted_) {
-    if (!owners_.silent(daemon, now)) {
+    if (!owners_.isUnresponsive(daemon, now)) {
       sendFrame_(daemon, frame);
     }
   }
@@ -134,7 +134,7 @@
   const Moment now = steadyNow();
   for (const std::string& address : silent.addresses()) {
     if (const auto daemon = Endpoint::parse(address)) {
-      owners_.onToldSilent(*daemon, now);
+      owners_.onReportedUnresponsive(*daemon, now);
     }
   }
 }
@@ -176,7 +176,7 @@
     return;
   }
   const Moment now = steadyNow();
-  owners_.onHeard(owner, now);
+  owners_.onReceived(owner, now);
   Listeners listeners;
   for (const OwnerResult& result : results.results()) {
     takeResult(result, now, listeners);
--- a/src/programs/gateway/owner_service.cpp
+++ b/src/programs/gateway/owner_service.cpp
@@ -26,30 +26,30 @@
       timer_(io),
       acknowledgeTimer_(io) {}
 
-void OwnerService::onWork(const Endpoint& asker, const OwnerWork& work) {
+void OwnerService::onWork(const Endpoint& requester, const OwnerWork& work) {
   partsServed_ += static_cast<std::uint64_t>(work.parts_size());
-  acknowledgeLater({asker, work.sender_run()});
-  apply(server_.onWork(asker, work, steadyNow()));
+  acknowledgeLater({requester, work.sender_run()});
+  apply(server_.onWork(requester, work, steadyNow()));
 }
 
 void OwnerService::setOwnedShards(const std::unordered_set<std::string>& services) {
   context_.budgets.setHeld(services, steadyNow());
 }
 
-void OwnerService::onCancel(const Endpoint& asker, const OwnerCancel& cancel) {
-  apply(server_.onCancel(asker, cancel));
+void OwnerService::onCancel(const Endpoint& requester, const OwnerCancel& cancel) {
+  apply(server_.onCancel(requester, cancel));
 }
 
 void OwnerService::apply(const ShardServerActions& actions) {
   for (const ExchangeId exchange : actions.abandons) {
     pool_.abandon(exchange);
   }
-  const ServedWork* previous = nullptr;
+  const OwnerTask* previous = nullptr;
   std::shared_ptr<const LeafRequestTemplate> request;
-  for (const ServedSend& served : actions.sends) {
-    if (served.work.get() != previous) {
-      previous = served.work.get();
-      request = std::make_shared<const LeafRequestTemplate>(served.work->request, names_);
+  for (const OwnerSend& served : actions.sends) {
+    if (served.task.get() != previous) {
+      previous = served.task.get();
+      request = std::make_shared<const LeafRequestTemplate>(served.task->request, names_);
     }
     send(served, request);
   }
@@ -59,25 +59,25 @@
   if (!actions.results.empty() && results_.empty()) {
     boost::asio::post(io_, [this] { flushResults(); });
   }
-  for (const OutgoingResults& outgoing : actions.results) {
-    const AskerProcess asker{outgoing.to, outgoing.results.receiver_run()};
-    results_[asker].MergeFrom(outgoing.results);
+  for (const OutgoingOwnerResults& outgoing : actions.results) {
+    const RequesterProcess requester{outgoing.to, outgoing.results.receiver_run()};
+    results_[requester].MergeFrom(outgoing.results);
   }
   armTimer();
 }
 
 void OwnerService::logUnanswered(const UnansweredPart& part) {
-  const std::string* id = findHeader(part.work->request.headers, names_.requestId);
-  const LoggedRequest request{id == nullptr ? "" : *id, fingerprintOf(part.work->request)};
+  const std::string* id = findHeader(part.task->request.headers, names_.requestId);
+  const LoggedRequest request{id == nullptr ? "" : *id, fingerprintOf(part.task->request)};
   log_.onUnanswered(request, part, steadyNow());
 }
 
-void OwnerService::send(const ServedSend& served, std::shared_ptr<const LeafRequestTemplate> request) {
+void OwnerService::send(const OwnerSend& served, std::shared_ptr<const LeafRequestTemplate> request) {
   LeafSend send;
   send.action = served.action;
   send.request = std::move(request);
-  send.route = std::shared_ptr<const Route>(served.work, &served.work->route);
-  send.rank = served.work->route.rank;
+  send.route = std::shared_ptr<const Route>(served.task, &served.task->route);
+  send.rank = served.task->route.rank;
   LeafPool::Listener listener;
   const ExchangeId exchange = served.action.exchange;
   listener.onWritten = [this, exchange] { server_.onWritten(exchange); };
@@ -88,17 +88,17 @@
 }
 
 void OwnerService::flushResults() {
-  std::map<AskerProcess, OwnerResults> results;
+  std::map<RequesterProcess, OwnerResults> results;
   results.swap(results_);
-  for (auto& [asker, found] : results) {
+  for (auto& [requester, found] : results) {
     PeerEnvelope envelope;
     *envelope.mutable_owner_results() = std::move(found);
-    unacknowledged_.erase(asker);
-    sendFrame_(asker.first, std::move(envelope));
+    unacknowledged_.erase(requester);
+    sendFrame_(requester.first, std::move(envelope));
   }
 }
 
-void OwnerService::acknowledgeLater(const AskerProcess& asker) {
+void OwnerService::acknowledgeLater(const RequesterProcess& requester) {
   if (unacknowledged_.empty()) {
     acknowledgeTimer_.expires_after(kAcknowledgeAfter);
     acknowledgeTimer_.async_wait([this](const boost::system::error_code& error) {
@@ -107,14 +107,14 @@
       }
     });
   }
-  unacknowledged_.insert(asker);
+  unacknowledged_.insert(requester);
 }
 
 void OwnerService::acknowledge() {
-  for (const auto& [asker, run] : unacknowledged_) {
+  for (const auto& [requester, run] : unacknowledged_) {
     PeerEnvelope envelope;
     envelope.mutable_owner_results()->set_receiver_run(run);
-    sendFrame_(asker, std::move(envelope));
+    sendFrame_(requester, std::move(envelope));
   }
   unacknowledged_.clear();
 }
--- a/src/programs/gateway/owner_service.h
+++ b/src/programs/gateway/owner_service.h
@@ -26,25 +26,25 @@
   OwnerService(boost::asio::io_context& io, const HeaderNames& names, LeafPool& pool, LeafSender& sender,
                QueryContext context, FrameSender sendFrame);
 
-  void onWork(const Endpoint& asker, const OwnerWork& work);
+  void onWork(const Endpoint& requester, const OwnerWork& work);
   /// The shards whose first owner this daemon is.
   void setOwnedShards(const std::unordered_set<std::string>& services);
-  void onCancel(const Endpoint& asker, const OwnerCancel& cancel);
+  void onCancel(const Endpoint& requester, const OwnerCancel& cancel);
   std::size_t inProgress() const { return server_.inProgress(); }
   std::uint64_t partsServed() const { return partsServed_; }
   void setWarmups(const WarmupAllowances& warmups) { context_.warmups = warmups; }
   std::uint64_t logLinesLeftOut() const { return log_.linesLeftOut(); }
 
  private:
-  using AskerProcess = std::pair<Endpoint, std::uint64_t>;
+  using RequesterProcess = std::pair<Endpoint, std::uint64_t>;
 
   void apply(const ShardServerActions& actions);
   void logUnanswered(const UnansweredPart& part);
-  void send(const ServedSend& served, std::shared_ptr<const LeafRequestTemplate> request);
+  void send(const OwnerSend& served, std::shared_ptr<const LeafRequestTemplate> request);
   /// Results that come in the same turn travel in one frame.
   void flushResults();
   /// Tells those who wait for longer that their work has come.
-  void acknowledgeLater(const AskerProcess& asker);
+  void acknowledgeLater(const RequesterProcess& requester);
   void acknowledge();
   void armTimer();
 
@@ -56,9 +56,9 @@
   FrameSender sendFrame_;
   ShardServer server_;
   DecisionTimer timer_;
-  std::map<AskerProcess, OwnerResults> results_;
+  std::map<RequesterProcess, OwnerResults> results_;
   /// Those who were told nothing since their work came.
-  std::set<AskerProcess> unacknowledged_;
+  std::set<RequesterProcess> unacknowledged_;
   boost::asio::steady_timer acknowledgeTimer_;
   std::uint64_t partsServed_ = 0;
   RequestLog log_{RequestLogSettings{}};
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -45,7 +45,7 @@
                                  {},
                                  &quarantine_},
                     sendFrame),
-      mergeClient_(context, queryContext_, mergers_, sendFrame),
+      mergeClient_(context, queryContext_, mergeServers_, sendFrame),
       mergeService_(context, names, pool_, sender_, queryContext_, sendFrame),
       quarantineLink_(context, quarantine_, queryContext_.random, self, sendFrame),
       quota_(context, queryContext_.random, self, sendFrame) {
@@ -63,7 +63,7 @@
     }
   });
   queryContext_.owners = &owners_;
-  queryContext_.mergers = &mergers_;
+  queryContext_.mergeServers = &mergeServers_;
 }
 
 void RequestGateway::onLeafEnd(const LeafEntry& leaf,
@@ -84,7 +84,7 @@
   quarantineLink_.setDaemons(addressesOf(daemons.all));
   quota_.setDaemons(daemons.all, planned, settled);
   owners_.setDaemons(daemons.ownZone);
-  mergers_.setDaemons(daemons.otherZones);
+  mergeServers_.setDaemons(daemons.otherZones);
   daemons_.planned = planned;
   daemons_.zones = daemons.zones;
   if (settled) {
@@ -94,7 +94,7 @@
   }
   settled_ = settled;
   onView();
-  if (owners_.any()) {
+  if (owners_.hasOwnedServices()) {
     ownerClient_.greet(addressesOf(daemons.ownZone));
   }
 }
@@ -127,7 +127,7 @@
 void RequestGateway::serveForOther(const OwnerWork& work) {
   const Moment now = steadyNow();
   for (const OwnerPart& part : work.parts()) {
-    if (!owners_.serveForOther(part.service(), now)) {
+    if (!owners_.acceptOwnership(part.service(), now)) {
       continue;
     }
     const auto leafs = view_->leafs->find(part.service());
@@ -150,7 +150,7 @@
 void RequestGateway::onView() {
   view_ = published_.read();
   quota_.setTenants(view_->tenants);
-  owners_.dropUnasked(steadyNow());
+  owners_.expireAcceptedOwnership(steadyNow());
   const LeafAssignment assignment = assignLeafs(*view_, daemons_, self_, owners_);
   ownerService_.setOwnedShards(assignment.firstOwned);
   ownerService_.setWarmups(assignment.warmups);
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -138,7 +138,7 @@
   ShardOwners owners_;
   OwnerClient ownerClient_;
   OwnerService ownerService_;
-  ZoneMergers mergers_;
+  MergeServerSelector mergeServers_;
   MergeClient mergeClient_;
   MergeService mergeService_;
   QuarantineLink quarantineLink_;
--- a/src/programs/gateway/request_intake.cpp
+++ b/src/programs/gateway/request_intake.cpp
@@ -47,7 +47,7 @@
 bool RequestGateway::rejectEndingLeafs(const ResponseWriter& writer, const LoggedRequest& request,
                                        const Route& route, const RequestQuarantine::Judgement& judgement) {
   if (judgement.verdict == RequestQuarantine::Verdict::kNotYet) {
-    refuse(writer, request, route.name, LossCause::kEndsLeafs, judgement.retryAfter);
+    refuse(writer, request, route.name, LossCause::kCrashesLeafs, judgement.retryAfter);
     return true;
   }
   if (judgement.verdict != RequestQuarantine::Verdict::kCondemned) {
@@ -56,7 +56,7 @@
   ++counters_.rejectedEndingLeafs;
   // Not 503: that says "not run, come back", and leafs have run it. Not 4xx: the caller need not be wrong.
   writer.write(ownReply(kInternalError, "rejected: leafs have ended each time that they ran this request"));
-  log_.onRefused(request, route.name, LossCause::kEndsLeafs, kInternalError, steadyNow());
+  log_.onRefused(request, route.name, LossCause::kCrashesLeafs, kInternalError, steadyNow());
   return true;
 }
 
@@ -186,7 +186,7 @@
   }
   if (decision.refusal == RefusalCause::kUnanswered) {
     // The fault is the fleet's, so that it is told as one: 429 would send the caller to the tenant's limit.
-    refuse(arrived.writer, arrived.logged, arrived.route->name, LossCause::kTenantNotCounted,
+    refuse(arrived.writer, arrived.logged, arrived.route->name, LossCause::kQuotaUnavailable,
            decision.retryAfter);
     return;
   }
--- a/src/programs/gateway/request_log.cpp
+++ b/src/programs/gateway/request_log.cpp
@@ -64,9 +64,9 @@
   switch (reason) {
     case UnansweredPart::Reason::kNoAnswer:
       return "no leaf answered";
-    case UnansweredPart::Reason::kNotRun:
+    case UnansweredPart::Reason::kNotExecuted:
       return "not run";
-    case UnansweredPart::Reason::kWithdrawn:
+    case UnansweredPart::Reason::kCancelled:
       return "withdrawn by the daemon that asked";
     default:
       return "its time has passed";
@@ -170,8 +170,8 @@
 }
 
 void RequestLog::onUnanswered(const LoggedRequest& request, const UnansweredPart& part, Moment now) {
-  const ServedWork& work = *part.work;
-  losses_.addServed(work.route.name, part.cause, now);
+  const OwnerTask& task = *part.task;
+  losses_.addServed(task.route.name, part.cause, now);
   if (!takeRoom(now)) {
     return;
   }
@@ -180,11 +180,11 @@
        {"fingerprint", request.fingerprint.text()},
        {"outcome", textOf(part.reason)},
        {"service", part.service},
-       {"asked_by", work.asker.text()},
-       {"elapsed_ms", inMilliseconds(now - work.receivedAt)}});
-  for (const TraceEvent& event : work.trace.events()) {
+       {"asked_by", task.requester.text()},
+       {"elapsed_ms", inMilliseconds(now - task.receivedAt)}});
+  for (const TraceEvent& event : task.trace.events()) {
     if (event.service == part.service && takeRoom(now)) {
-      log(LogLevel::kWarning, "decision", fieldsOf(request.id, event, work.receivedAt));
+      log(LogLevel::kWarning, "decision", fieldsOf(request.id, event, task.receivedAt));
     }
   }
 }
--- a/src/programs/gateway/request_queries.cpp
+++ b/src/programs/gateway/request_queries.cpp
@@ -14,7 +14,7 @@
   mergeClient_.cancel(actions.abandons);
   std::vector<SendAction> merged;
   for (const SendAction& action : actions.sends) {
-    if (action.merger) {
+    if (action.mergeServer) {
       merged.push_back(action);
     } else {
       send(active, action);
--- a/src/programs/gateway/source_loop.cpp
+++ b/src/programs/gateway/source_loop.cpp
@@ -159,8 +159,8 @@
        {"own_zone", daemons.ownZone.size()},
        {"zones", daemons.zones},
        {"place", follower_.place()},
-       {"capacity_core_hundredths", capacityOf(daemons.all)},
-       {"own_zone_capacity_core_hundredths", capacityOf(daemons.ownZone)}});
+       {"capacity_core_hundredths", totalPlacementWeight(daemons.all)},
+       {"own_zone_capacity_core_hundredths", totalPlacementWeight(daemons.ownZone)}});
   handlers_.onDaemons(daemons);
 }
 
--- a/tests/serving/coordination/daemon_order_test.cpp
+++ b/tests/serving/coordination/daemon_order_test.cpp
@@ -22,7 +22,7 @@
   return fleet;
 }
 
-std::vector<ServingDaemon> drawnFleet() {
+std::vector<ServingDaemon> randomFleet() {
   std::vector<ServingDaemon> fleet;
   const auto count = *rc::gen::inRange<std::uint32_t>(1, 200);
   for (std::uint32_t number = 1; number <= count; ++number) {
@@ -38,26 +38,26 @@
       {Endpoint(1, 9), 12}, {Endpoint(4, 9), 50}, {Endpoint(2, 9), 0}, {Endpoint(3, 9), 50}});
   const std::vector<Endpoint> expected{Endpoint(3, 9), Endpoint(4, 9), Endpoint(2, 9), Endpoint(1, 9)};
   REQUIRE(addressesOf(order.daemons()) == expected);
-  REQUIRE(order.placeOf(Endpoint(4, 9)) == 1);
+  REQUIRE(order.rankOf(Endpoint(4, 9)) == 1);
   REQUIRE(order.before(Endpoint(4, 9), Endpoint(1, 9)));
   REQUIRE_FALSE(order.before(Endpoint(1, 9), Endpoint(4, 9)));
   REQUIRE_FALSE(order.before(Endpoint(1, 9), Endpoint(1, 9)));
   // An unknown daemon is ordered as one of unknown capacity.
   REQUIRE(order.before(Endpoint(9, 9), Endpoint(1, 9)));
   REQUIRE(order.before(Endpoint(4, 9), Endpoint(9, 9)));
-  REQUIRE(order.placeOf(Endpoint(9, 9)) == 3);
+  REQUIRE(order.rankOf(Endpoint(9, 9)) == 3);
 }
 
 TEST_CASE("equal member tables give the same total order", "[serving][property]") {
   OAKPIER_PROPERTY("order", [] {
-    const auto fleet = drawnFleet();
+    const auto fleet = randomFleet();
     auto shuffled = fleet;
     std::shuffle(shuffled.begin(), shuffled.end(), std::mt19937_64(*rc::gen::arbitrary<std::uint64_t>()));
     const DaemonOrder order(fleet);
     RC_ASSERT(order.daemons() == DaemonOrder(shuffled).daemons());
     for (std::size_t place = 0; place < fleet.size(); ++place) {
       const Endpoint address = order.daemons()[place].address;
-      RC_ASSERT(order.placeOf(address) == place);
+      RC_ASSERT(order.rankOf(address) == place);
       if (place > 0) {
         const Endpoint previous = order.daemons()[place - 1].address;
         RC_ASSERT(order.before(previous, address));
@@ -84,28 +84,28 @@
 TEST_CASE("updates from a reader of high capacity are forwarded by daemons of high capacity", "[serving]") {
   const DaemonOrder order(mixedFleet());
   const Endpoint root = order.daemons().front().address;
-  std::size_t weakForwarders = 0;
+  std::size_t lowCapacityForwarders = 0;
   for (const ServingDaemon& daemon : order.daemons()) {
     const bool forwards = !forwardTo(order, root, daemon.address).empty();
-    weakForwarders += forwards && daemon.capacity < 50 ? 1 : 0;
+    lowCapacityForwarders += forwards && daemon.capacity < 50 ? 1 : 0;
   }
   // A forwarding tree of 74 has ten inner nodes, and there are eight daemons of high capacity.
-  REQUIRE(weakForwarders == 2);
+  REQUIRE(lowCapacityForwarders == 2);
 }
 
 TEST_CASE("the forwarding tree reaches every daemon once, whatever the capacities", "[serving][property]") {
   OAKPIER_PROPERTY("tree", [] {
-    const auto fleet = drawnFleet();
+    const auto fleet = randomFleet();
     const DaemonOrder order(fleet);
     const Endpoint root = fleet[*rc::gen::inRange<std::size_t>(0, fleet.size())].address;
-    std::map<Endpoint, int> told;
+    std::map<Endpoint, int> received;
     for (const ServingDaemon& daemon : fleet) {
       for (const Endpoint& child : forwardTo(order, root, daemon.address)) {
-        ++told[child];
+        ++received[child];
       }
     }
-    RC_ASSERT(told.size() == fleet.size() - 1);
-    for (const auto& [address, times] : told) {
+    RC_ASSERT(received.size() == fleet.size() - 1);
+    for (const auto& [address, times] : received) {
       RC_ASSERT(times == 1);
       RC_ASSERT(address != root);
     }
@@ -123,12 +123,12 @@
   };
   REQUIRE(electionOf(66).reads(at(1)));
   REQUIRE_FALSE(electionOf(0).reads(at(1)));
-  ReaderElection strong = electionOf(70);
-  strong.takeOver();
-  strong.onNews(fleet[0].address);
-  REQUIRE(strong.reads(at(1)));
-  strong.onNews(fleet[66].address);
-  REQUIRE_FALSE(strong.reads(at(1)));
+  ReaderElection reader = electionOf(70);
+  reader.takeOver();
+  reader.onNews(fleet[0].address);
+  REQUIRE(reader.reads(at(1)));
+  reader.onNews(fleet[66].address);
+  REQUIRE_FALSE(reader.reads(at(1)));
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/machine_limits_test.cpp
+++ b/tests/serving/coordination/machine_limits_test.cpp
@@ -27,7 +27,7 @@
   REQUIRE(capacityOf(machine(0, 0)) == 0);
   // Not 0, which means unknown.
   REQUIRE(capacityOf(machine(0.001, 1000)) == 1);
-  REQUIRE(capacityOf(machine(256, 1e7)) == kMostCapacity);
+  REQUIRE(capacityOf(machine(256, 1e7)) == kMaxCapacity);
 }
 
 TEST_CASE("negative and implausibly high machine limits are rejected", "[serving]") {
--- a/tests/serving/coordination/zone_mergers_test.cpp
+++ b/tests/serving/coordination/merge_server_selector_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/serving/zone_mergers.h"
+#include "coordination/serving/merge_server_selector.h"
 
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -10,8 +10,8 @@
 
 namespace {
 
-const Endpoint kNear(2, 9);
-const Endpoint kFar(3, 9);
+const Endpoint kFirst(2, 9);
+const Endpoint kSecond(3, 9);
 
 /// One send to a leaf of each of the zones.
 std::vector<SendAction> sendsTo(const std::vector<std::string>& zones) {
@@ -28,36 +28,36 @@
 
 TEST_CASE("requests to several leafs of another zone are routed through one merge server", "[serving]") {
   RandomEngine random(1);
-  ZoneMergers mergers;
-  mergers.setDaemons({{"b", {kNear, kFar}}});
+  MergeServerSelector mergeServers;
+  mergeServers.setDaemons({{"b", {kFirst, kSecond}}});
   auto sends = sendsTo({"a", "b", "b", "c"});
-  mergers.assign(sends, random, at(0));
-  REQUIRE_FALSE(sends[0].merger);
-  REQUIRE(sends[1].merger);
-  REQUIRE(sends[1].merger == sends[2].merger);
-  REQUIRE_FALSE(sends[3].merger);
+  mergeServers.assign(sends, random, at(0));
+  REQUIRE_FALSE(sends[0].mergeServer);
+  REQUIRE(sends[1].mergeServer);
+  REQUIRE(sends[1].mergeServer == sends[2].mergeServer);
+  REQUIRE_FALSE(sends[3].mergeServer);
 }
 
 TEST_CASE("a request to a single leaf of another zone is sent directly", "[serving]") {
   RandomEngine random(1);
-  ZoneMergers mergers;
-  mergers.setDaemons({{"b", {kNear}}, {"c", {kFar}}});
+  MergeServerSelector mergeServers;
+  mergeServers.setDaemons({{"b", {kFirst}}, {"c", {kSecond}}});
   auto sends = sendsTo({"b", "c", "c"});
-  mergers.assign(sends, random, at(0));
-  REQUIRE_FALSE(sends[0].merger);
-  REQUIRE(sends[1].merger == kFar);
+  mergeServers.assign(sends, random, at(0));
+  REQUIRE_FALSE(sends[0].mergeServer);
+  REQUIRE(sends[1].mergeServer == kSecond);
 }
 
 TEST_CASE("requests to ejected, stalled, slow and overloaded leafs are sent directly", "[serving]") {
   RandomEngine random(1);
-  ZoneMergers mergers;
-  mergers.setDaemons({{"b", {kNear}}});
+  MergeServerSelector mergeServers;
+  mergeServers.setDaemons({{"b", {kFirst}}});
   const auto assigned = [&](auto&& trouble) {
     auto sends = sendsTo({"b", "b", "b"});
     trouble(*sends[0].leaf);
-    mergers.assign(sends, random, at(100));
-    REQUIRE(sends[1].merger == kNear);
-    return sends[0].merger.has_value();
+    mergeServers.assign(sends, random, at(100));
+    REQUIRE(sends[1].mergeServer == kFirst);
+    return sends[0].mergeServer.has_value();
   };
   REQUIRE(assigned([](LeafStatus&) {}));
   REQUIRE_FALSE(assigned([](LeafStatus& leaf) { leaf.onStarted(1, std::chrono::milliseconds(20), at(0)); }));
@@ -74,49 +74,49 @@
 
 TEST_CASE("an unresponsive merge server is used at most once per probe interval", "[serving]") {
   RandomEngine random(1);
-  ZoneMergers mergers;
-  mergers.setDaemons({{"b", {kNear}}});
-  mergers.onSent(kNear, at(0));
-  const auto mergerAt = [&](int milliseconds) {
+  MergeServerSelector mergeServers;
+  mergeServers.setDaemons({{"b", {kFirst}}});
+  mergeServers.onSent(kFirst, at(0));
+  const auto mergeServerAt = [&](int milliseconds) {
     auto sends = sendsTo({"b", "b"});
-    mergers.assign(sends, random, at(milliseconds));
-    return sends[0].merger;
+    mergeServers.assign(sends, random, at(milliseconds));
+    return sends[0].mergeServer;
   };
-  REQUIRE(mergerAt(100) == kNear);
-  REQUIRE_FALSE(mergerAt(200));
-  REQUIRE(mergerAt(300) == kNear);
-  REQUIRE_FALSE(mergerAt(310));
-  mergers.onHeard(kNear, at(1000));
-  REQUIRE(mergerAt(320) == kNear);
+  REQUIRE(mergeServerAt(100) == kFirst);
+  REQUIRE_FALSE(mergeServerAt(200));
+  REQUIRE(mergeServerAt(300) == kFirst);
+  REQUIRE_FALSE(mergeServerAt(310));
+  mergeServers.onReceived(kFirst, at(1000));
+  REQUIRE(mergeServerAt(320) == kFirst);
 }
 
 TEST_CASE("merge servers are chosen in proportion to their capacity", "[serving]") {
   RandomEngine random(1);
-  ZoneMergers mergers;
+  MergeServerSelector mergeServers;
   std::vector<ServingDaemon> zone;
   for (std::uint32_t number = 0; number < 18; ++number) {
     zone.emplace_back(Endpoint(number + 2, 9), number < 2 ? 50 : 12);
   }
-  mergers.setDaemons({{"b", zone}});
+  mergeServers.setDaemons({{"b", zone}});
   constexpr int kDraws = 60'000;
   std::map<Endpoint, int> drawn;
   for (int draw = 0; draw < kDraws; ++draw) {
     auto sends = sendsTo({"b", "b"});
-    mergers.assign(sends, random, at(0));
-    ++drawn[*sends[0].merger];
+    mergeServers.assign(sends, random, at(0));
+    ++drawn[*sends[0].mergeServer];
   }
   for (const ServingDaemon& daemon : zone) {
-    const double due = kDraws * daemon.capacity / 292.0;
-    REQUIRE(std::abs(drawn[daemon.address] - due) < 0.1 * due);
+    const double expected = kDraws * daemon.capacity / 292.0;
+    REQUIRE(std::abs(drawn[daemon.address] - expected) < 0.1 * expected);
   }
 }
 
 TEST_CASE("the preferred zone of a query is one of the other zones", "[serving]") {
   RandomEngine random(1);
-  ZoneMergers mergers;
-  REQUIRE(mergers.drawZone(random).empty());
-  mergers.setDaemons({{"b", {kNear}}});
-  REQUIRE(mergers.drawZone(random) == "b");
+  MergeServerSelector mergeServers;
+  REQUIRE(mergeServers.chooseZone(random).empty());
+  mergeServers.setDaemons({{"b", {kFirst}}});
+  REQUIRE(mergeServers.chooseZone(random) == "b");
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/shard_owners_test.cpp
+++ b/tests/serving/coordination/shard_owners_test.cpp
@@ -38,20 +38,20 @@
   ShardOwners owners(daemons.front());
   owners.setDaemons({daemons.begin(), daemons.end()});
   owners.setServices({"a", "b", "c", "d", "e", "f", "g", "h"});
-  std::string foreign;
+  std::string notOwned;
   for (const std::string service : {"a", "b", "c", "d", "e", "f", "g", "h"}) {
-    foreign = owners.isOwner(service) ? foreign : service;
+    notOwned = owners.isOwner(service) ? notOwned : service;
   }
-  REQUIRE_FALSE(foreign.empty());
-  REQUIRE(owners.serveForOther(foreign, at(0)));
-  REQUIRE_FALSE(owners.serveForOther(foreign, at(1)));
-  REQUIRE(owners.isOwner(foreign));
-  REQUIRE_FALSE(owners.isFirstOwner(foreign));
-  owners.dropUnasked(at(5000));
-  REQUIRE(owners.isOwner(foreign));
-  owners.dropUnasked(at(20000));
-  REQUIRE_FALSE(owners.isOwner(foreign));
-  REQUIRE_FALSE(owners.serveForOther("not left to owners", at(0)));
+  REQUIRE_FALSE(notOwned.empty());
+  REQUIRE(owners.acceptOwnership(notOwned, at(0)));
+  REQUIRE_FALSE(owners.acceptOwnership(notOwned, at(1)));
+  REQUIRE(owners.isOwner(notOwned));
+  REQUIRE_FALSE(owners.isFirstOwner(notOwned));
+  owners.expireAcceptedOwnership(at(5000));
+  REQUIRE(owners.isOwner(notOwned));
+  owners.expireAcceptedOwnership(at(20000));
+  REQUIRE_FALSE(owners.isOwner(notOwned));
+  REQUIRE_FALSE(owners.acceptOwnership("not left to owners", at(0)));
 }
 
 TEST_CASE("daemons with equal member tables choose the same owners", "[serving]") {
@@ -83,10 +83,10 @@
   for (int number = 0; number < kShards; ++number) {
     ++owned[owners.ownersOf(shard(number), at(0)).front()];
   }
-  REQUIRE(capacityOf(zone) == 292);
+  REQUIRE(totalPlacementWeight(zone) == 292);
   for (const ServingDaemon& daemon : zone) {
-    const double due = kShards * daemon.capacity / 292.0;
-    REQUIRE(std::abs(owned[daemon.address] - due) < 0.1 * due);
+    const double expected = kShards * daemon.capacity / 292.0;
+    REQUIRE(std::abs(owned[daemon.address] - expected) < 0.1 * expected);
   }
 }
 
@@ -103,27 +103,27 @@
   }
   zone[3].capacity = 50;
   owners.setDaemons(zone);
-  int gained = 0;
+  int moved = 0;
   for (int number = 0; number < 1000; ++number) {
     const Endpoint now = owners.ownersOf(shard(number), at(0)).front();
-    gained += now == before[number] ? 0 : 1;
+    moved += now == before[number] ? 0 : 1;
     REQUIRE((now == before[number] || now == zone[3].address));
   }
-  REQUIRE(gained > 0);
+  REQUIRE(moved > 0);
 }
 
 TEST_CASE("the removal of a daemon moves only its shards, to their second owners", "[serving]") {
   OAKPIER_PROPERTY("moves", [] {
     auto group = daemons(*rc::gen::inRange<std::uint32_t>(2, 40));
     auto before = ownersSeenBy(group[0], group);
-    const auto gone = static_cast<std::ptrdiff_t>(*rc::gen::inRange<std::size_t>(0, group.size()));
-    const Endpoint lost = group[static_cast<std::size_t>(gone)];
-    group.erase(group.begin() + gone);
+    const auto removedIndex = static_cast<std::ptrdiff_t>(*rc::gen::inRange<std::size_t>(0, group.size()));
+    const Endpoint removed = group[static_cast<std::size_t>(removedIndex)];
+    group.erase(group.begin() + removedIndex);
     auto after = ownersSeenBy(group[0], group);
     for (int number = 0; number < 50; ++number) {
       const auto was = before.ownersOf(shard(number), at(0));
       const auto is = after.ownersOf(shard(number), at(0));
-      RC_ASSERT(is[0] == (was[0] == lost ? was[1] : was[0]));
+      RC_ASSERT(is[0] == (was[0] == removed ? was[1] : was[0]));
     }
   });
 }
@@ -131,95 +131,96 @@
 TEST_CASE("an unresponsive owner is not used until a frame is received from it", "[serving]") {
   const auto group = daemons(5);
   auto owners = ownersSeenBy(group[0], group);
-  const auto usual = owners.ownersOf("s", at(0));
-  owners.onSent(usual[0], at(0));
-  owners.onSent(usual[0], at(100));
-  REQUIRE(owners.ownersOf("s", at(100)) == usual);
-  REQUIRE(owners.takeProbes(at(100)).empty());
-  const auto turned = owners.ownersOf("s", at(300));
-  REQUIRE(turned.size() == kOwnersPerShard);
-  REQUIRE(turned[0] == usual[1]);
-  REQUIRE(turned[1] != usual[0]);
+  const auto initial = owners.ownersOf("s", at(0));
+  owners.onSent(initial[0], at(0));
+  owners.onSent(initial[0], at(100));
+  REQUIRE(owners.ownersOf("s", at(100)) == initial);
+  REQUIRE(owners.takeDueProbes(at(100)).empty());
+  const auto reordered = owners.ownersOf("s", at(300));
+  REQUIRE(reordered.size() == kOwnersPerShard);
+  REQUIRE(reordered[0] == initial[1]);
+  REQUIRE(reordered[1] != initial[0]);
   // It is probed periodically but gets no work.
-  REQUIRE(owners.takeProbes(at(300)) == std::vector<Endpoint>{usual[0]});
-  REQUIRE(owners.takeProbes(at(310)).empty());
-  REQUIRE(owners.takeProbes(at(600)).size() == 1);
-  owners.onHeard(usual[0], at(600));
-  REQUIRE(owners.ownersOf("s", at(601)) == usual);
+  REQUIRE(owners.takeDueProbes(at(300)) == std::vector<Endpoint>{initial[0]});
+  REQUIRE(owners.takeDueProbes(at(310)).empty());
+  REQUIRE(owners.takeDueProbes(at(600)).size() == 1);
+  owners.onReceived(initial[0], at(600));
+  REQUIRE(owners.ownersOf("s", at(601)) == initial);
 }
 
 TEST_CASE("of two daemons the unresponsive one is the second owner", "[serving]") {
   const auto group = daemons(2);
   auto owners = ownersSeenBy(group[0], group);
-  const auto usual = owners.ownersOf("s", at(0));
-  owners.onSent(usual[0], at(0));
-  const std::vector<Endpoint> turned{usual[1], usual[0]};
-  REQUIRE(owners.ownersOf("s", at(300)) == turned);
+  const auto initial = owners.ownersOf("s", at(0));
+  owners.onSent(initial[0], at(0));
+  const std::vector<Endpoint> reordered{initial[1], initial[0]};
+  REQUIRE(owners.ownersOf("s", at(300)) == reordered);
 }
 
 TEST_CASE("while both owners are unresponsive all daemons choose the same successors", "[serving]") {
   const auto group = daemons(19);
   auto owners = ownersSeenBy(group[0], group);
   auto others = ownersSeenBy(group[7], group);
-  const auto usual = owners.ownersOf("s", at(0));
-  for (const Endpoint& owner : usual) {
+  const auto initial = owners.ownersOf("s", at(0));
+  for (const Endpoint& owner : initial) {
     owners.onSent(owner, at(0));
     others.onSent(owner, at(20));
   }
-  const auto stepIn = owners.ownersOf("s", at(300));
-  REQUIRE(stepIn == others.ownersOf("s", at(300)));
-  REQUIRE(std::find_first_of(stepIn.begin(), stepIn.end(), usual.begin(), usual.end()) == stepIn.end());
+  const auto successors = owners.ownersOf("s", at(300));
+  REQUIRE(successors == others.ownersOf("s", at(300)));
+  REQUIRE(std::find_first_of(successors.begin(), successors.end(), initial.begin(), initial.end()) ==
+          successors.end());
 }
 
 TEST_CASE("an unresponsive daemon is reported once, and reports about a responsive one are ignored",
           "[serving]") {
   const auto group = daemons(5);
-  auto teller = ownersSeenBy(group[0], group);
-  auto told = ownersSeenBy(group[1], group);
-  const auto usual = teller.ownersOf("s", at(0));
-  teller.onSent(usual[0], at(0));
-  REQUIRE(teller.takeNewlySilent(at(100)).empty());
-  REQUIRE(teller.takeNewlySilent(at(150)) == std::vector<Endpoint>{usual[0]});
-  REQUIRE(teller.takeNewlySilent(at(200)).empty());
+  auto reporter = ownersSeenBy(group[0], group);
+  auto receiver = ownersSeenBy(group[1], group);
+  const auto initial = reporter.ownersOf("s", at(0));
+  reporter.onSent(initial[0], at(0));
+  REQUIRE(reporter.takeNewlyUnresponsive(at(100)).empty());
+  REQUIRE(reporter.takeNewlyUnresponsive(at(150)) == std::vector<Endpoint>{initial[0]});
+  REQUIRE(reporter.takeNewlyUnresponsive(at(200)).empty());
   SECTION("the report is accepted and not propagated") {
-    told.onToldSilent(usual[0], at(150));
-    REQUIRE(told.ownersOf("s", at(151)).front() == usual[1]);
-    REQUIRE(told.takeNewlySilent(at(151)).empty());
+    receiver.onReportedUnresponsive(initial[0], at(150));
+    REQUIRE(receiver.ownersOf("s", at(151)).front() == initial[1]);
+    REQUIRE(receiver.takeNewlyUnresponsive(at(151)).empty());
     // It is probed like a daemon that was found unresponsive locally.
-    REQUIRE(told.takeProbes(at(150)).empty());
-    REQUIRE(told.takeProbes(at(450)) == std::vector<Endpoint>{usual[0]});
-    told.onHeard(usual[0], at(460));
-    REQUIRE(told.ownersOf("s", at(461)) == usual);
+    REQUIRE(receiver.takeDueProbes(at(150)).empty());
+    REQUIRE(receiver.takeDueProbes(at(450)) == std::vector<Endpoint>{initial[0]});
+    receiver.onReceived(initial[0], at(460));
+    REQUIRE(receiver.ownersOf("s", at(461)) == initial);
   }
   SECTION("a frame was received from the daemon within the timeout") {
-    told.onHeard(usual[0], at(100));
-    told.onToldSilent(usual[0], at(150));
-    REQUIRE(told.ownersOf("s", at(151)) == usual);
+    receiver.onReceived(initial[0], at(100));
+    receiver.onReportedUnresponsive(initial[0], at(150));
+    REQUIRE(receiver.ownersOf("s", at(151)) == initial);
   }
 }
 
 TEST_CASE("with all owners unresponsive the order of the owners stays", "[serving]") {
   const auto group = daemons(2);
   auto owners = ownersSeenBy(group[0], group);
-  const auto usual = owners.ownersOf("s", at(0));
-  owners.onSent(usual[0], at(0));
-  owners.onSent(usual[1], at(0));
-  REQUIRE(owners.ownersOf("s", at(500)) == usual);
+  const auto initial = owners.ownersOf("s", at(0));
+  owners.onSent(initial[0], at(0));
+  owners.onSent(initial[1], at(0));
+  REQUIRE(owners.ownersOf("s", at(500)) == initial);
 }
 
 TEST_CASE("services that no route references are accessed through owners too", "[serving]") {
   ServingConfiguration configuration;
   configuration.routes = {gatherRoute({"now"}, 0.5), singleRoute("whole", true, 2)};
   configuration.services = {{"now", 26}, {"next", 26}, {"whole", 26}, {"wide", 500}};
-  REQUIRE(servicesForOwners(configuration, 100) == std::unordered_set<std::string>{"now", "next"});
-  REQUIRE(servicesForOwners(configuration, 12).empty());
+  REQUIRE(ownedServices(configuration, 100) == std::unordered_set<std::string>{"now", "next"});
+  REQUIRE(ownedServices(configuration, 12).empty());
 }
 
 TEST_CASE("the owners of all zones together stay within a leaf's maximum of connections", "[serving]") {
   OAKPIER_PROPERTY("connections", [] {
     const auto zones = *rc::gen::inRange<std::size_t>(1, 8);
     const auto maximum = *rc::gen::inRange<std::size_t>(2 * zones, 200);
-    const std::size_t each = ownerConnections(maximum, zones);
+    const std::size_t each = connectionsPerOwner(maximum, zones);
     RC_ASSERT(each >= 1U);
     RC_ASSERT(each * zones * kOwnersPerShard <= maximum);
   });
--- a/tests/serving/coordination/shard_server_test.cpp
+++ b/tests/serving/coordination/shard_server_test.cpp
@@ -19,7 +19,7 @@
 
 using Kind = LeafOutcome::Kind;
 
-const Endpoint kAsker(1, 9);
+const Endpoint kRequester(1, 9);
 constexpr std::uint64_t kRun = 77;
 
 OwnerWork workOf(const std::vector<std::string>& services, unsigned attempts = 2) {
@@ -44,8 +44,9 @@
 std::string record(char letter) { return std::string(16, letter); }
 
 struct ServerWorld : QueryWorld {
-  explicit ServerWorld(std::size_t replicas = 2, double saved = 100)
-      : QueryWorld(viewOf({gatherRoute({"s", "t"}, 0.5)}, {"s", "t"}, replicas), saved), server(*context) {}
+  explicit ServerWorld(std::size_t replicas = 2, double retryBudget = 100)
+      : QueryWorld(viewOf({gatherRoute({"s", "t"}, 0.5)}, {"s", "t"}, replicas), retryBudget),
+        server(*context) {}
 
   ShardServer server;
 };
@@ -54,7 +55,7 @@
 
 TEST_CASE("an owner returns the greatest records to the requesting process", "[serving]") {
   ServerWorld world;
-  const auto started = world.server.onWork(kAsker, workOf({"s"}), at(0));
+  const auto started = world.server.onWork(kRequester, workOf({"s"}), at(0));
   REQUIRE(started.sends.size() == 1);
   REQUIRE(started.results.empty());
   const ExchangeId exchange = started.sends[0].action.exchange;
@@ -62,7 +63,7 @@
   const auto done = world.server.onOutcome(
       exchange, outcomeOf(Kind::kAnswered, record('a') + record('c') + record('b')), at(20));
   REQUIRE(done.results.size() == 1);
-  REQUIRE(done.results[0].to == kAsker);
+  REQUIRE(done.results[0].to == kRequester);
   REQUIRE(done.results[0].results.receiver_run() == kRun);
   const OwnerResult& result = done.results[0].results.results(0);
   REQUIRE(result.exchange() == 100);
@@ -78,14 +79,14 @@
   OwnerWork work = workOf({"s"});
   work.set_tenant("amber");
   work.set_rank(5);
-  const auto started = world.server.onWork(kAsker, work, at(0));
-  REQUIRE(started.sends.at(0).work->request.tenant == "amber");
-  REQUIRE(started.sends.at(0).work->route.rank == 5);
+  const auto started = world.server.onWork(kRequester, work, at(0));
+  REQUIRE(started.sends.at(0).task->request.tenant == "amber");
+  REQUIRE(started.sends.at(0).task->route.rank == 5);
 }
 
 TEST_CASE("an owner hedges, and cancels the other attempt after the first answer", "[serving]") {
   ServerWorld world;
-  const auto started = world.server.onWork(kAsker, workOf({"s"}), at(0));
+  const auto started = world.server.onWork(kRequester, workOf({"s"}), at(0));
   const ExchangeId first = started.sends[0].action.exchange;
   world.server.onWritten(first);
   const Moment due = world.server.nextDecisionAt();
@@ -104,24 +105,24 @@
 
 TEST_CASE("an owner reports a part as not run only if no leaf can have executed it", "[serving]") {
   ServerWorld unknown;
-  const auto nowhere = unknown.server.onWork(kAsker, workOf({"nowhere"}), at(0));
+  const auto nowhere = unknown.server.onWork(kRequester, workOf({"nowhere"}), at(0));
   REQUIRE(nowhere.results[0].results.results(0).status() == OWNER_NOT_SENT);
 
   ServerWorld unreachable(1);
-  const auto tried = unreachable.server.onWork(kAsker, workOf({"s"}), at(0));
+  const auto tried = unreachable.server.onWork(kRequester, workOf({"s"}), at(0));
   const auto unsent =
       unreachable.server.onOutcome(tried.sends[0].action.exchange, outcomeOf(Kind::kNotSent), at(5));
   REQUIRE(unsent.results[0].results.results(0).status() == OWNER_NOT_SENT);
 
   ServerWorld refused(1);
-  const auto started = refused.server.onWork(kAsker, workOf({"s"}), at(0));
+  const auto started = refused.server.onWork(kRequester, workOf({"s"}), at(0));
   refused.server.onWritten(started.sends[0].action.exchange);
   const auto turnedAway =
       refused.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kNotExecuted), at(5));
   REQUIRE(turnedAway.results[0].results.results(0).status() == OWNER_NOT_RUN);
 
   ServerWorld lost(1);
-  const auto begun = lost.server.onWork(kAsker, workOf({"s"}), at(0));
+  const auto begun = lost.server.onWork(kRequester, workOf({"s"}), at(0));
   lost.server.onWritten(begun.sends[0].action.exchange);
   const auto broken =
       lost.server.onOutcome(begun.sends[0].action.exchange, outcomeOf(Kind::kNoAnswer), at(5));
@@ -137,23 +138,23 @@
   quarantine.onLeafEnded(fingerprint, 1, at(0));
   quarantine.onLeafEnded(fingerprint, 2, at(0));
   SECTION("the requester has not checked it") {
-    const auto refused = world.server.onWork(kAsker, work, at(1000));
+    const auto refused = world.server.onWork(kRequester, work, at(1000));
     REQUIRE(refused.sends.empty());
     REQUIRE(refused.results[0].results.results_size() == 2);
     REQUIRE(refused.results[0].results.results(1).status() == OWNER_NOT_RUN);
-    REQUIRE(refused.unanswered[0].cause == LossCause::kEndsLeafs);
+    REQUIRE(refused.unanswered[0].cause == LossCause::kCrashesLeafs);
     REQUIRE(world.server.inProgress() == 0);
   }
   SECTION("the requester has checked it") {
     work.set_vetted(true);
-    REQUIRE(world.server.onWork(kAsker, work, at(1000)).sends.size() == 2);
+    REQUIRE(world.server.onWork(kRequester, work, at(1000)).sends.size() == 2);
   }
 }
 
 TEST_CASE("an owner suspends a request after two leafs have crashed on it", "[serving]") {
   ServerWorld world(3);
-  const auto started = world.server.onWork(kAsker, workOf({"s", "t"}, 3), at(0));
-  for (const ServedSend& send : started.sends) {
+  const auto started = world.server.onWork(kRequester, workOf({"s", "t"}, 3), at(0));
+  for (const OwnerSend& send : started.sends) {
     world.server.onWritten(send.action.exchange);
   }
   const auto retried =
@@ -181,25 +182,25 @@
 
 TEST_CASE("cancelled and expired work is cancelled at the leafs and gets no result", "[serving]") {
   ServerWorld world;
-  const auto started = world.server.onWork(kAsker, workOf({"s", "t"}), at(0));
+  const auto started = world.server.onWork(kRequester, workOf({"s", "t"}), at(0));
   REQUIRE(started.sends.size() == 2);
   OwnerCancel cancel;
   cancel.add_exchanges(100);
   cancel.set_sender_run(kRun + 1);
-  REQUIRE(world.server.onCancel(kAsker, cancel).abandons.empty());
+  REQUIRE(world.server.onCancel(kRequester, cancel).abandons.empty());
   cancel.set_sender_run(kRun);
-  const auto cancelled = world.server.onCancel(kAsker, cancel);
+  const auto cancelled = world.server.onCancel(kRequester, cancel);
   REQUIRE(cancelled.abandons == std::vector<ExchangeId>{started.sends[0].action.exchange});
   REQUIRE(cancelled.results.empty());
   REQUIRE(cancelled.unanswered.size() == 1);
-  REQUIRE(cancelled.unanswered[0].reason == UnansweredPart::Reason::kWithdrawn);
+  REQUIRE(cancelled.unanswered[0].reason == UnansweredPart::Reason::kCancelled);
   REQUIRE(cancelled.unanswered[0].service == "s");
   REQUIRE(world.server.inProgress() == 1);
   const auto expired = world.server.onTime(at(600));
   REQUIRE(std::count(expired.abandons.begin(), expired.abandons.end(), started.sends[1].action.exchange) ==
           1);
   REQUIRE(expired.results.empty());
-  REQUIRE(expired.unanswered[0].reason == UnansweredPart::Reason::kTimePassed);
+  REQUIRE(expired.unanswered[0].reason == UnansweredPart::Reason::kExpired);
   REQUIRE(world.server.inProgress() == 0);
   REQUIRE(world.server.nextDecisionAt() == kNever);
 }
@@ -207,11 +208,11 @@
 namespace {
 
 /// A query over owned shards at a daemon that owns none of them.
-struct AskerWorld : QueryWorld {
-  explicit AskerWorld(const std::vector<std::string>& shards, double share)
+struct RequesterWorld : QueryWorld {
+  explicit RequesterWorld(const std::vector<std::string>& shards, double share)
       : QueryWorld(viewOf({gatherRoute(shards, share)}, shards, 2)),
         view(viewOf({gatherRoute(shards, share)}, shards, 2)),
-        owners(kAsker) {
+        owners(kRequester) {
     owners.setDaemons({Endpoint(2, 9), Endpoint(3, 9), Endpoint(4, 9)});
     owners.setServices({shards.begin(), shards.end()});
     context->owners = &owners;
@@ -227,7 +228,7 @@
 
 TEST_CASE("a second owner is asked only if the first is known to have sent nothing", "[serving]") {
   for (const Kind kind : {Kind::kNotSent, Kind::kNotExecuted, Kind::kNoAnswer}) {
-    AskerWorld world({"s"}, 1.0);
+    RequesterWorld world({"s"}, 1.0);
     const auto started = world.query->start(at(0));
     REQUIRE(started.sends.empty());
     REQUIRE(started.relays.size() == 1);
@@ -258,7 +259,7 @@
 }
 
 TEST_CASE("a caller's disconnect cancels the parts at the owners", "[serving]") {
-  AskerWorld world({"s", "t"}, 1.0);
+  RequesterWorld world({"s", "t"}, 1.0);
   const auto started = world.query->start(at(0));
   world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
   REQUIRE(world.query->onCallerGone().abandons == std::vector<ExchangeId>{started.relays[1].exchange});
@@ -266,7 +267,7 @@
 
 TEST_CASE("a query does not wait for an unresponsive owner", "[serving]") {
   for (const double share : {0.5, 1.0}) {
-    AskerWorld world({"s", "t"}, share);
+    RequesterWorld world({"s", "t"}, share);
     const auto started = world.query->start(at(0));
     const Endpoint silent = started.relays[1].owner;
     world.owners.onSent(silent, at(0));
@@ -289,17 +290,17 @@
 }
 
 TEST_CASE("a query waits for a responsive owner", "[serving]") {
-  AskerWorld world({"s"}, 1.0);
+  RequesterWorld world({"s"}, 1.0);
   const auto started = world.query->start(at(0));
   world.owners.onSent(started.relays[0].owner, at(0));
-  world.owners.onHeard(started.relays[0].owner, at(0));
+  world.owners.onReceived(started.relays[0].owner, at(0));
   for (int milliseconds = 50; milliseconds < 950; milliseconds += 50) {
     REQUIRE_FALSE(world.query->onTime(at(milliseconds)).answer);
   }
 }
 
 TEST_CASE("a query merges the owners' answers and reports the number of missing shards", "[serving]") {
-  AskerWorld world({"s", "t", "u"}, 0.6);
+  RequesterWorld world({"s", "t", "u"}, 0.6);
   const auto started = world.query->start(at(0));
   REQUIRE(started.relays.size() == 3);
   world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
@@ -317,12 +318,12 @@
 /// One query, three owners and the frames in between. The generator decides which frames and leafs fail.
 class HopSimulation {
  public:
-  HopSimulation() : asker_(shards_, 0.5) {
+  HopSimulation() : requester_(shards_, 0.5) {
     for (const Endpoint& daemon : {Endpoint(2, 9), Endpoint(3, 9), Endpoint(4, 9)}) {
       owners_[daemon] = std::make_unique<ServerWorld>(3);
       owners_[daemon]->registry.reconcile(leafsOf(shards_, 3), at(0));
     }
-    carry(asker_.query->start(at(0)));
+    carry(requester_.query->start(at(0)));
   }
 
   void deliverFrame(Moment now) {
@@ -334,11 +335,11 @@
     const int fate = *rc::gen::inRange(0, 4);
     if (fate == 0) {
       // The transport reports that the frame was not sent.
-      carry(asker_.query->onOutcome(relay.exchange, outcomeOf(Kind::kNotSent), now));
+      carry(requester_.query->onOutcome(relay.exchange, outcomeOf(Kind::kNotSent), now));
     } else if (fate != 1) {
       OwnerWork work = workOf({relay.service}, relay.attempts);
       work.mutable_parts(0)->set_exchange(relay.exchange);
-      carry(relay.owner, owners_[relay.owner]->server.onWork(kAsker, work, now), now);
+      carry(relay.owner, owners_[relay.owner]->server.onWork(kRequester, work, now), now);
     }
   }
 
@@ -369,21 +370,21 @@
   }
 
   /// The maximum, over all shards, of the number of owners from which leafs have received the request.
-  std::size_t mostOwners() const {
-    std::size_t most = 0;
+  std::size_t maxOwners() const {
+    std::size_t highest = 0;
     for (const auto& [shard, owners] : arrivedFrom_) {
-      most = std::max(most, owners.size());
+      highest = std::max(highest, owners.size());
     }
-    return most;
+    return highest;
   }
 
   /// The maximum, over all shards, of the number of leafs that may have executed the request.
-  std::size_t mostLeafs() const {
-    std::size_t most = 0;
+  std::size_t maxLeafs() const {
+    std::size_t highest = 0;
     for (const auto& [shard, leafs] : ranAt_) {
-      most = std::max(most, leafs.size());
+      highest = std::max(highest, leafs.size());
     }
-    return most;
+    return highest;
   }
 
  private:
@@ -397,16 +398,16 @@
   }
 
   void carry(const Endpoint& owner, const ShardServerActions& actions, Moment now) {
-    for (const ServedSend& send : actions.sends) {
+    for (const OwnerSend& send : actions.sends) {
       const LeafEntry& leaf = send.action.leaf->entry();
       ranAt_[leaf.service].insert(leaf.id);
       running_.push_back({owner, send.action});
     }
-    for (const OutgoingResults& outgoing : actions.results) {
+    for (const OutgoingOwnerResults& outgoing : actions.results) {
       for (const OwnerResult& result : outgoing.results.results()) {
         const bool lost = *rc::gen::inRange(0, 5) == 0;
         if (!lost) {
-          carry(asker_.query->onOutcome(result.exchange(), outcomeOf(kindOf(result)), now));
+          carry(requester_.query->onOutcome(result.exchange(), outcomeOf(kindOf(result)), now));
         }
       }
     }
@@ -423,7 +424,7 @@
   }
 
   const std::vector<std::string> shards_{"s", "t", "u", "v"};
-  AskerWorld asker_;
+  RequesterWorld requester_;
   std::map<Endpoint, std::unique_ptr<ServerWorld>> owners_;
   std::deque<RelayAction> frames_;
   std::vector<Running> running_;
@@ -451,8 +452,8 @@
           simulation.passTime(now);
           break;
       }
-      RC_ASSERT(simulation.mostLeafs() <= 2U);
-      RC_ASSERT(simulation.mostOwners() <= 1U);
+      RC_ASSERT(simulation.maxLeafs() <= 2U);
+      RC_ASSERT(simulation.maxOwners() <= 1U);
     }
   });
 }
--- a/tests/serving/coordination/weighted_rendezvous_test.cpp
+++ b/tests/serving/coordination/weighted_rendezvous_test.cpp
@@ -26,7 +26,7 @@
   return fleet;
 }
 
-Fleet drawnFleet() {
+Fleet randomFleet() {
   Fleet fleet;
   const int count = *rc::gen::inRange(2, 40);
   for (int number = 0; number < count; ++number) {
@@ -38,10 +38,10 @@
 
 std::uint64_t keyHash(int number) { return hashText("key-" + std::to_string(number)); }
 
-std::map<Endpoint, int> firstPlaces(const Fleet& fleet, int keys) {
+std::map<Endpoint, int> firstRankCounts(const Fleet& fleet, int keys) {
   std::map<Endpoint, int> counts;
   for (int key = 0; key < keys; ++key) {
-    ++counts[*firstDaemon(keyHash(key), fleet)];
+    ++counts[*highestRankedDaemon(keyHash(key), fleet)];
   }
   return counts;
 }
@@ -66,10 +66,10 @@
                                      fleetOf({{1, 400}, {5, 100}, {6, 25}, {4, 0}})};
   for (const Fleet& fleet : fleets) {
     constexpr int kKeys = 250'000;
-    const auto counts = firstPlaces(fleet, kKeys);
+    const auto counts = firstRankCounts(fleet, kKeys);
     for (const ServingDaemon& daemon : fleet) {
-      const double due = kKeys * placementWeight(daemon.capacity) / totalWeight(fleet);
-      REQUIRE(std::abs(counts.at(daemon.address) - due) < 0.1 * due);
+      const double expected = kKeys * placementWeight(daemon.capacity) / totalWeight(fleet);
+      REQUIRE(std::abs(counts.at(daemon.address) - expected) < 0.1 * expected);
     }
   }
 }
@@ -86,14 +86,14 @@
     first += ranked[0] == fleet.front().address ? 1 : 0;
     second += ranked[1] == fleet.front().address ? 1 : 0;
   }
-  const double due = (kKeys - first) * 50.0 / 540.0;
-  REQUIRE(std::abs(second - due) < 0.1 * due);
+  const double expected = (kKeys - first) * 50.0 / 540.0;
+  REQUIRE(std::abs(second - expected) < 0.1 * expected);
 }
 
 TEST_CASE("a daemon that joins, leaves or changes its capacity changes only its own rank",
           "[serving][property]") {
   OAKPIER_PROPERTY("the others keep their order", [] {
-    const Fleet fleet = drawnFleet();
+    const Fleet fleet = randomFleet();
     Fleet changed = fleet;
     ServingDaemon& one = changed[*rc::gen::inRange<std::size_t>(0, fleet.size())];
     const Endpoint address = one.address;
@@ -116,7 +116,7 @@
   const auto movedTo = [&](const Fleet& after) {
     int moved = 0;
     for (int key = 0; key < kKeys; ++key) {
-      moved += firstDaemon(keyHash(key), before) != firstDaemon(keyHash(key), after) ? 1 : 0;
+      moved += highestRankedDaemon(keyHash(key), before) != highestRankedDaemon(keyHash(key), after) ? 1 : 0;
     }
     return moved;
   };
@@ -126,10 +126,10 @@
   shrunk.front().capacity = 25;
   Fleet grown = before;
   grown.back().capacity = 50;
-  const double strongShare = kKeys * 50 / total;
-  REQUIRE(movedTo(without) == firstPlaces(before, kKeys).at(before.front().address));
-  REQUIRE(std::abs(movedTo(without) - strongShare) < 0.1 * strongShare);
-  const double shrunkLoss = strongShare - kKeys * 25 / (total - 25);
+  const double highCapacityShare = kKeys * 50 / total;
+  REQUIRE(movedTo(without) == firstRankCounts(before, kKeys).at(before.front().address));
+  REQUIRE(std::abs(movedTo(without) - highCapacityShare) < 0.1 * highCapacityShare);
+  const double shrunkLoss = highCapacityShare - kKeys * 25 / (total - 25);
   REQUIRE(std::abs(movedTo(shrunk) - shrunkLoss) < 0.1 * shrunkLoss);
   const double grownGain = kKeys * 50 / (total + 38) - kKeys * 12 / total;
   REQUIRE(std::abs(movedTo(grown) - grownGain) < 0.1 * grownGain);
@@ -137,41 +137,41 @@
 
 TEST_CASE("the ranking does not depend on the order of the input", "[serving][property]") {
   OAKPIER_PROPERTY("equal ranks", [] {
-    const Fleet fleet = drawnFleet();
+    const Fleet fleet = randomFleet();
     Fleet shuffled = fleet;
     std::shuffle(shuffled.begin(), shuffled.end(), std::mt19937_64(*rc::gen::arbitrary<std::uint64_t>()));
     const std::uint64_t key = *rc::gen::arbitrary<std::uint64_t>();
     const auto ranked = rankDaemons(key, fleet, fleet.size());
     RC_ASSERT(ranked.size() == fleet.size());
     RC_ASSERT(rankDaemons(key, shuffled, fleet.size()) == ranked);
-    RC_ASSERT(firstDaemon(key, shuffled) == ranked.front());
-    const std::size_t most = *rc::gen::inRange<std::size_t>(0, fleet.size() + 2);
-    const auto few = rankDaemons(key, shuffled, most);
-    RC_ASSERT(few.size() == std::min(most, fleet.size()));
+    RC_ASSERT(highestRankedDaemon(key, shuffled) == ranked.front());
+    const std::size_t maxCount = *rc::gen::inRange<std::size_t>(0, fleet.size() + 2);
+    const auto few = rankDaemons(key, shuffled, maxCount);
+    RC_ASSERT(few.size() == std::min(maxCount, fleet.size()));
     RC_ASSERT(std::equal(few.begin(), few.end(), ranked.begin()));
   });
 }
 
 TEST_CASE("daemons of unknown capacity have the default capacity", "[serving]") {
-  const Fleet untold = fleetOf({{20, 0}});
-  const Fleet usual = fleetOf({{20, kUsualCapacity}});
-  const Fleet strong = fleetOf({{20, 50}});
+  const Fleet unknown = fleetOf({{20, 0}});
+  const Fleet defaults = fleetOf({{20, kDefaultCapacity}});
+  const Fleet highCapacity = fleetOf({{20, 50}});
   for (int key = 0; key < 200; ++key) {
-    REQUIRE(rankDaemons(keyHash(key), untold, 6) == rankDaemons(keyHash(key), usual, 6));
+    REQUIRE(rankDaemons(keyHash(key), unknown, 6) == rankDaemons(keyHash(key), defaults, 6));
     // With equal capacities the ranking does not depend on their value.
-    REQUIRE(rankDaemons(keyHash(key), untold, 6) == rankDaemons(keyHash(key), strong, 6));
+    REQUIRE(rankDaemons(keyHash(key), unknown, 6) == rankDaemons(keyHash(key), highCapacity, 6));
   }
 }
 
 TEST_CASE("the placement weight is limited to the maximum capacity", "[serving]") {
-  REQUIRE(placementWeight(4'000'000'000U) == kMostCapacity);
-  REQUIRE(placementWeight(0) == kUsualCapacity);
+  REQUIRE(placementWeight(4'000'000'000U) == kMaxCapacity);
+  REQUIRE(placementWeight(0) == kDefaultCapacity);
   REQUIRE(placementWeight(1) == 1);
 }
 
 TEST_CASE("the ranking of no daemons is empty", "[serving]") {
   REQUIRE(rankDaemons(1, {}, 3).empty());
-  REQUIRE_FALSE(firstDaemon(1, {}).has_value());
+  REQUIRE_FALSE(highestRankedDaemon(1, {}).has_value());
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/programs/causes_test.cpp
+++ b/tests/serving/programs/causes_test.cpp
@@ -143,7 +143,7 @@
   const CapturedLog captured;
   const std::vector<LossCause> causes = {LossCause::kKeyMissing,      LossCause::kKeyUnknown,
                                          LossCause::kKeyMaybeNew,     LossCause::kProofTooOld,
-                                         LossCause::kTenantOverLimit, LossCause::kTenantNotCounted};
+                                         LossCause::kTenantOverLimit, LossCause::kQuotaUnavailable};
   {
     LossLedger ledger;
     for (const LossCause cause : causes) {
--- a/tests/serving/programs/explain_test.cpp
+++ b/tests/serving/programs/explain_test.cpp
@@ -98,7 +98,7 @@
       {LossCause::kKeyMaybeNew, 503, "but it may be newer"},
       {LossCause::kProofTooOld, 503, "may have been taken away since"},
       {LossCause::kTenantOverLimit, 429, "by the tenant's limit over all daemons"},
-      {LossCause::kTenantNotCounted, 503, "none of the daemons that were asked to count for it answered"}};
+      {LossCause::kQuotaUnavailable, 503, "none of the daemons that were asked to count for it answered"}};
   for (const auto& [cause, status, decidedBy] : refusals) {
     for (const std::string tenant : {"", "amber"}) {
       const serving::CapturedLog captured;
--- a/tests/serving/programs/gateway_log_test.cpp
+++ b/tests/serving/programs/gateway_log_test.cpp
@@ -45,9 +45,9 @@
   LeafPoolCounters pool;
   OwnerClientCounters owners;
   owners.probes = 4;
-  MergeClientCounters mergers;
-  mergers.parts = 21;
-  mergers.incomplete = 3;
+  MergeClientCounters mergeServers;
+  mergeServers.parts = 21;
+  mergeServers.incomplete = 3;
   PeerTransportCounters peers;
   peers.bytesSentByKind.at(static_cast<std::size_t>(FrameKind::kWork)) = 77;
   FollowerCounters source;
@@ -59,8 +59,8 @@
   quota.buckets = 33;
   quota.waits.record(std::chrono::milliseconds(3));
   const std::string text =
-      metricsText(GatewayFigures{requests, pool, owners, 9, mergers, 22, peers, source, 12,  70,
-                                 8,        4,    true,   1, 2,       12, 1192,  34,     1.5, quota});
+      metricsText(GatewayFigures{requests, pool, owners, 9, mergeServers, 22,   peers, source, 12,   70, 8,
+                                 4,        true, 1,      2, 12,           1192, 34,    1.5,    quota});
   for (const char* line : {"oakpier_gateway_requests_total 7",
                            "oakpier_gateway_configuration_version 12",
                            "oakpier_gateway_rejected_keys_total 31",
--- a/tests/serving/programs/merge_test.cpp
+++ b/tests/serving/programs/merge_test.cpp
@@ -19,8 +19,8 @@
 
 using Kind = LeafOutcome::Kind;
 
-const Endpoint kAsker(1, 9);
-const Endpoint kMerger(2, 9);
+const Endpoint kRequester(1, 9);
+const Endpoint kMergeServer(2, 9);
 const std::vector<std::string> kShards{"s0", "s1", "s2", "s3"};
 constexpr std::size_t kTopRecords = 3;
 
@@ -30,11 +30,11 @@
 struct MergeWorld : QueryWorld {
   MergeWorld()
       : QueryWorld(viewOf({gatherRoute(kShards, 0.5)}, kShards, 1)),
-        mergerSide(viewOf({gatherRoute(kShards, 0.5)}, kShards, 1)),
-        server(*mergerSide.context),
-        client(io, *context, mergers, [this](const Endpoint& to, PeerEnvelope envelope) {
-          REQUIRE(to == kMerger);
-          toMerger.push_back(std::move(envelope));
+        mergeServerSide(viewOf({gatherRoute(kShards, 0.5)}, kShards, 1)),
+        server(*mergeServerSide.context),
+        client(io, *context, mergeServers, [this](const Endpoint& to, PeerEnvelope envelope) {
+          REQUIRE(to == kMergeServer);
+          toMergeServer.push_back(std::move(envelope));
         }) {
     order.request = std::make_shared<const HttpRequest>(HttpRequest{"GET", "/all/", {{"X-Id", "7"}}, "body"});
     order.route = std::make_shared<const Route>(gatherRoute(kShards, 0.5));
@@ -56,45 +56,45 @@
     for (std::size_t number = 0; number < kShards.size(); ++number) {
       const auto leaf = registry.leafsOf(kShards[number]).front();
       leaf->onStarted(number + 1, std::chrono::milliseconds(20), steadyNow());
-      sends.push_back(SendAction{number + 1, leaf, kMerger});
+      sends.push_back(SendAction{number + 1, leaf, kMergeServer});
     }
     client.send(sends, order);
   }
 
   /// The merging daemon takes the oldest frame; returns what it sends to leafs.
   std::vector<MergeSend> deliverWork() {
-    const PeerEnvelope frame = std::move(toMerger.front());
-    toMerger.pop_front();
-    MergeServerActions actions = server.onWork(kAsker, frame.merge_work(), at(0));
+    const PeerEnvelope frame = std::move(toMergeServer.front());
+    toMergeServer.pop_front();
+    MergeServerActions actions = server.onWork(kRequester, frame.merge_work(), at(0));
     take(actions);
     return std::move(actions.sends);
   }
 
-  void finishAtMerger(const MergeSend& send, const LeafOutcome& outcome, Moment now) {
+  void finishAtMergeServer(const MergeSend& send, const LeafOutcome& outcome, Moment now) {
     MergeServerActions actions = server.onOutcome(send.action.exchange, outcome, now);
     take(actions);
   }
 
   void take(MergeServerActions& actions) {
     for (OutgoingMergeResults& outgoing : actions.results) {
-      REQUIRE(outgoing.to == kAsker);
-      toAsker.push_back(std::move(outgoing.results));
+      REQUIRE(outgoing.to == kRequester);
+      toRequester.push_back(std::move(outgoing.results));
     }
   }
 
   void deliverResults() {
-    while (!toAsker.empty()) {
-      client.onResults(kMerger, toAsker.front());
-      toAsker.pop_front();
+    while (!toRequester.empty()) {
+      client.onResults(kMergeServer, toRequester.front());
+      toRequester.pop_front();
     }
   }
 
-  QueryWorld mergerSide;
+  QueryWorld mergeServerSide;
   MergeServer server;
   boost::asio::io_context io;
-  ZoneMergers mergers;
-  std::deque<PeerEnvelope> toMerger;
-  std::deque<MergeResults> toAsker;
+  MergeServerSelector mergeServers;
+  std::deque<PeerEnvelope> toMergeServer;
+  std::deque<MergeResults> toRequester;
   std::map<ExchangeId, LeafOutcome> told;
   unsigned calls = 0;
   MergeClient client;
@@ -108,17 +108,17 @@
 TEST_CASE("one frame carries all requests for a zone, one carries the greatest records back", "[serving]") {
   MergeWorld world;
   world.sendAll();
-  REQUIRE(world.toMerger.size() == 1);
+  REQUIRE(world.toMergeServer.size() == 1);
   const auto sends = world.deliverWork();
   REQUIRE(sends.size() == kShards.size());
   REQUIRE(sends[0].task->request.body == "body");
   char letter = 'a';
   for (const MergeSend& send : sends) {
-    REQUIRE(world.toAsker.empty());
-    world.finishAtMerger(send, outcomeOf(Kind::kAnswered, record(letter++)), at(kWithinHold));
+    REQUIRE(world.toRequester.empty());
+    world.finishAtMergeServer(send, outcomeOf(Kind::kAnswered, record(letter++)), at(kWithinHold));
   }
-  REQUIRE(world.toAsker.size() == 1);
-  REQUIRE(world.toAsker.front().records() == record('d') + record('c') + record('b'));
+  REQUIRE(world.toRequester.size() == 1);
+  REQUIRE(world.toRequester.front().records() == record('d') + record('c') + record('b'));
   world.deliverResults();
   REQUIRE(world.calls == 1);
   REQUIRE(world.told.size() == kShards.size());
@@ -144,10 +144,10 @@
   MergeWorld world;
   world.sendAll();
   const auto sends = world.deliverWork();
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kAnswered, record('a')), at(1));
-  REQUIRE(world.toAsker.empty());
-  world.finishAtMerger(sends[1], outcomeOf(Kind::kNotSent), at(2));
-  REQUIRE(world.toAsker.size() == 1);
+  world.finishAtMergeServer(sends[0], outcomeOf(Kind::kAnswered, record('a')), at(1));
+  REQUIRE(world.toRequester.empty());
+  world.finishAtMergeServer(sends[1], outcomeOf(Kind::kNotSent), at(2));
+  REQUIRE(world.toRequester.size() == 1);
   world.deliverResults();
   REQUIRE(world.told.at(1).kind == Kind::kAnswered);
   REQUIRE(world.told.at(2).kind == Kind::kNotSent);
@@ -158,14 +158,14 @@
   world.order.decidesAt = steadyNow() + std::chrono::milliseconds(50);
   world.sendAll();
   const auto sends = world.deliverWork();
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kAnswered, record('a')), at(5));
+  world.finishAtMergeServer(sends[0], outcomeOf(Kind::kAnswered, record('a')), at(5));
   const Moment due = world.server.nextDecisionAt();
   REQUIRE(due > at(5));
   REQUIRE(due < at(50));
   MergeServerActions actions = world.server.onTime(due);
   REQUIRE(actions.results.size() == 1);
-  world.finishAtMerger(sends[1], outcomeOf(Kind::kAnswered, record('b')), at(60));
-  REQUIRE(world.toAsker.size() == 1);
+  world.finishAtMergeServer(sends[1], outcomeOf(Kind::kAnswered, record('b')), at(60));
+  REQUIRE(world.toRequester.size() == 1);
 }
 
 TEST_CASE("answers that rely on a lost frame are no answers", "[serving]") {
@@ -173,10 +173,10 @@
   world.order.decidesAt = steadyNow();
   world.sendAll();
   const auto sends = world.deliverWork();
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kAnswered, record('d')), at(5));
-  REQUIRE(world.toAsker.size() == 1);
-  world.toAsker.clear();
-  world.finishAtMerger(sends[1], outcomeOf(Kind::kAnswered, record('c')), at(6));
+  world.finishAtMergeServer(sends[0], outcomeOf(Kind::kAnswered, record('d')), at(5));
+  REQUIRE(world.toRequester.size() == 1);
+  world.toRequester.clear();
+  world.finishAtMergeServer(sends[1], outcomeOf(Kind::kAnswered, record('c')), at(6));
   world.deliverResults();
   REQUIRE(world.told.at(2).kind == Kind::kNoAnswer);
   REQUIRE(world.client.counters().incomplete == 1);
@@ -187,12 +187,12 @@
   world.sendAll();
   const auto sends = world.deliverWork();
   world.client.cancel({1});
-  REQUIRE(world.toMerger.size() == 1);
-  const auto actions = world.server.onCancel(kAsker, world.toMerger.front().merge_cancel());
+  REQUIRE(world.toMergeServer.size() == 1);
+  const auto actions = world.server.onCancel(kRequester, world.toMergeServer.front().merge_cancel());
   REQUIRE(actions.abandons == std::vector<ExchangeId>{sends[0].action.exchange});
   const auto leaf = world.registry.leafsOf("s0").front();
   REQUIRE(leaf->inProgress() == 1);
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kWithdrawn), at(7));
+  world.finishAtMergeServer(sends[0], outcomeOf(Kind::kWithdrawn), at(7));
   world.deliverResults();
   REQUIRE(leaf->inProgress() == 0);
   REQUIRE(world.told.empty());
@@ -201,7 +201,7 @@
 TEST_CASE("frames that were not handed to the network have run nowhere", "[serving]") {
   MergeWorld world;
   world.sendAll();
-  world.client.onUndeliverable(world.toMerger.front().merge_work());
+  world.client.onUndeliverable(world.toMergeServer.front().merge_work());
   REQUIRE(world.told.size() == kShards.size());
   REQUIRE(world.told.at(1).kind == Kind::kNotSent);
   REQUIRE(world.registry.leafsOf("s0").front()->inProgress() == 0);
@@ -209,7 +209,7 @@
 
 TEST_CASE("a leaf that the merging daemon does not know is not asked", "[serving]") {
   MergeWorld world;
-  world.mergerSide.registry.reconcile({}, at(0));
+  world.mergeServerSide.registry.reconcile({}, at(0));
   world.sendAll();
   REQUIRE(world.deliverWork().empty());
   world.deliverResults();
@@ -226,21 +226,21 @@
   };
   relist(world, 1760000060000);
   SECTION("the merging daemon knows the earlier life") {
-    relist(world.mergerSide, 1760000000000);
+    relist(world.mergeServerSide, 1760000000000);
     world.sendAll();
     REQUIRE(world.deliverWork().size() == kShards.size() - 1);
     world.deliverResults();
     REQUIRE(world.told.at(1).kind == Kind::kNotSent);
   }
   SECTION("it knows the same one") {
-    relist(world.mergerSide, 1760000060000);
+    relist(world.mergeServerSide, 1760000060000);
     world.sendAll();
     REQUIRE(world.deliverWork().size() == kShards.size());
   }
   SECTION("the asking daemon does not tell the life") {
-    relist(world.mergerSide, 1760000000000);
+    relist(world.mergeServerSide, 1760000000000);
     world.sendAll();
-    world.toMerger.front().mutable_merge_work()->mutable_parts(0)->clear_leaf_born();
+    world.toMergeServer.front().mutable_merge_work()->mutable_parts(0)->clear_leaf_born();
     REQUIRE(world.deliverWork().size() == kShards.size());
   }
 }
@@ -249,10 +249,10 @@
   MergeWorld world;
   world.sendAll();
   const auto sends = world.deliverWork();
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kNotSent), at(5));
-  MergeResults results = world.toAsker.front();
+  world.finishAtMergeServer(sends[0], outcomeOf(Kind::kNotSent), at(5));
+  MergeResults results = world.toRequester.front();
   results.set_receiver_run(results.receiver_run() + 1);
-  world.client.onResults(kMerger, results);
+  world.client.onResults(kMergeServer, results);
   REQUIRE(world.told.empty());
 }
 
@@ -292,7 +292,7 @@
         body += record(*rc::gen::inRange('a', 'h'));
       }
       bodies.push_back(body);
-      world.finishAtMerger(sends[open[place]], outcomeOf(Kind::kAnswered, body), at(kWithinHold));
+      world.finishAtMergeServer(sends[open[place]], outcomeOf(Kind::kAnswered, body), at(kWithinHold));
       open.erase(open.begin() + static_cast<std::ptrdiff_t>(place));
     }
     world.deliverResults();
--- a/tests/serving/programs/owner_client_test.cpp
+++ b/tests/serving/programs/owner_client_test.cpp
@@ -157,7 +157,7 @@
 
   ClientWorld told;
   told.client.onSilentDaemons(world.frames[0].second.silent_daemons());
-  REQUIRE(told.owners.silent(kFirstOwner, steadyNow()));
+  REQUIRE(told.owners.isUnresponsive(kFirstOwner, steadyNow()));
   SilentDaemons unreadable;
   unreadable.add_addresses("nowhere");
   told.client.onSilentDaemons(unreadable);
--- a/tests/serving/support/serving_fixtures.h
+++ b/tests/serving/support/serving_fixtures.h
@@ -93,9 +93,9 @@
 /// The shared state of queries, with its own registry and, by default, an ample retry budget.
 class QueryWorld {
  public:
-  explicit QueryWorld(const std::shared_ptr<const ServingView>& view, double savedSends = 100)
+  explicit QueryWorld(const std::shared_ptr<const ServingView>& view, double retryBudget = 100)
       : random(7),
-        budgets(ExtraSendBounds{savedSends, savedSends, std::chrono::hours(1), {}}, at(0), random) {
+        budgets(ExtraSendBounds{retryBudget, retryBudget, std::chrono::hours(1), {}}, at(0), random) {
     registry.reconcile(*view->leafs, at(0));
     context = std::make_unique<QueryContext>(
         QueryContext{registry, budgets, random, QueryPolicy{}, "a", exchanges, nullptr, {}, nullptr});
--- a/tests/serving/support/token_fleet.cpp
+++ b/tests/serving/support/token_fleet.cpp
@@ -13,7 +13,7 @@
 constexpr int kDeadAfterMilliseconds = 6000;
 constexpr int kFoundFromMilliseconds = 200;
 constexpr int kFoundUntilMilliseconds = 1500;
-/// As in `FleetSettling`.
+/// As in `MembershipStabilization`.
 constexpr Duration kSettled = std::chrono::milliseconds(1500);
 constexpr std::size_t kUsualFleet = 12;
 
