--- a/src/coordination/serving/loss_causes.h
+++ b/src/coordination/serving/loss_causes.h
@@ -10,7 +10,7 @@
 enum class LossCause {
   /// The daemon has not received a configuration since its start.
   kNoConfiguration,
-  /// Refused on arrival because the leafs' queues are too long for an answer within the target latency.
+  /// Refused on arrival because the leafs' queues would delay the answer far beyond the target latency.
   kLeafsTooBusy,
   /// The service has no leaf, or no eligible one was left.
   kNoUsableLeaf,
--- a/src/coordination/serving/membership_stabilization.h
+++ b/src/coordination/serving/membership_stabilization.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Determines when the member table of a newly started daemon is complete: when it has not grown for a quiet
-/// period, or when the maximum wait has elapsed.
+/// Determines when a newly started daemon treats its member table as complete: when the table has not grown
+/// for a quiet period, or when the maximum wait has elapsed.
 
 #include <algorithm>
 #include <cstddef>
--- a/src/coordination/serving/shard_owners.h
+++ b/src/coordination/serving/shard_owners.h
@@ -56,7 +56,7 @@
 std::size_t maxConcurrentOwners(std::size_t zones);
 
 /// Connections that one owner may hold to a leaf, so that two owners in every zone stay within the leaf's
-/// maximum.
+/// maximum; at least 1.
 std::size_t connectionsPerOwner(std::size_t maximumConnections, std::size_t zones);
 
 /// Not thread-safe.
--- a/src/coordination/serving/shard_server.h
+++ b/src/coordination/serving/shard_server.h
@@ -95,8 +95,8 @@
   /// Refuses work for a quarantined request, one that has terminated leafs before, unless the requester
   /// has already checked the request. Returns true if refused.
   bool refuse(const TaskPointer& task, const OwnerWork& work, Moment now, ShardServerActions& out) const;
-  /// After an outcome: resumes the suspended parts of the task, or, if further sends are blocked, finishes all
-  /// parts once no leaf that has received the request can still answer.
+  /// After an outcome: resumes the suspended parts of the task, or, if further sends are blocked, finishes
+  /// all parts once no leaf that has received the request can still answer.
   void applyCrashGuard(const TaskPointer& task, bool wasBlocked, Moment now, ShardServerActions& out);
   static void finish(OwnerTask::Part& part, ShardServerActions& out);
   static void finishUnanswered(const TaskPointer& task, OwnerTask::Part& part, UnansweredPart::Reason reason,
--- a/tests/serving/support/serving_fixtures.h
+++ b/tests/serving/support/serving_fixtures.h
@@ -90,7 +90,7 @@
   return outcome;
 }
 
-/// The shared state of queries, with its own registry and, by default, an ample retry budget.
+/// The shared state of queries, with its own registry. `retryBudget`: hedges and retries that may be sent.
 class QueryWorld {
  public:
   explicit QueryWorld(const std::shared_ptr<const ServingView>& view, double retryBudget = 100)
