--- a/src/coordination/serving/delegated_part.cpp
+++ b/src/coordination/serving/delegated_part.cpp
@@ -39,7 +39,8 @@
   delegation.exchange = context_.exchanges.next++;
   delegation.owner = owners_[delegations_.size()];
   note(Decision::kDelegate, delegation.owner, now);
-  // A trial request must reach one leaf only, so the owner must not retry.
+  // While further sends are blocked, as in a trial, the request may reach one leaf only: no retry by the
+  // owner.
   const unsigned attempts = caution_.holds() ? 1 : route_.attempts;
   actions.relays.push_back(RelayAction{delegation.exchange, delegation.owner, service_, attempts});
   delegations_.push_back(delegation);
--- a/src/coordination/serving/loss_causes.h
+++ b/src/coordination/serving/loss_causes.h
@@ -20,9 +20,9 @@
   kLeafUnreachable,
   /// A leaf answered with an error.
   kLeafFailed,
-  /// The leaf's process terminated while it executed the request.
+  /// The leaf's process crashed while it executed the request.
   kLeafCrashed,
-  /// Rejected or deferred because leafs have terminated each time they executed the request.
+  /// Rejected or deferred because leafs have crashed each time they executed the request.
   kCrashesLeafs,
   /// The connection failed during the request, or the answer was invalid.
   kConnectionBroken,
@@ -52,7 +52,6 @@
   kTenantOverLimit,
   /// None of the daemons that count the tenant's requests answered.
   kQuotaUnavailable,
-  /// Number of causes.
   kCount,
 };
 
--- a/src/coordination/serving/machine_limits.cpp
+++ b/src/coordination/serving/machine_limits.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kHundredths = 100;
-/// Higher values exceed any machine and indicate a wrong unit.
+/// Upper bounds for validation, in cores and Mbit/s; higher values indicate a wrong unit.
 constexpr double kMaxCores = kMaxCapacity / kHundredths;
 constexpr double kMaxMegabits = 1e7;
 
--- a/src/coordination/serving/machine_limits.h
+++ b/src/coordination/serving/machine_limits.h
@@ -19,16 +19,16 @@
   double linkMegabits = 0;
 };
 
-/// Network traffic of one fully used core, in Mbit/s in each direction. An owner needs 0.11 ms of a core per
-/// part (docs/CAPACITY.md, the hop's cost), that is 9,100 parts/s, each with about 1,400 bytes in and out: an
-/// answer of 1,000 bytes, its headers and the frame that forwards it.
+/// Network traffic of one fully used core, in Mbit/s in each direction: 9,100 parts/s, as an owner needs
+/// 0.11 ms of a core per part (docs/CAPACITY.md), times about 1,400 bytes in and out per part: an answer of
+/// 1,000 bytes, its headers and the frame that forwards it.
 inline constexpr double kMegabitsPerCore = 100;
 
 /// The lower of the processor's and the link's capacity, in hundredths of a core, at least 1; 0 if neither is
 /// configured.
 unsigned capacityOf(const MachineLimits& limits);
 
-/// Validates the limits. Returns one message per problem.
+/// Validates the processor and link limits. Returns one message per invalid limit, none if they are valid.
 std::vector<std::string> problemsOf(const MachineLimits& limits);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/membership_stabilization.h
+++ b/src/coordination/serving/membership_stabilization.h
@@ -13,7 +13,8 @@
 struct MembershipStabilizationSettings {
   /// Minimum wait after the start, for the first answers from other daemons.
   Duration minWait = std::chrono::milliseconds(1500);
-  /// The table is complete when it has not grown for this long: several anti-entropy rounds of 250 ms each.
+  /// The table is treated as complete when it has not grown for this long: several anti-entropy rounds of
+  /// 250 ms each.
   Duration quietPeriod = std::chrono::milliseconds(900);
   /// Maximum wait after the start.
   Duration maxWait = std::chrono::seconds(4);
--- a/src/coordination/serving/merge_server.h
+++ b/src/coordination/serving/merge_server.h
@@ -6,8 +6,8 @@
 ///
 /// Invariants: each part gets exactly one result; records that other answers of the same work exclude are
 /// left out; each frame of results carries the number of answers in earlier frames, so that the requester
-/// detects a lost frame; only answers are held back for batching, other outcomes are returned immediately
-/// because the requester may react to them.
+/// detects a lost frame; only answers are batched, other outcomes are returned immediately because the
+/// requester may react to them.
 
 #include <list>
 #include <memory>
@@ -43,7 +43,7 @@
   unsigned returnedAnswers = 0;
 };
 
-/// The request of `task`, to be sent to the action's leaf.
+/// Send `task->request` to `action.leaf`.
 struct MergeSend {
   std::shared_ptr<const MergeTask> task;
   SendAction action;
--- a/src/coordination/serving/merge_server_selector.h
+++ b/src/coordination/serving/merge_server_selector.h
@@ -27,18 +27,20 @@
   /// `otherZones`: the serving daemons of all zones but this daemon's own.
   void setDaemons(DaemonsByZone otherZones);
 
-  /// A random other zone, to be preferred by one query for shards that its own zone lacks, so that the query
-  /// needs one merge server only. Empty if no other zone is known.
+  /// A random other zone; empty if none is known. A query prefers the leafs of this zone for shards that have
+  /// none in its own zone, so that it needs one merge server only.
   std::string chooseZone(RandomEngine& random) const;
 
-  /// Sets the merge server of the sends to be routed through one. `sends`: all first sends of one query.
+  /// Sets the merge server of the sends to healthy leafs of another zone, if a zone has at least two of them.
+  /// `sends`: all first sends of one query.
   void assign(std::vector<SendAction>& sends, RandomEngine& random, Moment now);
 
   void onSent(const Endpoint& mergeServer, Moment now) { failureDetector_.onSent(mergeServer, now); }
   void onReceived(const Endpoint& mergeServer, Moment now) { failureDetector_.onReceived(mergeServer, now); }
 
  private:
-  /// A random daemon of the zone, with probability in proportion to capacity; empty if all are unresponsive.
+  /// A random daemon of the zone, with probability in proportion to capacity. Empty if all are unresponsive
+  /// and none is due for a probe. Requires a zone of `daemons_`.
   std::optional<Endpoint> chooseFrom(const std::string& zone, RandomEngine& random, Moment now);
 
   DaemonsByZone daemons_;
--- a/src/coordination/serving/record_merge.h
+++ b/src/coordination/serving/record_merge.h
@@ -16,8 +16,8 @@
 /// ignored.
 std::string greatestRecords(const std::vector<std::string_view>& parts, std::size_t count);
 
-/// Returns those of `records` that are not less than the `count`th record of `greatest`, or all if `greatest`
-/// has fewer than `count` records. Both are in descending order.
+/// Returns those of `records` that can be among the greatest `count` records of both: the ones not less than
+/// the `count`th record of `greatest`, or all if `greatest` has fewer. Both are in descending order.
 std::string recordsWithinTop(const std::string& records, const std::string& greatest, std::size_t count);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/shard_owners.cpp
+++ b/src/coordination/serving/shard_owners.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Owners in one zone that may hold connections to a leaf at the same time: the first one and its successor.
+/// Owners in one zone that may hold connections to a leaf at the same time: the first and the second one.
 constexpr std::size_t kMaxOwnersPerZone = 2;
 constexpr std::size_t kMaxOwnerConnections = 6;
 /// Longer than member tables take to converge, which is a few seconds.
--- a/src/coordination/serving/shard_owners.h
+++ b/src/coordination/serving/shard_owners.h
@@ -36,27 +36,28 @@
 /// with the default capacity.
 std::uint64_t totalPlacementWeight(const std::vector<ServingDaemon>& daemons);
 
-/// The first owner and its successor.
+/// The first and the second owner of a shard in one zone.
 inline constexpr std::size_t kOwnersPerShard = 2;
 
-/// Number of daemons ranked per shard. Lower ranks become owners while higher ones are unresponsive. With 30%
-/// of a zone's daemons unresponsive, two candidates would leave 9% of the shards without an owner, too many
-/// for a route that requires 95% of its shards; six leave 0.1%.
+/// Number of daemons ranked per shard. Candidates further down the ranking become owners while those before
+/// them are unresponsive. With 30% of a zone's daemons unresponsive, two candidates would leave 9% of the
+/// shards without an owner, too many for a route that requires 95% of its shards; six leave 0.1%.
 inline constexpr std::size_t kCandidatesPerShard = 6;
 
 /// True if a leaf accepts fewer connections than there are daemons.
 bool needsOwners(std::size_t maximumConnections, std::size_t daemons);
 
 /// The services that are accessed through owners: those whose leafs accept too few connections, except the
-/// targets of single-service routes. Services that no route references are included, since a later
-/// configuration may use them as shards.
+/// targets of routes that send each request to one leaf (`SingleTarget`). Services that no route references
+/// are included, since a later configuration may use them as shards.
 std::unordered_set<std::string> ownedServices(const ServingConfiguration& configuration, std::size_t daemons);
 
-/// Maximum number of daemons, over all zones, that own a shard at the same time while member tables differ.
+/// Number of owners, over all zones, among which a leaf's connections are divided: two per zone, which may
+/// both be active while member tables differ.
 std::size_t maxConcurrentOwners(std::size_t zones);
 
-/// Connections that one owner may hold to a leaf, so that two owners in every zone stay within the leaf's
-/// maximum; at least 1.
+/// Connections that one owner may hold to a leaf, at least 1. Two owners in every zone stay within the leaf's
+/// maximum, provided it is at least that number of owners.
 std::size_t connectionsPerOwner(std::size_t maximumConnections, std::size_t zones);
 
 /// Not thread-safe.
@@ -73,7 +74,8 @@
   bool owned(const std::string& service) const { return services_.count(service) != 0; }
   /// At most `kOwnersPerShard` daemons, in the order in which to try them.
   std::vector<Endpoint> ownersOf(const std::string& service, Moment now);
-  /// True if this daemon is the shard's first owner or its successor, or serves the shard temporarily.
+  /// True if this daemon is the shard's first or second owner or serves the shard temporarily, whether or not
+  /// it is responsive to others.
   bool isOwner(const std::string& service);
   /// Another daemon sent work for the shard. Returns true if this daemon starts to serve the shard
   /// temporarily.
@@ -89,11 +91,11 @@
   std::vector<Endpoint> takeNewlyUnresponsive(Moment now) {
     return failureDetector_.takeNewlyUnresponsive(now);
   }
-  /// Another daemon reported the owner as unresponsive.
+  /// A peer reported the owner as unresponsive.
   void onReportedUnresponsive(const Endpoint& owner, Moment now) {
     failureDetector_.onReportedUnresponsive(owner, now);
   }
-  /// True if a frame to the daemon has been unanswered for longer than the timeout.
+  /// See `PeerFailureDetector::isUnresponsive`.
   bool isUnresponsive(const Endpoint& owner, Moment now) const {
     return failureDetector_.isUnresponsive(owner, now);
   }
--- a/src/coordination/serving/shard_server.h
+++ b/src/coordination/serving/shard_server.h
@@ -32,7 +32,7 @@
   Route route;
   std::size_t topRecords = 0;
   Moment receivedAt{};
-  /// Parts that are still open at this time are abandoned.
+  /// Parts that are still open at this time expire.
   Moment deadline{};
   HttpRequest request;
   RequestTrace trace;
@@ -40,7 +40,7 @@
   std::vector<Part> parts;
 };
 
-/// The request of `task`, to be sent to the action's leaf.
+/// Send `task->request` to `action.leaf`.
 struct OwnerSend {
   std::shared_ptr<OwnerTask> task;
   SendAction action;
@@ -92,8 +92,8 @@
 
   /// Passes on the part's sends; if the part has finished, adds its result and closes it.
   void applyActions(const TaskPointer& task, std::size_t part, QueryActions actions, ShardServerActions& out);
-  /// Refuses work for a quarantined request, one that has terminated leafs before, unless the requester
-  /// has already checked the request. Returns true if refused.
+  /// Refuses work for a quarantined request, one that has crashed leafs, unless the requester knows of the
+  /// quarantine and sends the request as a trial. Returns true if refused.
   bool refuse(const TaskPointer& task, const OwnerWork& work, Moment now, ShardServerActions& out) const;
   /// After an outcome: resumes the suspended parts of the task, or, if further sends are blocked, finishes
   /// all parts once no leaf that has received the request can still answer.
--- a/src/coordination/serving/weighted_rendezvous.cpp
+++ b/src/coordination/serving/weighted_rendezvous.cpp
@@ -13,7 +13,7 @@
 /// Bits of the hash that a double represents exactly.
 constexpr unsigned kExactBits = 53;
 
-/// A daemon's score for a key: the lowest distance ranks first, the address breaks ties.
+/// Sort key of a daemon: the lowest distance ranks first, the address breaks ties.
 struct Score {
   double distance;
   Endpoint address;
--- a/src/coordination/serving/weighted_rendezvous.h
+++ b/src/coordination/serving/weighted_rendezvous.h
@@ -4,11 +4,11 @@
 /// keys in proportion to its capacity.
 ///
 /// Invariants: the same set of daemons gives the same ranking on every daemon of one release; a daemon that
-/// joins, leaves or changes its capacity changes only its own position, the relative order of the others
-/// stays; with equal capacities the ranking is that of unweighted rendezvous hashing.
+/// joins, leaves or changes its capacity does not change the relative order of the others; with equal
+/// capacities the ranking is that of unweighted rendezvous hashing.
 ///
-/// Cost: 60 to 170 ns per daemon and key, 0.5 to 0.6 ms for one key over 7,100 daemons (optimized build), so
-/// callers should cache rankings.
+/// Stateless and thread-safe. Linear in the number of daemons: about 0.6 ms for one key over 7,100 daemons,
+/// so callers should cache rankings.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,12 +19,12 @@
 
 namespace oakpier::serving {
 
-/// Weight of a daemon with unknown capacity, in hundredths of a core: that of the platform's example machine.
-/// A constant instead of the fleet's mean, so that a daemon's position does not depend on the others'
-/// capacities.
+/// Weight of a daemon with unknown capacity, in hundredths of a core: that of the platform's example machine
+/// (0.25 cores). A constant instead of the fleet's mean, so that the relative order of two daemons does not
+/// depend on the capacities of others.
 inline constexpr unsigned kDefaultCapacity = 25;
-/// Upper bound of a daemon's weight, in hundredths of a core. Prevents a misconfigured capacity from
-/// assigning everything to one daemon.
+/// Upper bound of a daemon's weight, in hundredths of a core (256 cores). Prevents a misconfigured capacity
+/// from assigning everything to one daemon.
 inline constexpr unsigned kMaxCapacity = 25'600;
 
 /// A serving daemon and its capacity.
--- a/tests/serving/coordination/membership_stabilization_test.cpp
+++ b/tests/serving/coordination/membership_stabilization_test.cpp
@@ -6,7 +6,7 @@
 
 namespace oakpier::serving {
 
-TEST_CASE("a member table is complete after a period without growth", "[serving]") {
+TEST_CASE("a member table counts as complete after a period without growth", "[serving]") {
   const MembershipStabilizationSettings settings;
   MembershipStabilization stabilization(settings, at(0));
   REQUIRE(stabilization.stableAt() == at(0) + settings.minWait);
--- a/tests/serving/coordination/shard_server_test.cpp
+++ b/tests/serving/coordination/shard_server_test.cpp
@@ -103,7 +103,8 @@
   REQUIRE(world.server.onOutcome(first, outcomeOf(Kind::kAnswered, record('b')), at(300)).results.empty());
 }
 
-TEST_CASE("an owner reports a part as not run only if no leaf can have executed it", "[serving]") {
+TEST_CASE("an owner reports a part as not run or not sent only if no leaf can have executed it",
+          "[serving]") {
   ServerWorld unknown;
   const auto nowhere = unknown.server.onWork(kRequester, workOf({"nowhere"}), at(0));
   REQUIRE(nowhere.results[0].results.results(0).status() == OWNER_NOT_SENT);
@@ -129,7 +130,7 @@
   REQUIRE(broken.results[0].results.results(0).status() == OWNER_NO_ANSWER);
 }
 
-TEST_CASE("an owner refuses a quarantined request unless the requester has checked it", "[serving]") {
+TEST_CASE("an owner refuses a quarantined request unless the requester sends it as a trial", "[serving]") {
   ServerWorld world;
   RequestQuarantine quarantine;
   world.context->quarantine = &quarantine;
@@ -137,7 +138,7 @@
   const RequestFingerprint fingerprint = fingerprintOf(HttpRequest{"GET", "/all/", {}, ""});
   quarantine.onLeafEnded(fingerprint, 1, at(0));
   quarantine.onLeafEnded(fingerprint, 2, at(0));
-  SECTION("the requester has not checked it") {
+  SECTION("the requester does not know of the quarantine") {
     const auto refused = world.server.onWork(kRequester, work, at(1000));
     REQUIRE(refused.sends.empty());
     REQUIRE(refused.results[0].results.results_size() == 2);
@@ -145,7 +146,7 @@
     REQUIRE(refused.unanswered[0].cause == LossCause::kCrashesLeafs);
     REQUIRE(world.server.inProgress() == 0);
   }
-  SECTION("the requester has checked it") {
+  SECTION("the requester sends it as a trial") {
     work.set_vetted(true);
     REQUIRE(world.server.onWork(kRequester, work, at(1000)).sends.size() == 2);
   }
@@ -180,7 +181,7 @@
   }
 }
 
-TEST_CASE("cancelled and expired work is cancelled at the leafs and gets no result", "[serving]") {
+TEST_CASE("sends of cancelled and expired work are cancelled at the leafs, without a result", "[serving]") {
   ServerWorld world;
   const auto started = world.server.onWork(kRequester, workOf({"s", "t"}), at(0));
   REQUIRE(started.sends.size() == 2);
--- a/tests/serving/coordination/weighted_rendezvous_test.cpp
+++ b/tests/serving/coordination/weighted_rendezvous_test.cpp
@@ -74,9 +74,9 @@
   }
 }
 
-TEST_CASE("each daemon ranks second in proportion to its capacity too", "[serving]") {
-  // Where the daemon of high capacity does not rank first, its share of the second ranks is its share of the
-  // total capacity without the first one's.
+TEST_CASE("the second rank is in proportion to capacity too", "[serving]") {
+  // Where the daemon of capacity 50 does not rank first, it ranks second with a probability of 50/540: its
+  // share of the capacity without that of the first.
   const Fleet fleet = fleetOf({{1, 50}, {50, 10}});
   constexpr int kKeys = 50'000;
   int first = 0;
@@ -90,7 +90,7 @@
   REQUIRE(std::abs(second - expected) < 0.1 * expected);
 }
 
-TEST_CASE("a daemon that joins, leaves or changes its capacity changes only its own rank",
+TEST_CASE("a daemon that joins, leaves or changes its capacity keeps the relative order of the others",
           "[serving][property]") {
   OAKPIER_PROPERTY("the others keep their order", [] {
     const Fleet fleet = randomFleet();
