--- a/src/coordination/serving/daemon_order.cpp
+++ b/src/coordination/serving/daemon_order.cpp
@@ -30,10 +30,10 @@
 
 std::size_t DaemonOrder::rankOf(const Endpoint& address) const {
   const Key wanted = keyOf(address);
-  const auto place = std::lower_bound(
+  const auto position = std::lower_bound(
       daemons_.begin(), daemons_.end(), wanted,
       [](const ServingDaemon& daemon, const Key& key) { return serving::keyOf(daemon) < key; });
-  return static_cast<std::size_t>(place - daemons_.begin());
+  return static_cast<std::size_t>(position - daemons_.begin());
 }
 
 bool DaemonOrder::before(const Endpoint& left, const Endpoint& right) const {
@@ -41,9 +41,9 @@
 }
 
 void DaemonOrder::add(const Endpoint& address) {
-  const auto place = daemons_.begin() + static_cast<std::ptrdiff_t>(rankOf(address));
-  if (place == daemons_.end() || place->address != address) {
-    daemons_.insert(place, ServingDaemon(address));
+  const auto position = daemons_.begin() + static_cast<std::ptrdiff_t>(rankOf(address));
+  if (position == daemons_.end() || position->address != address) {
+    daemons_.insert(position, ServingDaemon(address));
   }
 }
 
--- a/src/coordination/serving/leaf_assignment.cpp
+++ b/src/coordination/serving/leaf_assignment.cpp
@@ -6,13 +6,13 @@
 
 /// How many daemons may send to a leaf of the service.
 std::size_t sendersTo(const std::string& service, const SharingDaemons& daemons, const ShardOwners& owners) {
-  return owners.owned(service) ? maxConcurrentOwners(daemons.mostZones) : daemons.mostPlanned;
+  return owners.usesOwners(service) ? maxConcurrentOwners(daemons.mostZones) : daemons.mostPlanned;
 }
 
 void assignService(const std::vector<LeafEntry>& leafs, const ServiceDefinition& service,
                    const SharingDaemons& daemons, const Endpoint& self, ShardOwners& owners,
                    LeafAssignment& assignment) {
-  if (!owners.owned(service.name)) {
+  if (!owners.usesOwners(service.name)) {
     const ConnectionShare share = shareOf(leafs.size(), service.maximumConnections, daemons.planned);
     assignment.shares[service.name] = share;
     assignment.leafs[service.name] = chooseSubset(leafs, share.leafs, self);
--- a/src/coordination/serving/merge_server.cpp
+++ b/src/coordination/serving/merge_server.cpp
@@ -96,8 +96,8 @@
 std::shared_ptr<LeafStatus> MergeServer::findLeaf(const MergePart& part) const {
   const auto& leafs = context_.leafs.leafsOf(part.service());
   const auto found = std::find_if(leafs.begin(), leafs.end(), [&](const auto& leaf) {
-    const bool sameLife = part.leaf_born() == 0 || part.leaf_born() == leaf->entry().bornAt;
-    return leaf->usable() && leaf->entry().id == part.leaf() && sameLife;
+    const bool sameIncarnation = part.leaf_born() == 0 || part.leaf_born() == leaf->entry().bornAt;
+    return leaf->usable() && leaf->entry().id == part.leaf() && sameIncarnation;
   });
   return found == leafs.end() ? nullptr : *found;
 }
@@ -164,8 +164,8 @@
 
 MergeServerActions MergeServer::onTime(Moment now) {
   MergeServerActions out;
-  const std::list<TaskPointer> waiting = batching_;
-  for (const TaskPointer& task : waiting) {
+  const std::list<TaskPointer> batching = batching_;
+  for (const TaskPointer& task : batching) {
     returnWhenDue(task, false, now, out);
   }
   return out;
--- a/src/coordination/serving/merge_server_selector.cpp
+++ b/src/coordination/serving/merge_server_selector.cpp
@@ -38,8 +38,8 @@
   if (daemons_.empty()) {
     return {};
   }
-  const auto place = static_cast<std::ptrdiff_t>(drawBelow(daemons_.size(), random));
-  return std::next(daemons_.begin(), place)->first;
+  const auto index = static_cast<std::ptrdiff_t>(drawBelow(daemons_.size(), random));
+  return std::next(daemons_.begin(), index)->first;
 }
 
 void MergeServerSelector::assign(std::vector<SendAction>& sends, RandomEngine& random, Moment now) {
--- a/src/coordination/serving/peer_failure_detector.cpp
+++ b/src/coordination/serving/peer_failure_detector.cpp
@@ -15,17 +15,17 @@
 }  // namespace
 
 void PeerFailureDetector::onSent(const Endpoint& peer, Moment now) {
-  unanswered_.try_emplace(peer, UnansweredFrame{now, now, false});
+  peers_.try_emplace(peer, PeerState{now, now, false});
 }
 
 void PeerFailureDetector::onReceived(const Endpoint& peer, Moment now) {
-  unanswered_.erase(peer);
+  peers_.erase(peer);
   receivedAt_[peer] = now;
 }
 
 std::vector<Endpoint> PeerFailureDetector::takeNewlyUnresponsive(Moment now) {
   std::vector<Endpoint> newlyUnresponsive;
-  for (auto& [peer, entry] : unanswered_) {
+  for (auto& [peer, entry] : peers_) {
     if (!entry.reported && isUnresponsive(peer, now)) {
       entry.reported = true;
       newlyUnresponsive.push_back(peer);
@@ -41,17 +41,17 @@
   }
   // Just over the limit, so that the peer is unresponsive immediately.
   const Moment since = now - kResponseTimeout - Duration(1);
-  UnansweredFrame& entry = unanswered_.try_emplace(peer, UnansweredFrame{since, now, true}).first->second;
+  PeerState& entry = peers_.try_emplace(peer, PeerState{since, now, true}).first->second;
   entry.since = std::min(entry.since, since);
   entry.reported = true;
 }
 
 bool PeerFailureDetector::isUnresponsive(const Endpoint& peer, Moment now) const {
-  const auto found = unanswered_.find(peer);
-  return found != unanswered_.end() && now - found->second.since > kResponseTimeout;
+  const auto found = peers_.find(peer);
+  return found != peers_.end() && now - found->second.since > kResponseTimeout;
 }
 
-bool PeerFailureDetector::takeProbe(const Endpoint& peer, UnansweredFrame& entry, Moment now) const {
+bool PeerFailureDetector::takeProbe(const Endpoint& peer, PeerState& entry, Moment now) const {
   if (!isUnresponsive(peer, now) || now - entry.probedAt < kProbeInterval) {
     return false;
   }
@@ -60,13 +60,13 @@
 }
 
 bool PeerFailureDetector::takeProbe(const Endpoint& peer, Moment now) {
-  const auto found = unanswered_.find(peer);
-  return found != unanswered_.end() && takeProbe(peer, found->second, now);
+  const auto found = peers_.find(peer);
+  return found != peers_.end() && takeProbe(peer, found->second, now);
 }
 
 std::vector<Endpoint> PeerFailureDetector::takeDueProbes(Moment now) {
   std::vector<Endpoint> due;
-  for (auto& [peer, entry] : unanswered_) {
+  for (auto& [peer, entry] : peers_) {
     if (takeProbe(peer, entry, now)) {
       due.push_back(peer);
     }
@@ -76,9 +76,9 @@
 
 void PeerFailureDetector::retain(const std::vector<Endpoint>& peers) {
   const std::unordered_set<Endpoint> known(peers.begin(), peers.end());
-  for (auto found = unanswered_.begin(); found != unanswered_.end();) {
+  for (auto found = peers_.begin(); found != peers_.end();) {
     const bool kept = known.count(found->first) != 0;
-    found = kept ? std::next(found) : unanswered_.erase(found);
+    found = kept ? std::next(found) : peers_.erase(found);
   }
   for (auto found = receivedAt_.begin(); found != receivedAt_.end();) {
     const bool kept = known.count(found->first) != 0;
--- a/src/coordination/serving/peer_failure_detector.h
+++ b/src/coordination/serving/peer_failure_detector.h
@@ -38,17 +38,17 @@
   void retain(const std::vector<Endpoint>& peers);
 
  private:
-  struct UnansweredFrame {
+  struct PeerState {
     Moment since{};
     Moment probedAt{};
     /// Returned by `takeNewlyUnresponsive`, or reported by another peer.
     bool reported = false;
   };
 
-  bool takeProbe(const Endpoint& peer, UnansweredFrame& entry, Moment now) const;
+  bool takeProbe(const Endpoint& peer, PeerState& entry, Moment now) const;
 
   /// Peers with an unanswered frame and peers reported as unresponsive.
-  std::unordered_map<Endpoint, UnansweredFrame> unanswered_;
+  std::unordered_map<Endpoint, PeerState> peers_;
   std::unordered_map<Endpoint, Moment> receivedAt_;
 };
 
--- a/src/coordination/serving/query.cpp
+++ b/src/coordination/serving/query.cpp
@@ -81,7 +81,7 @@
 }
 
 std::unique_ptr<QueryPart> Query::newPart(const std::string& service) {
-  if (isGather() && context_.owners != nullptr && context_.owners->owned(service)) {
+  if (isGather() && context_.owners != nullptr && context_.owners->usesOwners(service)) {
     return std::make_unique<DelegatedPart>(service, route_, context_, *trace_, *caution_);
   }
   return std::make_unique<PartExchange>(service, route_, context_, *trace_, *caution_);
--- a/src/coordination/serving/shard_owners.cpp
+++ b/src/coordination/serving/shard_owners.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kMaxOwnersPerZone = 2;
 constexpr std::size_t kMaxOwnerConnections = 6;
 /// Longer than member tables take to converge, which is a few seconds.
-constexpr Duration kAcceptedOwnershipDuration = std::chrono::seconds(10);
+constexpr Duration kTemporaryServiceDuration = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -66,11 +66,11 @@
 }
 
 const std::vector<Endpoint>& ShardOwners::ranked(const std::string& service) {
-  const auto [place, isNew] = ranked_.try_emplace(service);
+  const auto [entry, isNew] = ranked_.try_emplace(service);
   if (isNew) {
-    place->second = rankDaemons(hashText(service), daemons_, kCandidatesPerShard);
+    entry->second = rankDaemons(hashText(service), daemons_, kCandidatesPerShard);
   }
-  return place->second;
+  return entry->second;
 }
 
 std::vector<Endpoint> ShardOwners::ownersOf(const std::string& service, Moment now) {
@@ -81,28 +81,28 @@
   return owners;
 }
 
-bool ShardOwners::acceptOwnership(const std::string& service, Moment now) {
-  const auto served = acceptedShards_.find(service);
-  if (served != acceptedShards_.end()) {
+bool ShardOwners::serveTemporarily(const std::string& service, Moment now) {
+  const auto served = temporaryShards_.find(service);
+  if (served != temporaryShards_.end()) {
     served->second = now;
     return false;
   }
-  if (!owned(service) || isOwner(service)) {
+  if (!usesOwners(service) || isOwner(service)) {
     return false;
   }
-  acceptedShards_.emplace(service, now);
+  temporaryShards_.emplace(service, now);
   return true;
 }
 
-void ShardOwners::expireAcceptedOwnership(Moment now) {
-  for (auto served = acceptedShards_.begin(); served != acceptedShards_.end();) {
-    const bool expired = now - served->second > kAcceptedOwnershipDuration;
-    served = expired ? acceptedShards_.erase(served) : std::next(served);
+void ShardOwners::expireTemporaryShards(Moment now) {
+  for (auto served = temporaryShards_.begin(); served != temporaryShards_.end();) {
+    const bool expired = now - served->second > kTemporaryServiceDuration;
+    served = expired ? temporaryShards_.erase(served) : std::next(served);
   }
 }
 
 bool ShardOwners::isOwner(const std::string& service) {
-  if (acceptedShards_.count(service) != 0) {
+  if (temporaryShards_.count(service) != 0) {
     return true;
   }
   const auto& candidates = ranked(service);
--- a/src/coordination/serving/shard_owners.h
+++ b/src/coordination/serving/shard_owners.h
@@ -71,7 +71,7 @@
   void setServices(std::unordered_set<std::string> services) { services_ = std::move(services); }
 
   bool hasOwnedServices() const { return !services_.empty(); }
-  bool owned(const std::string& service) const { return services_.count(service) != 0; }
+  bool usesOwners(const std::string& service) const { return services_.count(service) != 0; }
   /// At most `kOwnersPerShard` daemons, in the order in which to try them.
   std::vector<Endpoint> ownersOf(const std::string& service, Moment now);
   /// True if this daemon is the shard's first or second owner or serves the shard temporarily, whether or not
@@ -79,9 +79,9 @@
   bool isOwner(const std::string& service);
   /// Another daemon sent work for the shard. Returns true if this daemon starts to serve the shard
   /// temporarily.
-  bool acceptOwnership(const std::string& service, Moment now);
+  bool serveTemporarily(const std::string& service, Moment now);
   /// Stops serving shards that are not owned here and for which no work has been received recently.
-  void expireAcceptedOwnership(Moment now);
+  void expireTemporaryShards(Moment now);
   /// True if this daemon is the shard's first owner, whether or not it is responsive to others.
   bool isFirstOwner(const std::string& service);
 
@@ -111,7 +111,7 @@
   std::unordered_set<std::string> services_;
   std::unordered_map<std::string, std::vector<Endpoint>> ranked_;
   /// Shards served temporarily, with the time at which work for them was last received.
-  std::unordered_map<std::string, Moment> acceptedShards_;
+  std::unordered_map<std::string, Moment> temporaryShards_;
   PeerFailureDetector failureDetector_;
 };
 
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -127,7 +127,7 @@
 void RequestGateway::serveForOther(const OwnerWork& work) {
   const Moment now = steadyNow();
   for (const OwnerPart& part : work.parts()) {
-    if (!owners_.acceptOwnership(part.service(), now)) {
+    if (!owners_.serveTemporarily(part.service(), now)) {
       continue;
     }
     const auto leafs = view_->leafs->find(part.service());
@@ -150,7 +150,7 @@
 void RequestGateway::onView() {
   view_ = published_.read();
   quota_.setTenants(view_->tenants);
-  owners_.expireAcceptedOwnership(steadyNow());
+  owners_.expireTemporaryShards(steadyNow());
   const LeafAssignment assignment = assignLeafs(*view_, daemons_, self_, owners_);
   ownerService_.setOwnedShards(assignment.firstOwned);
   ownerService_.setWarmups(assignment.warmups);
@@ -193,7 +193,7 @@
     return;
   }
   for (const auto& [service, entries] : assignment.leafs) {
-    if (owners_.owned(service) && assignment.firstOwned.count(service) == 0) {
+    if (owners_.usesOwners(service) && assignment.firstOwned.count(service) == 0) {
       continue;
     }
     for (const LeafEntry& leaf : entries) {
--- a/tests/serving/coordination/daemon_order_test.cpp
+++ b/tests/serving/coordination/daemon_order_test.cpp
@@ -55,11 +55,11 @@
     std::shuffle(shuffled.begin(), shuffled.end(), std::mt19937_64(*rc::gen::arbitrary<std::uint64_t>()));
     const DaemonOrder order(fleet);
     RC_ASSERT(order.daemons() == DaemonOrder(shuffled).daemons());
-    for (std::size_t place = 0; place < fleet.size(); ++place) {
-      const Endpoint address = order.daemons()[place].address;
-      RC_ASSERT(order.rankOf(address) == place);
-      if (place > 0) {
-        const Endpoint previous = order.daemons()[place - 1].address;
+    for (std::size_t rank = 0; rank < fleet.size(); ++rank) {
+      const Endpoint address = order.daemons()[rank].address;
+      RC_ASSERT(order.rankOf(address) == rank);
+      if (rank > 0) {
+        const Endpoint previous = order.daemons()[rank - 1].address;
         RC_ASSERT(order.before(previous, address));
         RC_ASSERT(!order.before(address, previous));
       }
--- a/tests/serving/coordination/merge_server_selector_test.cpp
+++ b/tests/serving/coordination/merge_server_selector_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-const Endpoint kFirst(2, 9);
-const Endpoint kSecond(3, 9);
+const Endpoint kDaemonA(2, 9);
+const Endpoint kDaemonB(3, 9);
 
 /// One send to a leaf of each of the zones.
 std::vector<SendAction> sendsTo(const std::vector<std::string>& zones) {
@@ -29,7 +29,7 @@
 TEST_CASE("requests to several leafs of another zone are routed through one merge server", "[serving]") {
   RandomEngine random(1);
   MergeServerSelector mergeServers;
-  mergeServers.setDaemons({{"b", {kFirst, kSecond}}});
+  mergeServers.setDaemons({{"b", {kDaemonA, kDaemonB}}});
   auto sends = sendsTo({"a", "b", "b", "c"});
   mergeServers.assign(sends, random, at(0));
   REQUIRE_FALSE(sends[0].mergeServer);
@@ -41,22 +41,22 @@
 TEST_CASE("a request to a single leaf of another zone is sent directly", "[serving]") {
   RandomEngine random(1);
   MergeServerSelector mergeServers;
-  mergeServers.setDaemons({{"b", {kFirst}}, {"c", {kSecond}}});
+  mergeServers.setDaemons({{"b", {kDaemonA}}, {"c", {kDaemonB}}});
   auto sends = sendsTo({"b", "c", "c"});
   mergeServers.assign(sends, random, at(0));
   REQUIRE_FALSE(sends[0].mergeServer);
-  REQUIRE(sends[1].mergeServer == kSecond);
+  REQUIRE(sends[1].mergeServer == kDaemonB);
 }
 
 TEST_CASE("requests to ejected, stalled, slow and overloaded leafs are sent directly", "[serving]") {
   RandomEngine random(1);
   MergeServerSelector mergeServers;
-  mergeServers.setDaemons({{"b", {kFirst}}});
+  mergeServers.setDaemons({{"b", {kDaemonA}}});
   const auto assigned = [&](auto&& trouble) {
     auto sends = sendsTo({"b", "b", "b"});
     trouble(*sends[0].leaf);
     mergeServers.assign(sends, random, at(100));
-    REQUIRE(sends[1].mergeServer == kFirst);
+    REQUIRE(sends[1].mergeServer == kDaemonA);
     return sends[0].mergeServer.has_value();
   };
   REQUIRE(assigned([](LeafStatus&) {}));
@@ -75,19 +75,19 @@
 TEST_CASE("an unresponsive merge server is used at most once per probe interval", "[serving]") {
   RandomEngine random(1);
   MergeServerSelector mergeServers;
-  mergeServers.setDaemons({{"b", {kFirst}}});
-  mergeServers.onSent(kFirst, at(0));
+  mergeServers.setDaemons({{"b", {kDaemonA}}});
+  mergeServers.onSent(kDaemonA, at(0));
   const auto mergeServerAt = [&](int milliseconds) {
     auto sends = sendsTo({"b", "b"});
     mergeServers.assign(sends, random, at(milliseconds));
     return sends[0].mergeServer;
   };
-  REQUIRE(mergeServerAt(100) == kFirst);
+  REQUIRE(mergeServerAt(100) == kDaemonA);
   REQUIRE_FALSE(mergeServerAt(200));
-  REQUIRE(mergeServerAt(300) == kFirst);
+  REQUIRE(mergeServerAt(300) == kDaemonA);
   REQUIRE_FALSE(mergeServerAt(310));
-  mergeServers.onReceived(kFirst, at(1000));
-  REQUIRE(mergeServerAt(320) == kFirst);
+  mergeServers.onReceived(kDaemonA, at(1000));
+  REQUIRE(mergeServerAt(320) == kDaemonA);
 }
 
 TEST_CASE("merge servers are chosen in proportion to their capacity", "[serving]") {
@@ -115,7 +115,7 @@
   RandomEngine random(1);
   MergeServerSelector mergeServers;
   REQUIRE(mergeServers.chooseZone(random).empty());
-  mergeServers.setDaemons({{"b", {kFirst}}});
+  mergeServers.setDaemons({{"b", {kDaemonA}}});
   REQUIRE(mergeServers.chooseZone(random) == "b");
 }
 
--- a/tests/serving/coordination/record_merge_test.cpp
+++ b/tests/serving/coordination/record_merge_test.cpp
@@ -24,8 +24,8 @@
                                           [](unsigned char one, unsigned char other) { return one < other; });
     });
     std::string expected;
-    for (std::size_t place = 0; place < std::min(count, all.size()); ++place) {
-      expected += all[place];
+    for (std::size_t index = 0; index < std::min(count, all.size()); ++index) {
+      expected += all[index];
     }
     RC_ASSERT(greatestRecords(parts, count) == expected);
   });
--- a/tests/serving/coordination/shard_owners_test.cpp
+++ b/tests/serving/coordination/shard_owners_test.cpp
@@ -43,15 +43,15 @@
     notOwned = owners.isOwner(service) ? notOwned : service;
   }
   REQUIRE_FALSE(notOwned.empty());
-  REQUIRE(owners.acceptOwnership(notOwned, at(0)));
-  REQUIRE_FALSE(owners.acceptOwnership(notOwned, at(1)));
+  REQUIRE(owners.serveTemporarily(notOwned, at(0)));
+  REQUIRE_FALSE(owners.serveTemporarily(notOwned, at(1)));
   REQUIRE(owners.isOwner(notOwned));
   REQUIRE_FALSE(owners.isFirstOwner(notOwned));
-  owners.expireAcceptedOwnership(at(5000));
+  owners.expireTemporaryShards(at(5000));
   REQUIRE(owners.isOwner(notOwned));
-  owners.expireAcceptedOwnership(at(20000));
+  owners.expireTemporaryShards(at(20000));
   REQUIRE_FALSE(owners.isOwner(notOwned));
-  REQUIRE_FALSE(owners.acceptOwnership("not left to owners", at(0)));
+  REQUIRE_FALSE(owners.serveTemporarily("not owned", at(0)));
 }
 
 TEST_CASE("daemons with equal member tables choose the same owners", "[serving]") {
--- a/tests/serving/coordination/shard_server_test.cpp
+++ b/tests/serving/coordination/shard_server_test.cpp
@@ -115,12 +115,12 @@
       unreachable.server.onOutcome(tried.sends[0].action.exchange, outcomeOf(Kind::kNotSent), at(5));
   REQUIRE(unsent.results[0].results.results(0).status() == OWNER_NOT_SENT);
 
-  ServerWorld refused(1);
-  const auto started = refused.server.onWork(kRequester, workOf({"s"}), at(0));
-  refused.server.onWritten(started.sends[0].action.exchange);
-  const auto turnedAway =
-      refused.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kNotExecuted), at(5));
-  REQUIRE(turnedAway.results[0].results.results(0).status() == OWNER_NOT_RUN);
+  ServerWorld rejecting(1);
+  const auto started = rejecting.server.onWork(kRequester, workOf({"s"}), at(0));
+  rejecting.server.onWritten(started.sends[0].action.exchange);
+  const auto rejected =
+      rejecting.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kNotExecuted), at(5));
+  REQUIRE(rejected.results[0].results.results(0).status() == OWNER_NOT_RUN);
 
   ServerWorld lost(1);
   const auto begun = lost.server.onWork(kRequester, workOf({"s"}), at(0));
@@ -270,8 +270,8 @@
   for (const double share : {0.5, 1.0}) {
     RequesterWorld world({"s", "t"}, share);
     const auto started = world.query->start(at(0));
-    const Endpoint silent = started.relays[1].owner;
-    world.owners.onSent(silent, at(0));
+    const Endpoint unresponsive = started.relays[1].owner;
+    world.owners.onSent(unresponsive, at(0));
     world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
     QueryActions actions;
     Moment now = at(10);
@@ -317,14 +317,14 @@
 namespace {
 
 /// One query, three owners and the frames in between. The generator decides which frames and leafs fail.
-class HopSimulation {
+class DelegationSimulation {
  public:
-  HopSimulation() : requester_(shards_, 0.5) {
+  DelegationSimulation() : requester_(shards_, 0.5) {
     for (const Endpoint& daemon : {Endpoint(2, 9), Endpoint(3, 9), Endpoint(4, 9)}) {
       owners_[daemon] = std::make_unique<ServerWorld>(3);
       owners_[daemon]->registry.reconcile(leafsOf(shards_, 3), at(0));
     }
-    carry(requester_.query->start(at(0)));
+    handle(requester_.query->start(at(0)));
   }
 
   void deliverFrame(Moment now) {
@@ -333,14 +333,14 @@
     }
     const RelayAction relay = frames_.front();
     frames_.pop_front();
-    const int fate = *rc::gen::inRange(0, 4);
-    if (fate == 0) {
+    const int delivery = *rc::gen::inRange(0, 4);
+    if (delivery == 0) {
       // The transport reports that the frame was not sent.
-      carry(requester_.query->onOutcome(relay.exchange, outcomeOf(Kind::kNotSent), now));
-    } else if (fate != 1) {
+      handle(requester_.query->onOutcome(relay.exchange, outcomeOf(Kind::kNotSent), now));
+    } else if (delivery != 1) {
       OwnerWork work = workOf({relay.service}, relay.attempts);
       work.mutable_parts(0)->set_exchange(relay.exchange);
-      carry(relay.owner, owners_[relay.owner]->server.onWork(kRequester, work, now), now);
+      handle(relay.owner, owners_[relay.owner]->server.onWork(kRequester, work, now), now);
     }
   }
 
@@ -361,12 +361,12 @@
       const LeafEntry& leaf = ended.action.leaf->entry();
       ranAt_[leaf.service].erase(leaf.id);
     }
-    carry(ended.owner, server.onOutcome(ended.action.exchange, outcomeOf(kind), now), now);
+    handle(ended.owner, server.onOutcome(ended.action.exchange, outcomeOf(kind), now), now);
   }
 
   void passTime(Moment now) {
     for (auto& [owner, world] : owners_) {
-      carry(owner, world->server.onTime(now), now);
+      handle(owner, world->server.onTime(now), now);
     }
   }
 
@@ -394,11 +394,11 @@
     SendAction action;
   };
 
-  void carry(const QueryActions& actions) {
+  void handle(const QueryActions& actions) {
     frames_.insert(frames_.end(), actions.relays.begin(), actions.relays.end());
   }
 
-  void carry(const Endpoint& owner, const ShardServerActions& actions, Moment now) {
+  void handle(const Endpoint& owner, const ShardServerActions& actions, Moment now) {
     for (const OwnerSend& send : actions.sends) {
       const LeafEntry& leaf = send.action.leaf->entry();
       ranAt_[leaf.service].insert(leaf.id);
@@ -408,7 +408,7 @@
       for (const OwnerResult& result : outgoing.results.results()) {
         const bool lost = *rc::gen::inRange(0, 5) == 0;
         if (!lost) {
-          carry(requester_.query->onOutcome(result.exchange(), outcomeOf(kindOf(result)), now));
+          handle(requester_.query->onOutcome(result.exchange(), outcomeOf(kindOf(result)), now));
         }
       }
     }
@@ -439,7 +439,7 @@
 
 TEST_CASE("the owners of a shard together stay within the route's attempts", "[serving]") {
   OAKPIER_PROPERTY("attempts", [] {
-    HopSimulation simulation;
+    DelegationSimulation simulation;
     for (int step = 1; step < 60; ++step) {
       const Moment now = at(step * 7);
       switch (*rc::gen::inRange(0, 3)) {
