--- a/src/programs/gateway/active_query.h
+++ b/src/programs/gateway/active_query.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the request thread's side of the gateway keeps of one request, from its arrival to its answer.
+/// State that the request thread keeps for one caller request, from its arrival to its answer.
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -11,7 +11,7 @@
 
 namespace oakpier::serving {
 
-/// A query with what it needs of the real world.
+/// A running query with its timer, response writer and request data.
 struct RequestGateway::ActiveQuery {
   ActiveQuery(boost::asio::io_context& context, ResponseWriter responseWriter)
       : timer(context), writer(std::move(responseWriter)) {}
@@ -20,16 +20,16 @@
   DecisionTimer timer;
   ResponseWriter writer;
   std::shared_ptr<const LeafRequestTemplate> request;
-  /// For other daemons.
+  /// Sent to peers when shards are delegated or merged in another zone.
   std::shared_ptr<const HttpRequest> original;
   std::shared_ptr<const OwnerClient::Listener> ownerListener;
-  /// Of the caller: its tenant's, or else the route's.
+  /// Request priority: the tenant's rank, or the route's if the tenant has none; 0 is the most urgent.
   unsigned rank = 0;
-  /// What the request was let through on, where its tenant has a limit.
+  /// The quota token that admitted the request; empty if the tenant has no limit.
   std::optional<Token> token;
 };
 
-/// A request until its query begins: it may wait for a decision on its tenant's allowance.
+/// A request before its query starts; it may be waiting for a decision on its tenant's quota.
 struct RequestGateway::ArrivedRequest {
   explicit ArrivedRequest(ResponseWriter responseWriter) : writer(std::move(responseWriter)) {}
 
@@ -40,12 +40,12 @@
   std::shared_ptr<const ServingView> view;
   /// Belongs to `view`.
   const Route* route = nullptr;
-  /// Null: none. Belongs to `view`.
+  /// Null if the request has no tenant. Belongs to `view`.
   const Tenant* tenant = nullptr;
   RequestQuarantine::Judgement judgement;
   std::optional<Token> token;
   bool callerGone = false;
-  /// Set once the query has begun.
+  /// Set when the query starts.
   std::weak_ptr<ActiveQuery> active;
 
   unsigned rank() const { return tenant != nullptr ? tenant->rank.value_or(route->rank) : route->rank; }
--- a/src/programs/gateway/decision_timer.h
+++ b/src/programs/gateway/decision_timer.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Calls a state machine when its next decision is due. Armed anew after every event; a moment that has not
-/// changed costs nothing.
+/// Calls a state machine when its next decision is due. It is re-armed after every event; re-arming for the
+/// same time does nothing.
 
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,7 @@
  public:
   explicit DecisionTimer(boost::asio::io_context& context) : timer_(context) {}
 
-  /// `onDue` keeps alive what it uses. `kNever` disarms.
+  /// `onDue` must own what it uses. `kNever` disarms the timer.
   void arm(Moment due, std::function<void()> onDue) {
     if (due == armedFor_) {
       return;
@@ -32,7 +32,8 @@
   }
 
  private:
-  /// A timer stands still while the machine is suspended; after that no decision comes later than this.
+  /// Asio timers do not advance while the machine is suspended. Waking at least this often bounds how late a
+  /// decision is after a resume.
   static constexpr Duration kLongestSleep = std::chrono::milliseconds(250);
 
   void sleep(std::function<void()> onDue) {
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -26,24 +26,26 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 constexpr std::string_view kMetricsPath = "/metrics";
-/// After a request to stop callers are still sent here until they have seen that this daemon is not ready.
+/// After the stop signal, callers still connect until readiness checks have shown that this daemon is not
+/// ready.
 constexpr Duration kAcceptAfterStop = std::chrono::milliseconds(2600);
 constexpr Duration kReloadPeriod = std::chrono::seconds(5);
 constexpr Duration kStopCheck = std::chrono::milliseconds(50);
-/// Kept free before the process would be killed: this share of the grace, and at most this long.
+/// Time reserved before the process would be killed: this share of the grace period, up to this maximum.
 constexpr double kStopReserveShare = 0.15;
 constexpr Duration kLongestStopReserve = std::chrono::milliseconds(800);
-/// Owners of a shard, one a zone, that are assumed at least; as many more may follow one another in a window.
+/// Assumed number of owners of a shard (one per zone), and how many more may replace them within a budget
+/// window.
 constexpr std::size_t kUsualOwners = 4;
 constexpr std::size_t kOwnersInChange = 2;
-/// One in this many daemons may be added or come back at any time.
+/// Plans for a fleet that grows by one daemon in this many.
 constexpr std::size_t kSpareShare = 3;
 
-/// A key is refused for good under a proof at most this share of the time old in which new keys are to be
-/// known everywhere.
+/// An unknown key is rejected with 401 only under a proof that is younger than this fraction (1/n) of the
+/// time within which new keys take effect everywhere.
 constexpr int kFinalRefusalParts = 2;
 
-/// Tells whether callers should be sent here, and the figures at the path of metrics.
+/// Answers readiness checks, and metrics at their path.
 class StatusHandler : public RequestHandler {
  public:
   StatusHandler(std::function<bool()> ready, std::function<std::string()> metrics)
@@ -65,7 +67,7 @@
   std::function<std::string()> metrics_;
 };
 
-/// How old a proof may be under which a key is used; none: without bound.
+/// Maximum age of the proof under which a key is accepted; empty if unbounded.
 std::optional<Duration> proofBoundFor(const GatewaySettings& settings) {
   return settings.keyRevocationBound ? std::optional(*settings.keyRevocationBound - kProofMargin)
                                      : std::nullopt;
@@ -202,11 +204,12 @@
     boost::asio::post(requestContext_, [this, counters = source_.counters()] { sourceCounters_ = counters; });
   }
 
-  /// Callers should be sent here. Where keys are bound to proofs, not without one: all but public routes
-  /// would be refused. If no daemon of a zone has one, the platform sends callers to all the same.
+  /// Whether this daemon is ready for callers. If keys require a recent proof, it is not ready without one,
+  /// because all requests except those for public routes would be refused. If no daemon of a zone is ready,
+  /// the platform sends callers to all of them.
   bool takesCallers() const {
     const auto bound = proofBoundFor(settings_);
-    // Before the view, which is published first.
+    // Read before the view, because the view is published before the proof.
     const auto proof = proof_.read();
     const auto view = published_.read();
     if (!ready_ || !bound || !view->configuration || view->configuration->tenants.empty()) {
@@ -221,7 +224,7 @@
                                : std::chrono::duration<double>(steadyNow() - proof->provenAt).count();
   }
 
-  /// On the control thread. Until the others are known, a usual number is taken.
+  /// On the control thread. Assumes a default fleet size until membership is stable.
   void onDaemons(const DaemonGroup& daemons) {
     lastDaemons_ = daemons;
     const Moment now = steadyNow();
@@ -242,7 +245,7 @@
     });
   }
 
-  /// On the control thread. The others have had time to be found.
+  /// On the control thread. Applies the last members again once membership is stable.
   void scheduleSettled() {
     setFor(settledTimer_, settling_.settledAt());
     settledTimer_.async_wait([this](const boost::system::error_code& error) {
@@ -299,7 +302,7 @@
     });
   }
 
-  /// The settings may also change without a signal.
+  /// Settings may change without a signal.
   void scheduleReload() {
     reloadTimer_.expires_after(kReloadPeriod);
     reloadTimer_.async_wait([this](const boost::system::error_code& error) {
@@ -358,7 +361,7 @@
         return;
       }
       if (passed >= settings_.stopGrace - stopReserve()) {
-        log(LogLevel::kWarning, "requests given up at the end of the grace",
+        log(LogLevel::kWarning, "stop grace period ending; answering open requests with 504",
             {{"in_progress", callers_.inProgress()}});
         callers_.answerAll(ownReply(kGatewayTimeout, "no answer before this daemon had to stop"));
         gaveUp_ = true;
@@ -399,13 +402,13 @@
   std::size_t daemons_ = 1;
   /// In hundredths of a core.
   std::uint64_t fleetCapacity_ = 0;
-  /// Used on the control thread.
+  /// Control thread only.
   DaemonGroup lastDaemons_;
   bool stopping_ = false;
-  /// Requests in progress were answered as given up; the process ends at the next check.
+  /// Requests in progress were answered with 504; the process stops at the next check.
   bool gaveUp_ = false;
   FleetSettling settling_{FleetSettlingSettings{}, steadyNow()};
-  /// Of the member table; stays once it is.
+  /// Membership has become stable; never reset. Control thread only.
   bool settled_ = false;
   Moment stopRequestedAt_{};
 };
--- a/src/programs/gateway/gateway.h
+++ b/src/programs/gateway/gateway.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One gateway process: a request thread and a control thread, joined by the published serving view.
+/// One gateway process: a request thread and a control thread that share the published serving view.
 
 #include <functional>
 #include <optional>
@@ -11,10 +11,10 @@
 
 namespace oakpier::serving {
 
-/// Reads the settings again; empty when they cannot be used, after saying why in the log.
+/// Rereads the settings. Returns nothing if they are invalid, after logging the reason.
 using SettingsReload = std::function<std::optional<GatewaySettings>()>;
 
-/// Serves until SIGTERM or SIGINT. Returns the exit code.
+/// Serves until SIGTERM or SIGINT. Returns the process exit code.
 int runGateway(const GatewaySettings& settings, const HeaderNames& names, const SourceDialect& dialect,
                const SettingsReload& reload);
 
--- a/src/programs/gateway/gateway_metrics.h
+++ b/src/programs/gateway/gateway_metrics.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The gateway's figures in the text format of Prometheus.
+/// Gateway metrics in the Prometheus text format.
 
 #include <cstdint>
 #include <map>
@@ -23,15 +23,15 @@
   std::uint64_t refused = 0;
   std::uint64_t refusedBusy = 0;
   std::uint64_t refusedUnservable = 0;
-  /// Rejected as leafs end under them.
+  /// Rejected because they are quarantined for crashing leafs.
   std::uint64_t rejectedEndingLeafs = 0;
-  /// Sent to one leaf first, as leafs have ended under them.
+  /// Sent to a single leaf first because they have crashed leafs.
   std::uint64_t trials = 0;
-  /// Answered 401.
+  /// Answered with 401.
   std::uint64_t rejectedKeys = 0;
-  /// Refused as the configuration was not proved fresh.
+  /// Refused because there was no sufficiently recent freshness proof of the configuration.
   std::uint64_t refusedUnproved = 0;
-  /// Answered 429.
+  /// Answered with 429.
   std::uint64_t refusedOverLimit = 0;
   std::uint64_t failed = 0;
   std::uint64_t noRoute = 0;
@@ -44,33 +44,33 @@
   std::map<std::string, LatencyHistogram> answerTimes;
 };
 
-/// What is told at one moment.
+/// Values of all metrics at one point in time.
 struct GatewayFigures {
   const RequestCounters& requests;
   const LeafPoolCounters& pool;
   const OwnerClientCounters& owners;
-  /// Shards served for other daemons.
+  /// Shards served for peers as their owner.
   std::uint64_t partsServed = 0;
   const MergeClientCounters& mergers;
-  /// Requests to leafs sent for daemons of other zones.
+  /// Requests sent to leafs as the merge server for peers in other zones.
   std::uint64_t partsMerged = 0;
   const PeerTransportCounters& peers;
   FollowerCounters source;
   std::uint64_t configurationVersion = 0;
   std::size_t leafs = 0;
   std::size_t daemons = 0;
-  /// Requests that are rejected at present, as leafs end under them.
+  /// Fingerprints of requests that are currently rejected for crashing leafs.
   std::size_t condemnedRequests = 0;
   bool ready = false;
   std::uint64_t logLinesLeftOut = 0;
   std::uint64_t logLinesDropped = 0;
-  /// Told to the other daemons, in hundredths of a core; 0: nothing.
+  /// Capacity reported to peers, in hundredths of a core; 0 if none is reported.
   unsigned capacity = 0;
-  /// Of all serving daemons, in hundredths of a core.
+  /// Total capacity of all serving daemons, in hundredths of a core.
   std::uint64_t fleetCapacity = 0;
-  /// Keys of all tenants in the configuration.
+  /// Number of keys of all tenants in the configuration.
   std::size_t keys = 0;
-  /// Since the configuration was last proved the newest; infinite while nothing is proved.
+  /// Age of the latest freshness proof of the configuration; infinite if there is none.
   double proofAgeSeconds = 0;
   QuotaFigures quota;
 };
--- a/src/programs/gateway/gateway_settings.cpp
+++ b/src/programs/gateway/gateway_settings.cpp
@@ -12,8 +12,8 @@
 constexpr Duration kLongestLeaveBound = std::chrono::minutes(1);
 constexpr Duration kShortestHeartbeat = std::chrono::milliseconds(50);
 constexpr Duration kLongestHeartbeat = std::chrono::minutes(1);
-/// The reader's proof grows 2.25 s old from one answer of the source to the next, that of daemons far down
-/// its tree half a second older, and the death of a reader costs another second.
+/// A reader's proof reaches an age of 2.25 s between two answers of the source; daemons deep in its
+/// distribution tree are half a second behind, and the failure of a reader adds one second.
 constexpr Duration kShortestKeyBound = std::chrono::seconds(4);
 constexpr Duration kLongestKeyBound = std::chrono::minutes(10);
 constexpr Duration kShortestConfigurationBound = std::chrono::milliseconds(500);
--- a/src/programs/gateway/gateway_settings.h
+++ b/src/programs/gateway/gateway_settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Settings of one gateway process, whatever form a deployment gives them in. Durations in microseconds.
+/// Settings of one gateway process, independent of the format that a deployment uses for them.
 
 #include <optional>
 #include <string>
@@ -19,40 +19,40 @@
 struct GatewaySettings {
   std::string name;
   std::string zone;
-  /// Callers' requests.
+  /// Listens for caller requests.
   Endpoint callerAddress;
-  /// Tells whether callers should be sent here: 200 or 503 to any request.
+  /// Listens for readiness checks (answered with 200 or 503) and for `/metrics`.
   Endpoint readinessAddress;
-  /// Frames of other daemons.
+  /// Receives frames from peers.
   Endpoint peerAddress;
-  /// Some daemons' peer addresses, which may be stale or down.
+  /// Peer addresses of some daemons, for joining the fleet; they may be stale or down.
   std::vector<Endpoint> seeds;
-  /// The configuration source.
+  /// Address of the configuration source.
   Endpoint sourceAddress;
-  /// From a request to stop until the process is killed.
+  /// Time from the stop signal until the process is killed.
   Duration stopGrace = std::chrono::seconds(6);
-  /// A leaf may get new requests for this long after the source says that it leaves.
+  /// How long a leaf may receive new requests after the source lists it as leaving.
   Duration leaveBound = std::chrono::seconds(3);
-  /// Leafs write their entries about this often; the source drops an entry after three that were left out.
+  /// Interval at which leafs rewrite their entries; the source drops an entry after three missed writes.
   Duration leafHeartbeat = kUsualLeafHeartbeat;
-  /// A new configuration is in force at every daemon that is in touch within this time.
+  /// Time within which a new configuration takes effect at every reachable daemon.
   Duration configurationBound = std::chrono::seconds(5);
-  /// No request that was sent later than this after a key was taken away may use it, at any daemon; none: as
-  /// other changes of the configuration.
+  /// Time after which no daemon may accept a request with a removed key. If unset, key removals take effect
+  /// like any other configuration change.
   std::optional<Duration> keyRevocationBound;
-  /// Extra sends that all daemons together may make to a service.
+  /// Retry budget of a service, shared by all daemons.
   OperatorExtraSends extraSends;
-  /// What all daemons together may send to a cold leaf beyond the rate that its service tells.
+  /// What all daemons together may send to a cold leaf beyond the warm-up rate of its service.
   WarmupTolerance warmup;
-  /// What this daemon's machine allows; other daemons place work by it.
+  /// Resource limits of this daemon's machine; peers place work by them.
   MachineLimits machine;
-  /// What all daemons together may let through beyond a tenant's limit.
+  /// What all daemons together may admit beyond a tenant's limit.
   QuotaTolerance quota;
 };
 
-/// One line a setting, with its unit.
+/// One line per setting; the unit is part of the name.
 std::string describe(const GatewaySettings& settings);
-/// Every reason, in plain words, why the settings cannot be used; empty when they can.
+/// Returns all validation errors as readable messages; empty if the settings are valid.
 std::vector<std::string> problemsOf(const GatewaySettings& settings);
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/latency_histogram.h
+++ b/src/programs/gateway/latency_histogram.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Counts durations by buckets whose bounds double from one millisecond on.
+/// Latency histogram whose bucket bounds start at one millisecond and double; the last bucket is unbounded.
 
 #include <array>
 #include <cstddef>
--- a/src/programs/gateway/leaf_sender.h
+++ b/src/programs/gateway/leaf_sender.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Hands requests to the leaf pool and records what comes of them in what is known of leafs and latencies.
+/// Sends requests through the leaf pool and records their outcomes in the leaf status and latency statistics.
 
 #include <functional>
 #include <memory>
@@ -12,13 +12,13 @@
 
 namespace oakpier::serving {
 
-/// One request to one leaf.
+/// One attempt of a request at one leaf.
 struct LeafSend {
   SendAction action;
   std::shared_ptr<const LeafRequestTemplate> request;
-  /// Kept until the outcome is known.
+  /// Held until the outcome is known.
   std::shared_ptr<const Route> route;
-  /// Of the caller: its tenant's, or else the route's.
+  /// Request priority: the tenant's rank, or the route's if the tenant has none; 0 is the most urgent.
   unsigned rank = 0;
 };
 
@@ -26,11 +26,12 @@
  public:
   explicit LeafSender(LeafPool& pool) : pool_(pool) {}
 
-  /// How many connections each service's leafs may get from this daemon; one where nothing is said.
+  /// Sets how many connections this daemon may open to each leaf of a service.
   void setShares(const ConnectionShares& shares) { shares_ = shares; }
+  /// 1 for a service without a share.
   std::size_t connectionsTo(const std::string& service) const;
 
-  /// `context` outlives the exchange. `listener.onOutcome` is called after the outcome was recorded.
+  /// `context` must outlive the exchange. `listener.onOutcome` is called after the outcome is recorded.
   void send(const LeafSend& send, QueryContext& context, LeafPool::Listener listener);
 
  private:
--- a/src/programs/gateway/loss_ledger.h
+++ b/src/programs/gateway/loss_ledger.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Adds up what requests lost, by route and cause, and writes it to the log once a second: one line a route
-/// with requests and one for each of its causes. So the lines are few whatever the load, and none is left
-/// out. What a process that is killed had not written yet is lost, a second at most.
+/// Sums the losses of requests by route and cause and logs them about once a second: one line per route with
+/// requests and one per cause of loss. The number of lines does not depend on the load, so none is
+/// suppressed. Sums that are not written yet when the process is killed are lost.
 
 #include <cstdint>
 #include <map>
@@ -21,11 +21,11 @@
   LossLedger& operator=(const LossLedger&) = delete;
   ~LossLedger() { write(); }
 
-  /// A request of the route has ended; `loss` is empty for a whole answer in time.
+  /// Adds a finished request; `loss` is empty for a complete answer in time.
   void add(const std::string& route, const Loss& loss, Moment now);
-  /// A shard that was served for another daemon ended without an answer there in time.
+  /// Adds a shard that was served for a peer and did not reach it in time with an answer.
   void addServed(const std::string& route, LossCause cause, Moment now);
-  /// Writes what has been added.
+  /// Logs the sums and resets them.
   void write();
 
  private:
@@ -36,8 +36,9 @@
   void writeWhenDue(Moment now);
 
   std::map<std::string, RouteLoss> routes_;
-  /// Of shards served for others; each counts 1.
+  /// Losses of shards served for peers; each shard counts as 1.
   std::map<std::string, Loss> served_;
+  /// Start of the current period.
   Moment startedAt_{};
 };
 
--- a/src/programs/gateway/merge_client.cpp
+++ b/src/programs/gateway/merge_client.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-/// Work that was on the way for longer is not begun: a leaf's time is counted from the receipt.
+/// Limits the transit time of work, because the merge server counts the leafs' remaining time from its
+/// receipt.
 constexpr std::uint32_t kWorkLifetimeMilliseconds = 250;
 constexpr std::uint32_t kCancelLifetimeMilliseconds = 2000;
-/// A merging daemon tells within this time after the leafs' deadline what came of a request, also of one that
-/// was withdrawn.
+/// A merge server reports the outcome of a request, also of a withdrawn one, within this time after the
+/// leafs' deadline.
 constexpr Duration kResultGrace = std::chrono::milliseconds(400);
 
 MergeWork workFor(const MergeClient::Order& order, std::uint64_t run, Moment now) {
@@ -62,7 +63,7 @@
   }
 }
 
-/// `records` are given to the query with one of the answers of a frame.
+/// `records`: the merged records of the frame, passed with one of its answers and empty for the others.
 LeafOutcome outcomeOf(const MergeResult& result, std::string records) {
   LeafOutcome outcome;
   outcome.kind = kindOf(result.outcome());
@@ -211,7 +212,7 @@
   if (!pending) {
     return;
   }
-  // Nothing is known of the leaf: the merging daemon may be what is silent.
+  // Nothing is known about the leaf: the merge server itself may be unresponsive.
   pending->leaf->onFinished(exchange, LeafOutcome::Kind::kWithdrawn, steadyNow());
   if (pending->listener) {
     LeafOutcome outcome;
--- a/src/programs/gateway/merge_client.h
+++ b/src/programs/gateway/merge_client.h
@@ -1,10 +1,11 @@
 #pragma once
 
-/// The asking side of merging in other zones: sends requests for leafs there to the daemon that merges, and
-/// gives the queries what came of them. Runs on the request thread.
+/// Client of merge servers: sends requests for leafs in another zone to a merge server there and passes the
+/// outcomes to the queries. Runs on the request thread.
 ///
-/// Invariant: an answer is given to its query only if all earlier answers of the same work were; one that
-/// relies on a lost frame is no answer.
+/// Invariant: an answer is passed to its query only if all earlier answers of the same job were. A merge
+/// server leaves out records that its earlier answers already outrank, so an answer that depends on a lost
+/// frame is incomplete and is reported as no answer.
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -24,26 +25,26 @@
 namespace oakpier::serving {
 
 struct MergeClientCounters {
-  /// Requests to leafs that went by way of a merging daemon.
+  /// Requests to leafs that were sent through a merge server.
   std::uint64_t parts = 0;
-  /// Of these, without a result in time.
+  /// Of these, the ones without a result in time.
   std::uint64_t expired = 0;
-  /// Answers that relied on a lost one.
+  /// Answers dropped because they depend on a lost frame.
   std::uint64_t incomplete = 0;
 };
 
 class MergeClient {
  public:
-  /// Outcomes that must be taken in together.
+  /// Receives outcomes that must be processed together.
   using Listener = std::function<void(const std::vector<ExchangeOutcome>&)>;
   struct Order {
     std::shared_ptr<const HttpRequest> request;
-    /// Kept until the last result.
+    /// Held until the last result.
     std::shared_ptr<const Route> route;
-    /// Of the caller: its tenant's, or else the route's.
+    /// Request priority: the tenant's rank, or the route's if the tenant has none; 0 is the most urgent.
     unsigned rank = 0;
     Moment leafDeadline{};
-    /// When the query decides next if nothing comes.
+    /// When the query next makes a decision if no outcome arrives.
     Moment decidesAt{};
     std::shared_ptr<const Listener> listener;
   };
@@ -51,16 +52,17 @@
   MergeClient(boost::asio::io_context& io, QueryContext& context, ZoneMergers& mergers,
               FrameSender sendFrame);
 
-  /// `sends` are those of one query that have a merger.
+  /// `sends` belong to one query and each name a merge server.
   void send(const std::vector<SendAction>& sends, const Order& order);
-  /// Withdraws those of the exchanges that went to merging daemons. What becomes of them is still noted.
+  /// Withdraws the exchanges that were sent to merge servers and ignores others. Their results still update
+  /// the leaf status.
   void cancel(const std::vector<ExchangeId>& exchanges);
   void onResults(const Endpoint& merger, const MergeResults& results);
   void onUndeliverable(const MergeWork& work);
   const MergeClientCounters& counters() const { return counters_; }
 
  private:
-  /// What one merging daemon does for one query.
+  /// The part of one query that one merge server handles.
   struct Work {
     Endpoint merger;
     std::shared_ptr<const Route> route;
@@ -71,17 +73,18 @@
     std::shared_ptr<LeafStatus> leaf;
     Moment startedAt{};
     Moment expiresAt{};
-    /// Null once the query no longer wants the outcome.
+    /// Null once the exchange has been withdrawn.
     std::shared_ptr<const Listener> listener;
   };
 
-  /// True when every answer of the frame and all that it relies on were or can be given to the query.
+  /// Returns true if the answers of the frame are complete: their exchanges are pending and all earlier
+  /// answers of the job were received. Then counts them as received.
   bool countIn(const MergeResults& results);
-  /// Records what the result tells of the leaf.
+  /// Updates the leaf status and latency statistics from the result.
   void learn(const MergeResult& result, const Pending& pending, Moment now);
-  /// Forgets the exchange; empty when it is not known.
+  /// Removes and returns the exchange; empty if it is not pending.
   std::optional<Pending> take(ExchangeId exchange);
-  /// Ends an exchange of which the merging daemon told nothing.
+  /// Ends an exchange for which the merge server sent no result.
   void endWithoutResult(ExchangeId exchange, LeafOutcome::Kind kind);
   void expire();
   void armTimer();
@@ -89,7 +92,7 @@
   QueryContext& context_;
   ZoneMergers& mergers_;
   FrameSender sendFrame_;
-  /// Tells this process from earlier ones at its address.
+  /// Random number that distinguishes this process from earlier ones at its address.
   std::uint64_t run_;
   std::unordered_map<ExchangeId, Pending> pending_;
   std::set<std::pair<Moment, ExchangeId>> expiries_;
--- a/src/programs/gateway/merge_service.cpp
+++ b/src/programs/gateway/merge_service.cpp
@@ -30,7 +30,7 @@
     pool_.abandon(exchange);
   }
   if (!actions.sends.empty()) {
-    // All sends of one call belong to one request.
+    // All sends of one call belong to the same request.
     const auto request =
         std::make_shared<const LeafRequestTemplate>(actions.sends.front().task->request, names_);
     for (const MergeSend& merge : actions.sends) {
--- a/src/programs/gateway/merge_service.h
+++ b/src/programs/gateway/merge_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The merging side: sends requests of daemons in other zones to leafs of this one and returns what of the
-/// answers can count. Runs on the request thread.
+/// Merge server: sends requests from peers in other zones to leafs of this zone and returns the merged
+/// answers. Runs on the request thread.
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
--- a/src/programs/gateway/owner_client.cpp
+++ b/src/programs/gateway/owner_client.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// Kept free for the way back from the owner.
+/// Reserved for the way back from the owner.
 constexpr Duration kReturnMargin = std::chrono::milliseconds(3);
-/// Work that was on the way for longer is not begun: a leaf's time is counted from the owner's receipt.
+/// Limits the transit time of work, because the owner counts the leafs' remaining time from its receipt.
 constexpr std::uint32_t kWorkLifetimeMilliseconds = 250;
 constexpr std::uint32_t kCancelLifetimeMilliseconds = 2000;
-/// More connections than this are not opened ahead.
+/// Maximum number of peers that are probed to open connections in advance.
 constexpr std::size_t kMostGreetings = 100;
 
 std::uint64_t microsecondsUntil(Moment moment, Moment now) {
--- a/src/programs/gateway/owner_client.h
+++ b/src/programs/gateway/owner_client.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The asking side of the hop between daemons: sends shards of callers' requests to their owners and gives
-/// their results to the queries. Runs on the request thread.
+/// Client of shard owners: delegates shards of caller requests to their owners and passes the results to the
+/// queries. Runs on the request thread.
 
 #include <functional>
 #include <map>
@@ -17,32 +17,32 @@
 
 namespace oakpier::serving {
 
-/// Sends a frame to another daemon, or to this one. Thread-safe.
+/// Sends a frame to a peer or to this daemon itself. Thread-safe.
 using FrameSender = std::function<void(const Endpoint& to, PeerEnvelope envelope)>;
 
 struct OwnerClientCounters {
-  /// Shards left to owners.
+  /// Shards delegated to owners.
   std::uint64_t parts = 0;
-  /// Signs of life asked of silent owners.
+  /// Probes of unresponsive owners.
   std::uint64_t probes = 0;
-  /// Times that the zone was told of silent daemons.
+  /// Reports of unresponsive peers to the zone.
   std::uint64_t silencesTold = 0;
-  /// Frames that could not be handed to the network.
+  /// Work frames that could not be handed to the network.
   std::uint64_t undeliverable = 0;
 };
 
 class OwnerClient {
  public:
-  /// Gets what came in one frame together.
+  /// Receives all outcomes of one frame together.
   using Listener = std::function<void(const std::vector<ExchangeOutcome>&)>;
-  /// What the owners are told of a query.
+  /// What all delegated shards of one request share.
   struct Order {
     std::shared_ptr<const HttpRequest> request;
-    /// Owners need not refuse it, though leafs have ended under it.
+    /// The request is a quarantine trial: it has crashed leafs, but owners must not refuse it.
     bool vetted = false;
-    /// Kept until the last result.
+    /// Held until the last result.
     std::shared_ptr<const Route> route;
-    /// Of the caller: its tenant's, or else the route's.
+    /// Request priority: the tenant's rank, or the route's if the tenant has none; 0 is the most urgent.
     unsigned rank = 0;
     Moment leafDeadline{};
     /// As in `PartTimes`.
@@ -54,15 +54,15 @@
   OwnerClient(QueryContext& context, ShardOwners& owners, FrameSender sendFrame);
 
   void send(const std::vector<RelayAction>& relays, const Order& order);
-  /// `daemons`: those of the zone. Asks the new ones for a sign of life, so that connections stand before
-  /// work comes.
+  /// `daemons`: all peers of the zone. Probes the new ones so that connections are established before work is
+  /// sent.
   void greet(const std::vector<Endpoint>& daemons);
-  /// Withdraws those of the exchanges that were left to owners.
+  /// Withdraws the exchanges that were delegated to owners and ignores others.
   void cancel(const std::vector<ExchangeId>& exchanges);
   void onResults(const Endpoint& owner, const OwnerResults& results);
   void onUndeliverable(const OwnerWork& work);
-  /// Tells the other daemons of the zone which have fallen silent here, so that not each has to lose a query
-  /// to find out.
+  /// Reports newly unresponsive peers to the rest of the zone, so that not every daemon has to lose a query
+  /// to detect them.
   void tellOfSilence();
   void onSilentDaemons(const SilentDaemons& silent);
   const OwnerClientCounters& counters() const { return counters_; }
@@ -78,13 +78,13 @@
   void askForSignOfLife(const Endpoint& owner);
   void probeSilentOwners(Moment now);
   using Listeners = std::map<std::shared_ptr<const Listener>, std::vector<ExchangeOutcome>>;
-  /// Adds what the result says to what its listener is told.
+  /// Adds the outcome of a result to the outcomes for its listener.
   void takeResult(const OwnerResult& result, Moment now, Listeners& listeners);
 
   QueryContext& context_;
   ShardOwners& owners_;
   FrameSender sendFrame_;
-  /// Tells this process from earlier ones at its address.
+  /// Random number that distinguishes this process from earlier ones at its address.
   std::uint64_t run_;
   std::unordered_map<ExchangeId, Pending> pending_;
   std::set<Endpoint> greeted_;
--- a/src/programs/gateway/owner_service.cpp
+++ b/src/programs/gateway/owner_service.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Work that has no result by then is acknowledged.
+/// Work without a result after this time is acknowledged, so that the requester sees that this daemon is
+/// alive.
 constexpr Duration kAcknowledgeAfter = std::chrono::milliseconds(30);
 
 }  // namespace
--- a/src/programs/gateway/owner_service.h
+++ b/src/programs/gateway/owner_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The owner's side of the hop between daemons: sends other daemons' shards to leafs and the results back.
-/// Runs on the request thread.
+/// Server side of shard owners: sends the shards that peers delegate to leafs and returns the results. Runs
+/// on the request thread.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -22,12 +22,12 @@
 
 class OwnerService {
  public:
-  /// `context` has the budgets of an owner.
+  /// `context` has the retry budgets of an owner.
   OwnerService(boost::asio::io_context& io, const HeaderNames& names, LeafPool& pool, LeafSender& sender,
                QueryContext context, FrameSender sendFrame);
 
   void onWork(const Endpoint& asker, const OwnerWork& work);
-  /// The shards whose first owner this daemon is.
+  /// `services`: the shards of which this daemon is the first owner.
   void setOwnedShards(const std::unordered_set<std::string>& services);
   void onCancel(const Endpoint& asker, const OwnerCancel& cancel);
   std::size_t inProgress() const { return server_.inProgress(); }
@@ -41,9 +41,9 @@
   void apply(const ShardServerActions& actions);
   void logUnanswered(const UnansweredPart& part);
   void send(const ServedSend& served, std::shared_ptr<const LeafRequestTemplate> request);
-  /// Results that come in the same turn travel in one frame.
+  /// Sends the results of one event-loop turn in one frame per requester.
   void flushResults();
-  /// Tells those who wait for longer that their work has come.
+  /// Acknowledges the requester's work unless a result is sent first.
   void acknowledgeLater(const AskerProcess& asker);
   void acknowledge();
   void armTimer();
@@ -57,7 +57,7 @@
   ShardServer server_;
   DecisionTimer timer_;
   std::map<AskerProcess, OwnerResults> results_;
-  /// Those who were told nothing since their work came.
+  /// Requesters that were sent no frame since their work arrived.
   std::set<AskerProcess> unacknowledged_;
   boost::asio::steady_timer acknowledgeTimer_;
   std::uint64_t partsServed_ = 0;
--- a/src/programs/gateway/peer_link.cpp
+++ b/src/programs/gateway/peer_link.cpp
@@ -15,15 +15,15 @@
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(100);
-/// A tick that comes this late means that the process was paused.
+/// A tick that is late by this much indicates a pause of the process or its machine.
 constexpr Duration kPause = std::chrono::seconds(1);
-/// Frames that were on the way for longer are not believed.
+/// Frames that were in transit for longer are ignored.
 constexpr std::uint32_t kTimeToLiveMilliseconds = 1000;
 
-/// Whole tables are compared at every probe for this long after the start; at some hundred daemons they are
-/// most of what daemons say to each other.
+/// Probes compare complete member tables for this long after the start. In fleets of hundreds of daemons
+/// these would otherwise dominate the traffic between daemons.
 constexpr Duration kMembershipSettling = std::chrono::seconds(4);
-/// After a start of all daemons at once tables become whole in about six rounds.
+/// After a simultaneous start of all daemons, tables become complete in about six rounds.
 constexpr Duration kSettlingProbePeriod = std::chrono::milliseconds(250);
 
 MembershipSettings membershipSettings() {
--- a/src/programs/gateway/peer_link.h
+++ b/src/programs/gateway/peer_link.h
@@ -1,7 +1,6 @@
 #pragma once
 
-/// The gateway's link to the other daemons: membership by probing, and frames between them. Runs on the
-/// control thread.
+/// Communication with peers: the membership protocol and frames between daemons. Runs on the control thread.
 
 #include <atomic>
 #include <boost/asio/io_context.hpp>
@@ -23,7 +22,7 @@
   Endpoint self;
   std::string zone;
   std::vector<Endpoint> seeds;
-  /// What the other daemons are told of this one, in hundredths of a core; 0: nothing.
+  /// Capacity reported to peers, in hundredths of a core; 0 reports none.
   unsigned capacity = 0;
 };
 
@@ -34,36 +33,36 @@
     std::function<void(const Endpoint& sender, const SourceNewsRequest& request)> onNewsRequest;
     std::function<void(const Endpoint& sender, const ConfigurationProofRequest& request)> onProofRequest;
     std::function<void(const Endpoint& sender, const ConfigurationProofReply& reply)> onProofReply;
-    /// The addresses of `daemons` are in rising order.
+    /// `daemons` is sorted by address.
     std::function<void(const DaemonGroup& daemons)> onMembers;
-    /// The process or its machine stood still for longer than any load explains.
+    /// The process or its machine was paused for longer than load can explain.
     std::function<void()> onPause;
-    /// A frame about shards. Called on the transport's thread.
+    /// Received a frame for the request thread. Called on the transport's thread.
     std::function<void(const Endpoint& sender, PeerEnvelope envelope)> onShardFrame;
-    /// A frame about shards was not handed to the network. Called on the transport's thread.
+    /// A frame of the request thread was not handed to the network. Called on the transport's thread.
     std::function<void(PeerEnvelope envelope)> onShardFrameUndeliverable;
-    /// All serving daemons that are suspected to have ended, whenever these change.
+    /// Called with all suspected daemons whenever the set changes.
     std::function<void(const std::vector<Endpoint>& suspected)> onSuspected;
   };
 
   PeerLink(boost::asio::io_context& context, const PeerLinkSettings& settings, Handlers handlers);
 
-  /// Returns a text when the address cannot be bound, else an empty one.
+  /// Returns an error message if the address cannot be bound, otherwise an empty string.
   std::string start();
   void stop();
   void setSeeds(const std::vector<Endpoint>& seeds) { membership_.setSeeds(seeds); }
-  /// In hundredths of a core.
+  /// `capacity`: in hundredths of a core; 0 reports none.
   void setCapacity(unsigned capacity) { membership_.setCapacity(capacity); }
   void sendNews(const Endpoint& to, const SourceNews& news);
-  /// Asks for everything after what is known here.
+  /// Requests all updates after the position `known`.
   void askForNews(const Endpoint& from, const SourcePosition& known);
   void askForProof(const Endpoint& from, const ConfigurationProofRequest& request);
   void sendProof(const Endpoint& to, const ConfigurationProofReply& reply);
   /// Thread-safe.
   void sendShardFrame(const Endpoint& to, PeerEnvelope envelope);
-  /// May be read on any thread.
+  /// Thread-safe.
   const PeerTransportCounters& counters() const { return transport_.counters(); }
-  /// Tells others that this daemon leaves.
+  /// Notifies peers that this daemon leaves the fleet.
   void leave();
 
  private:
@@ -74,14 +73,14 @@
   void scheduleTick();
   void publishMembers();
   void publishSuspects();
-  /// Tells a daemon that has just started whom this one knows.
+  /// Sends the known members to a daemon that has just started.
   void introduceMembers(const Endpoint& to);
 
   boost::asio::io_context& context_;
   PeerLinkSettings settings_;
   Handlers handlers_;
   Membership membership_;
-  /// The incarnation of `membership_`, for other threads.
+  /// Copy of the incarnation of `membership_` for other threads.
   std::atomic<std::uint64_t> incarnation_{0};
   PeerTransport transport_;
   NewsPacker newsPacker_;
--- a/src/programs/gateway/quarantine_link.cpp
+++ b/src/programs/gateway/quarantine_link.cpp
@@ -13,26 +13,25 @@
 
 namespace {
 
-/// Daemons that a new record is passed on to. Each of them does the same, so that a record that all but a
-/// share of e^-8 (0.03%) of the daemons get takes some four rounds at 7,100; the repair reaches the rest.
+/// Fan-out of a new record. Every receiver forwards it too, so that it reaches all but a share of e^-8
+/// (0.03%) of 7,100 daemons in about four rounds; anti-entropy reaches the rest.
 constexpr std::size_t kSpread = 8;
-/// Changes within this time travel together: a request for 20 shards ends 20 leafs within some milliseconds.
+/// Changes within this time are sent together: a request for 20 shards crashes 20 leafs within milliseconds.
 constexpr Duration kGather = std::chrono::milliseconds(2);
-/// All that is known goes to one other daemon so often. A daemon that has started, or was out of reach, hears
-/// on average twice a second then, and in four seconds fails to with a chance of e^-8 (0.03%). A record is
-/// some 80 bytes, so that ten of them cost 1.6 KB a second.
+/// Anti-entropy period. A daemon receives two such frames per second on average, and none within four seconds
+/// with a probability of e^-8 (0.03%). A record takes about 80 bytes, so ten records cost 1.6 KB/s.
 constexpr Duration kRepairPeriod = std::chrono::milliseconds(500);
-/// Older news are of no use: the repair brings newer.
+/// A late frame is useless because anti-entropy sends a newer one.
 constexpr std::uint32_t kLifetimeMilliseconds = 1000;
 
 const char* textOf(RequestQuarantine::Verdict verdict) {
   switch (verdict) {
     case RequestQuarantine::Verdict::kOrdinary:
-      return "sent as any other";
+      return "normal";
     case RequestQuarantine::Verdict::kTrial:
-      return "to be tried on one leaf";
+      return "trial on one leaf";
     case RequestQuarantine::Verdict::kNotYet:
-      return "to be tried later";
+      return "trial postponed";
     default:
       return "rejected";
   }
@@ -96,7 +95,7 @@
   const Duration age = now - record.lastEndedAt;
   log(LogLevel::kWarning, "leafs end under a request",
       {{"fingerprint", record.fingerprint.text()},
-       {"from_now_on", textOf(quarantine_.judge(record.fingerprint, now).verdict)},
+       {"verdict", textOf(quarantine_.judge(record.fingerprint, now).verdict)},
        {"ended_leafs", record.endedLeafs.size()},
        {"trials", record.trials},
        {"answers", record.epoch},
--- a/src/programs/gateway/quarantine_link.h
+++ b/src/programs/gateway/quarantine_link.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// Spreads what is known of requests that end leafs among the daemons. Runs on the request thread.
+/// Gossips quarantine records of requests that crash leafs among all daemons. Runs on the request thread.
 ///
-/// A record that is new to a daemon is passed on to a few others at once, so that a fleet knows it within
-/// some frames' time; and while anything is known, all of it goes to one other daemon, drawn by chance, in
-/// every period. So those learn that have started, were cut off, suspended or out of reach, without having
-/// to ask. Nothing is sent while nothing is known.
+/// Rumor mongering: a daemon forwards a record that is new to it to a few random peers, so the fleet knows it
+/// after a few hops. Anti-entropy: while there are records, the newest ones are sent to one random peer per
+/// period. That reaches daemons that have started, were suspended or were unreachable, without a request from
+/// them. Nothing is sent while there are no records.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -31,16 +31,16 @@
   QuarantineLink(boost::asio::io_context& io, RequestQuarantine& quarantine, RandomEngine& random,
                  const Endpoint& self, SendFrame sendFrame);
 
-  /// All serving daemons; this one may be among them.
+  /// `daemons`: all serving daemons; may include this one.
   void setDaemons(const std::vector<Endpoint>& daemons);
   void onFrame(const EndingRequests& message);
-  /// Something may have changed in the quarantine.
+  /// Call after a possible change of the quarantine.
   void onChanged();
   const QuarantineLinkCounters& counters() const { return counters_; }
 
  private:
   void tellChanged();
-  /// What this daemon believes of the request from now on.
+  /// Logs the verdict that applies to the request from now on.
   void logBelief(const QuarantineRecord& record) const;
   void tell(const std::vector<QuarantineRecord>& records, const std::vector<Endpoint>& receivers);
   std::vector<Endpoint> drawReceivers(std::size_t count);
--- a/src/programs/gateway/quota_link.cpp
+++ b/src/programs/gateway/quota_link.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// What was on the way for longer is of no use: the request has been decided on.
+/// A frame that takes longer is useless: the request has been decided by then.
 constexpr std::uint32_t kAskLifetimeMilliseconds = 100;
 constexpr Duration kUpkeepPeriod = std::chrono::seconds(1);
-/// Lines on refusals a second, and as many at once.
+/// Rate limit and burst size of log lines about refusals.
 constexpr double kLogLinesPerSecond = 20;
 
 std::uint64_t microsecondsOf(Duration duration) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, duration.count()));
 }
 
-/// Beyond it a frame is not sound; a number that large would not fit a duration.
+/// Longer waits in a frame are invalid; clamping them keeps them within the range of `Duration`.
 constexpr std::uint64_t kLongestWaitMicroseconds = 3'600'000'000;
 
 }  // namespace
@@ -113,7 +113,7 @@
   armTimer();
 }
 
-/// Nothing is asked, so that no request has to wait to find out.
+/// A probe requests no tokens, so no caller request waits for its answer.
 void QuotaLink::askForSignOfLife(const Endpoint& daemon, Moment now) { send(TokenAsk{daemon, 0, {}}, now); }
 
 void QuotaLink::send(const TokenAsk& ask, Moment now) {
@@ -144,7 +144,7 @@
     }
     const Tenant* tenant = tenants_ == nullptr ? nullptr : tenants_->named(wish.tenant);
     if (tenant == nullptr || !tenant->limit.limited()) {
-      // The asking daemon's configuration differs; another one may know the tenant as it does.
+      // The requester has a different configuration; another quota server may know the tenant.
       grants.push_back(TokenGrantDecision{wish.tenant, 0, {}});
     } else if (auto decision = home_.onWish(wish, tenant->limit, homes_.placeOfSelf(wish.tenant), now)) {
       grants.push_back(std::move(*decision));
--- a/src/programs/gateway/quota_link.h
+++ b/src/programs/gateway/quota_link.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// Asks, for a request of a limited tenant, whether the fleet's allowance of that tenant lets it through, and
-/// counts for the tenants whose home this daemon is. Runs on the request thread.
+/// Enforces tenant limits over the whole fleet: decides whether a request of a limited tenant is admitted,
+/// and answers the token requests that peers send to it as a quota server. Runs on the request thread.
 ///
-/// Invariants: one decision a request, at most `kLongestAsk` after the call; a request is only let through on
-/// a token; a token that was given back lets another request through. Nothing is sent while no tenant that
-/// has a limit asks.
+/// Invariants: each request gets exactly one decision, at most `kLongestAsk` after the call; a request of a
+/// limited tenant is admitted only with a token; a released token can admit another request. Nothing is sent
+/// while there are no requests of limited tenants.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -30,26 +30,27 @@
 
 namespace oakpier::serving {
 
-/// Until a request is decided on, whoever is silent. Timers of a busy daemon may come a little later.
+/// Upper bound on the time to a decision if all quota servers are unresponsive. Timers of a busy daemon may
+/// fire slightly later.
 inline constexpr Duration kLongestAsk = kMostTries * kTryTime;
 
 struct QuotaDecision {
   bool granted = true;
-  /// When not granted: how long until the tenant may come back, and why.
+  /// If not granted: when the caller may retry, and why it was refused.
   Duration retryAfter{};
   RefusalCause refusal = RefusalCause::kNoTokens;
-  /// What the request was let through on; none where the tenant has no limit.
+  /// The token that admitted the request; empty if the tenant has no limit.
   std::optional<Token> token;
 };
 
 struct QuotaFigures {
   TokenHolderCounters holder;
   TokenHomeCounters home;
-  /// Tenants that this daemon counts for.
+  /// Tenants that this daemon is a quota server for.
   std::size_t buckets = 0;
-  /// Tokens that lie here unused.
+  /// Unused tokens held by this daemon's quota client.
   std::size_t tokensHeld = 0;
-  /// From the request to the decision, of those that had to wait for one.
+  /// Time to the decision, of requests that were not decided immediately.
   LatencyHistogram waits;
   std::uint64_t logLinesLeftOut = 0;
 };
@@ -61,19 +62,20 @@
 
   QuotaLink(boost::asio::io_context& io, RandomEngine& random, const Endpoint& self, SendFrame sendFrame);
 
-  /// Calls `listener` once: at once where a token is at hand or the tenant has no limit, else when the daemon
-  /// that counts for the tenant has answered. `tenant` need not outlive the call.
+  /// Calls `listener` exactly once: before returning if the decision needs no answer from a quota server (no
+  /// limit, or a token or a refusal is known), otherwise on the answer or a timeout. `tenant` need not
+  /// outlive the call.
   void take(const Tenant& tenant, Listener listener);
-  /// The request for which the token was taken surely ran nowhere.
+  /// Releases the token of a request that certainly did not run on any leaf.
   void giveBack(const std::string& tenant, const std::optional<Token>& token);
 
   void setTolerance(const QuotaTolerance& tolerance);
-  /// Null: none. The limits that this daemon counts by.
+  /// Sets the limits that this daemon enforces as a quota server; null for none.
   void setTenants(std::shared_ptr<const TenantTable> tenants);
-  /// All serving daemons, this one included, in rising order of their addresses. `planned`: how many to
-  /// reckon with until the table is settled.
+  /// `daemons`: all serving daemons including this one, sorted by address. `planned`: the number of daemons
+  /// to assume until membership is stable (`settled`).
   void setDaemons(const std::vector<ServingDaemon>& daemons, std::size_t planned, bool settled);
-  /// All of them that are suspected to have ended.
+  /// `suspected`: all daemons that the membership protocol suspects.
   void setSuspected(const std::vector<Endpoint>& suspected);
 
   void onRequest(const Endpoint& sender, const TokenRequest& request);
@@ -88,7 +90,7 @@
     Moment cameAt{};
   };
 
-  /// Sends what is due, at the end of what is being handled: so requests that came together ask together.
+  /// Sends due token requests after the current event-loop turn, so that concurrent requests share a frame.
   void scheduleFlush();
   void flush();
   void send(const TokenAsk& ask, Moment now);
@@ -104,7 +106,7 @@
   boost::asio::io_context& io_;
   Endpoint self_;
   SendFrame sendFrame_;
-  /// Tells this process from earlier ones at its address.
+  /// Random number that distinguishes this process from earlier ones at its address.
   std::uint64_t run_;
   TokenHomes homes_;
   TokenHolder holder_;
@@ -121,7 +123,7 @@
   boost::asio::steady_timer timer_;
   boost::asio::steady_timer upkeepTimer_;
   LatencyHistogram waits_;
-  /// Lines that may still be logged.
+  /// Token bucket that limits log lines.
   double logRoom_;
   Moment logRoomAt_{};
   std::uint64_t logLinesLeftOut_ = 0;
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Connections that are opened ahead before it is known how many daemons share the leafs.
+/// Maximum number of leafs to connect to in advance while it is not yet known how many daemons share them.
 constexpr std::size_t kMostEarlyConnections = 150;
 
 }  // namespace
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The request thread's side of the gateway: takes callers' requests, runs their queries over the leaf pool,
-/// answers.
+/// Request thread of the gateway: receives caller requests, runs their queries over the leaf pool and answers
+/// them.
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -29,10 +29,10 @@
 
 namespace oakpier::serving {
 
-/// Until the others had time to be found, this many daemons are assumed.
+/// Fleet size that is assumed until peers have had time to be discovered.
 inline constexpr std::size_t kUsualDaemons = 12;
 
-/// What is assumed of the daemons that share leafs until any are known.
+/// Assumption about the daemons that share leafs until peers are known.
 inline SharingDaemons sharingUntilKnown() {
   SharingDaemons daemons;
   daemons.planned = kUsualDaemons;
@@ -41,7 +41,8 @@
 
 class RequestGateway : public RequestHandler {
  public:
-  /// `ownerBudgets`: those of a shard's owner, while `queryContext` has those of every daemon.
+  /// `ownerBudgets`: retry budgets for shards that this daemon owns; `queryContext` has those for its own
+  /// queries.
   RequestGateway(boost::asio::io_context& context, const HeaderNames& names,
                  Published<ServingView>& published, const Published<ConfigurationProof>& proof,
                  const Endpoint& self, QueryContext queryContext, ExtraSendBudgets& ownerBudgets,
@@ -49,26 +50,27 @@
 
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override;
 
-  /// A new view was published.
+  /// Call after a new view was published.
   void onView();
-  /// Takes effect with the next view.
+  /// Takes effect with the next call of `onView`.
   void setWarmupTolerance(const WarmupTolerance& tolerance) { daemons_.warmup = tolerance; }
   void setAuthorization(const AuthorizationSettings& settings) { authorization_ = settings; }
   void setQuotaTolerance(const QuotaTolerance& tolerance) { quota_.setTolerance(tolerance); }
-  /// All daemons that are suspected to have ended.
+  /// `suspected`: all daemons that the membership protocol suspects.
   void setSuspectedDaemons(const std::vector<Endpoint>& suspected) { quota_.setSuspected(suspected); }
-  /// Called once, when a caller is refused as no configuration is known.
+  /// `handler` is called at most once, when a caller is first refused because no configuration is known.
   void setOnStateWanted(std::function<void()> handler) { onStateWanted_ = std::move(handler); }
-  /// `planned`: how many daemons share each leaf's connections. `settled`: that can be relied on.
+  /// `planned`: the number of daemons assumed to share each leaf's connections. `settled`: membership is
+  /// stable, so `planned` is reliable.
   void setDaemons(const DaemonGroup& daemons, std::size_t planned, bool settled);
-  /// A frame of another daemon, or of this one, about shards.
+  /// `sender` may be this daemon itself.
   void onFrame(const Endpoint& sender, const PeerEnvelope& envelope);
-  /// A frame could not be handed to the network.
+  /// `envelope` could not be handed to the network.
   void onUndeliverable(const PeerEnvelope& envelope);
-  /// Requests of other daemons that this one works on.
+  /// Requests of peers in progress.
   std::size_t servedForOthers() const { return ownerService_.inProgress() + mergeService_.inProgress(); }
   const QuarantineLinkCounters& quarantineCounters() const { return quarantineLink_.counters(); }
-  /// Requests that are rejected at present, as leafs end under them.
+  /// Number of fingerprints of requests that are currently rejected for crashing leafs.
   std::size_t condemnedRequests() const;
   const RequestCounters& counters() const { return counters_; }
   QuotaFigures quotaFigures() const { return quota_.figures(); }
@@ -80,14 +82,15 @@
   std::uint64_t logLinesLeftOut() const { return log_.linesLeftOut() + ownerService_.logLinesLeftOut(); }
 
  private:
-  /// Takes up the shards that the asking daemon takes this one for the owner of: member tables may differ.
+  /// Registers the leafs of delegated shards that this daemon does not consider its own: the requester's
+  /// member table may differ from that of this daemon.
   void serveForOther(const OwnerWork& work);
   struct ActiveQuery;
   struct ArrivedRequest;
   using ActivePointer = std::shared_ptr<ActiveQuery>;
 
-  // From a request's arrival to the start of its query: request_intake.cpp. The first three return false once
-  // they have answered the request.
+  // From the arrival of a request to the start of its query, in request_intake.cpp. The first three return
+  // false if they have answered the request.
   bool findRoute(ArrivedRequest& arrived);
   bool identifyCaller(ArrivedRequest& arrived);
   bool admit(ArrivedRequest& arrived);
@@ -96,31 +99,31 @@
   void onCallerGone(ArrivedRequest& arrived);
   void begin(ArrivedRequest& arrived);
 
-  /// Answers before there is a query. `route`: empty when no configuration is known.
+  /// Refuses a request before its query starts. `route` is empty if no configuration is known.
   void refuse(const ResponseWriter& writer, const LoggedRequest& request, const std::string& route,
               LossCause cause, Duration retryAfter);
-  /// Answers a request under which leafs have ended and which may not be sent now. False when it may.
+  /// Answers a request that has crashed leafs and may not be sent now; returns false if it may be sent.
   bool rejectEndingLeafs(const ResponseWriter& writer, const LoggedRequest& request, const Route& route,
                          const RequestQuarantine::Judgement& judgement);
-  /// The caller's own, and not beyond the route's timeout.
+  /// The deadline that the caller sent, limited by the route's timeout.
   Moment deadlineOf(const HttpRequest& request, const Route& route, Moment now) const;
 
-  // A query and what it asks of the real world: request_queries.cpp.
+  // Carrying out the actions of a running query, in request_queries.cpp.
   void apply(const ActivePointer& active, QueryActions actions);
   void send(const ActivePointer& active, const SendAction& action);
   void relay(const ActivePointer& active, const std::vector<RelayAction>& relays);
-  /// Sends by way of merging daemons.
+  /// Sends attempts through merge servers.
   void sendMerged(const ActivePointer& active, const std::vector<SendAction>& sends);
   void onOutcome(const ActivePointer& active, ExchangeId exchange, const LeafOutcome& outcome);
   void answer(const ActivePointer& active, const FinalAnswer& answer);
   void countDecisions(const RequestTrace& trace);
   void armTimer(const ActivePointer& active);
 
-  /// Takes up evidence against requests under which a leaf's process has ended.
+  /// Records evidence against the requests that were in progress at a leaf that crashed.
   void onLeafEnd(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under);
-  /// Ends the use of connections to leafs that are no longer assigned.
+  /// Finishes or closes connections to leafs that are no longer assigned to this daemon.
   void retainConnections(const LeafAssignment& assignment);
-  /// Opens the first connections to leafs before requests need them.
+  /// Opens connections to assigned leafs before requests need them.
   void openAhead(const LeafAssignment& assignment);
 
   boost::asio::io_context& context_;
--- a/src/programs/gateway/request_intake.cpp
+++ b/src/programs/gateway/request_intake.cpp
@@ -16,9 +16,9 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kInternalError = 500;
-/// For callers that come before the first configuration is known.
+/// Used while no configuration is known yet.
 constexpr Duration kStartingRetryAfter = std::chrono::milliseconds(300);
-/// For callers that come while the configuration is not proved fresh: about one round of proofs.
+/// Used while there is no sufficiently recent freshness proof; about one round of proof requests.
 constexpr Duration kProofRetryAfter = std::chrono::milliseconds(600);
 
 LossCause causeOf(AuthorizationProblem problem) {
@@ -54,7 +54,8 @@
     return false;
   }
   ++counters_.rejectedEndingLeafs;
-  // Not 503: that says "not run, come back", and leafs have run it. Not 4xx: the caller need not be wrong.
+  // Not 503, which means "not run, retry later": leafs have run the request. Not 4xx: the caller may be
+  // right.
   writer.write(ownReply(kInternalError, "rejected: leafs have ended each time that they ran this request"));
   log_.onRefused(request, route.name, LossCause::kEndsLeafs, kInternalError, steadyNow());
   return true;
@@ -125,8 +126,8 @@
     arrived.tenant = std::get<AuthorizedCaller>(authorization).tenant;
   }
   if (view.tenants != nullptr && !view.tenants->empty()) {
-    // Also of a refused request: its log line names the tenant, and its fingerprint does not depend on the
-    // key.
+    // Also for refused requests, so that the log line names the tenant and the fingerprint does not depend on
+    // the key.
     const Tenant* named = problem != nullptr && key ? view.tenants->holderOf(*key) : arrived.tenant;
     arrived.logged.tenant = named == nullptr ? "" : named->name;
     replaceCredentials(arrived.request, arrived.logged.tenant, names_);
@@ -185,7 +186,7 @@
     return;
   }
   if (decision.refusal == RefusalCause::kUnanswered) {
-    // The fault is the fleet's, so that it is told as one: 429 would send the caller to the tenant's limit.
+    // The fleet is at fault, so this is not answered with 429, which would point to the tenant's limit.
     refuse(arrived.writer, arrived.logged, arrived.route->name, LossCause::kTenantNotCounted,
            decision.retryAfter);
     return;
--- a/src/programs/gateway/request_log.cpp
+++ b/src/programs/gateway/request_log.cpp
@@ -19,19 +19,19 @@
     case Decision::kRetry:
       return "retry";
     case Decision::kRenew:
-      return "retry with time anew";
+      return "retry with a new deadline";
     case Decision::kNoLeaf:
       return "no usable leaf";
     case Decision::kBudgetEmpty:
-      return "no extra send left";
+      return "retry budget exhausted";
     case Decision::kDelegate:
-      return "left to the owner";
+      return "delegated to the owner";
     case Decision::kOwnerOutcome:
-      return "the owner's result";
+      return "result from the owner";
     case Decision::kOwnerSilent:
-      return "given up: the owner is silent";
+      return "abandoned: owner unresponsive";
     case Decision::kHeldBack:
-      return "held back: leafs have ended under the request";
+      return "suspended: the request has crashed leafs";
     default:
       return "outcome";
   }
@@ -46,15 +46,15 @@
     case LeafOutcome::Kind::kNotExecuted:
       return "not executed";
     case LeafOutcome::Kind::kWrongInstance:
-      return "another instance";
+      return "wrong instance";
     case LeafOutcome::Kind::kNoAnswer:
       return "no usable answer";
     case LeafOutcome::Kind::kLeafEnded:
-      return "the leaf ended";
+      return "leaf crashed";
     case LeafOutcome::Kind::kNotSent:
       return "not sent";
     case LeafOutcome::Kind::kExpired:
-      return "not sent: too little time was left";
+      return "not sent: too little time left";
     default:
       return "withdrawn";
   }
@@ -67,13 +67,13 @@
     case UnansweredPart::Reason::kNotRun:
       return "not run";
     case UnansweredPart::Reason::kWithdrawn:
-      return "withdrawn by the daemon that asked";
+      return "withdrawn by the requester";
     default:
-      return "its time has passed";
+      return "deadline passed";
   }
 }
 
-/// To a tenth.
+/// Truncated to tenths.
 double inMilliseconds(Duration duration) {
   const std::int64_t tenths = duration.count() / 100;
   return static_cast<double>(tenths) / 10.0;
@@ -158,15 +158,15 @@
           now);
   } else if (const auto* forwarded = std::get_if<ForwardedAnswer>(&answer)) {
     const bool success = forwarded->reply->status < 400;
-    write(request, query, success ? "answered" : "failed: the leaf's own failure", success && !late, now);
+    write(request, query, success ? "answered" : "failed: error from the leaf", success && !late, now);
   } else {
     const bool partial = std::get<MergedAnswer>(answer).missingShards > 0;
-    write(request, query, partial ? "answered in part" : "answered", !partial && !late, now);
+    write(request, query, partial ? "partial answer" : "answered", !partial && !late, now);
   }
 }
 
 void RequestLog::onCallerGone(const LoggedRequest& request, const Query& query, Moment now) {
-  write(request, query, "the caller left", false, now);
+  write(request, query, "caller disconnected", false, now);
 }
 
 void RequestLog::onUnanswered(const LoggedRequest& request, const UnansweredPart& part, Moment now) {
@@ -180,7 +180,7 @@
        {"fingerprint", request.fingerprint.text()},
        {"outcome", textOf(part.reason)},
        {"service", part.service},
-       {"asked_by", work.asker.text()},
+       {"requester", work.asker.text()},
        {"elapsed_ms", inMilliseconds(now - work.receivedAt)}});
   for (const TraceEvent& event : work.trace.events()) {
     if (event.service == part.service && takeRoom(now)) {
@@ -237,7 +237,7 @@
 }
 
 void RequestLog::writeDecisions(const LoggedRequest& request, const Query& query, Moment now) {
-  // With some parts missing, only what was decided for those explains the outcome.
+  // If parts are missing, only the decisions for these explain the outcome.
   const auto missing = query.missingServices();
   const std::set<std::string, std::less<>> explained(missing.begin(), missing.end());
   for (const TraceEvent& event : query.trace().events()) {
--- a/src/programs/gateway/request_log.h
+++ b/src/programs/gateway/request_log.h
@@ -1,8 +1,7 @@
 #pragma once
 
-/// Structured log lines of requests: every request that did not end as its caller wished, with the decisions
-/// that led there; of the others a sample. Bounded by a number of lines a second; what is left out is
-/// counted.
+/// Structured request log: every request that failed, was refused, partial or late, with the decisions that
+/// led to it, and a sample of the others. The rate of lines is limited; suppressed lines are counted.
 
 #include <cstdint>
 #include <memory>
@@ -17,18 +16,18 @@
 namespace oakpier::serving {
 
 struct RequestLogSettings {
-  /// One in this many ordinary requests is logged.
+  /// One in this many ordinary requests (answered completely and in time) is logged.
   std::uint64_t sampleOneIn = 50;
-  /// Lines a second, on average; as many may be written at once.
+  /// Average rate limit and burst size.
   double linesPerSecond = 200;
 };
 
-/// How lines name a request: the id tells one attempt of a caller from the next, the fingerprint shows that
-/// both ask for the same.
+/// Identifies a request in log lines. The id differs between a caller's attempts; the fingerprint is equal
+/// for equal requests.
 struct LoggedRequest {
   std::string id;
   RequestFingerprint fingerprint;
-  /// The tenant that it is served as, or whose key was refused; empty: none.
+  /// The tenant that the request is served for or whose key was refused; empty if none.
   std::string tenant = {};
 };
 
@@ -38,21 +37,22 @@
   explicit RequestLog(const RequestLogSettings& settings)
       : settings_(settings), room_(settings.linesPerSecond) {}
 
-  /// A request that ended without a query and without a route.
+  /// A request that matched no route.
   void onUnrouted(const LoggedRequest& request, unsigned status, Moment now);
-  /// A request that was refused before there was a query. `route`: empty when no configuration is known.
+  /// A request that was refused before its query started. `route` is empty if no configuration is known.
   void onRefused(const LoggedRequest& request, const std::string& route, LossCause cause, unsigned status,
                  Moment now);
   void onAnswer(const LoggedRequest& request, const Query& query, const FinalAnswer& answer, Moment now);
   void onCallerGone(const LoggedRequest& request, const Query& query, Moment now);
-  /// A shard that this daemon served for another one and that ended without an answer.
+  /// A shard that was served for a peer and ended without an answer.
   void onUnanswered(const LoggedRequest& request, const UnansweredPart& part, Moment now);
-  /// A leaf's process has ended under these requests.
+  /// A leaf crashed while the requests `under` were in progress there.
   void onLeafEnd(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under, Moment now);
   std::uint64_t linesLeftOut() const { return leftOut_; }
 
  private:
   void writeRefusal(const LoggedRequest& request, const std::string& outcome, unsigned status, Moment now);
+  /// Takes a line from the rate limit; counts a suppressed line and returns false if there is none.
   bool takeRoom(Moment now);
   void write(const LoggedRequest& request, const Query& query, const std::string& outcome, bool ordinary,
              Moment now);
--- a/src/programs/gateway/source_log.cpp
+++ b/src/programs/gateway/source_log.cpp
@@ -22,15 +22,15 @@
 }
 
 void logLine(const EpochNotice& notice) {
-  log(LogLevel::kWarning, "configuration source told another epoch",
+  log(LogLevel::kWarning, "configuration source reported a different epoch",
       {{"verdict", textOf(notice.verdict)},
-       {"told_epoch", notice.told},
+       {"reported_epoch", notice.told},
        {"known_epoch", notice.known.epoch},
        {"known_revision", notice.known.revision}});
 }
 
 void logLine(const OutdatedListing& notice) {
-  log(LogLevel::kWarning, "listing older than what is known was dropped",
+  log(LogLevel::kWarning, "outdated listing dropped",
       {{"listed_epoch", notice.listed.epoch},
        {"listed_revision", notice.listed.revision},
        {"known_epoch", notice.known.epoch},
@@ -38,7 +38,7 @@
 }
 
 void logLine(const SourceRestored& notice) {
-  log(LogLevel::kWarning, "configuration source came back from a copy",
+  log(LogLevel::kWarning, "configuration source restored from a backup",
       {{"epoch_before", notice.before.epoch},
        {"revision_before", notice.before.revision},
        {"epoch", notice.now.epoch},
@@ -50,13 +50,13 @@
 }
 
 void logLine(const EpochsTold& notice) {
-  log(LogLevel::kInfo, "configuration source tells epochs", {{"first_epoch", notice.first}});
+  log(LogLevel::kInfo, "configuration source reports epochs", {{"first_epoch", notice.first}});
 }
 
 }  // namespace
 
 void logNotice(const SourceNotice& notice) {
-  std::visit([](const auto& told) { logLine(told); }, notice);
+  std::visit([](const auto& specific) { logLine(specific); }, notice);
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/source_log.h
+++ b/src/programs/gateway/source_log.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Lines of the log on the following of the configuration source.
+/// Log lines for notices about the configuration source.
 
 #include "coordination/serving/source_notices.h"
 
--- a/src/programs/gateway/source_loop.cpp
+++ b/src/programs/gateway/source_loop.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-/// Beyond the time that the source itself waits.
+/// Added to the time that the source itself waits.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(1000);
 
 const char* textOf(SourceFailure failure) {
   switch (failure) {
     case SourceFailure::kHistoryGone:
-      return "history gone";
+      return "revision no longer in history";
     case SourceFailure::kThrottled:
-      return "too many calls";
+      return "throttled";
     case SourceFailure::kUnavailable:
       return "unavailable";
     case SourceFailure::kOlderEpoch:
-      return "answer of an older epoch";
+      return "answer from an older epoch";
     case SourceFailure::kNoUsableEpoch:
-      return "answer without a usable epoch";
+      return "answer without a valid epoch";
     default:
       return "no answer";
   }
@@ -84,8 +84,7 @@
 }
 
 void SourceLoop::onPause() {
-  log(LogLevel::kWarning, "the process or its machine stood still",
-      {{"known_revision", follower_.known().revision}});
+  log(LogLevel::kWarning, "process or machine was paused", {{"known_revision", follower_.known().revision}});
   step();
 }
 
@@ -133,7 +132,7 @@
         {{"failure", textOf(std::get<SourceFailure>(answer.content))},
          {"known_revision", follower_.known().revision}});
   } else if (wasLost && !follower_.sourceLost()) {
-    log(LogLevel::kInfo, "configuration source regained", {{"known_revision", follower_.known().revision}});
+    log(LogLevel::kInfo, "configuration source recovered", {{"known_revision", follower_.known().revision}});
   }
   if (actions.reconnect) {
     client_.closeConnection();
@@ -158,7 +157,7 @@
       {{"serving", daemons.all.size()},
        {"own_zone", daemons.ownZone.size()},
        {"zones", daemons.zones},
-       {"place", follower_.place()},
+       {"reader_rank", follower_.place()},
        {"capacity_core_hundredths", capacityOf(daemons.all)},
        {"own_zone_capacity_core_hundredths", capacityOf(daemons.ownZone)}});
   handlers_.onDaemons(daemons);
@@ -166,7 +165,7 @@
 
 void SourceLoop::carryOut(const FollowerActions& actions) {
   for (const std::string& problem : actions.problems) {
-    log(LogLevel::kError, "record refused", {{"problem", problem}});
+    log(LogLevel::kError, "source record or configuration rejected", {{"problem", problem}});
   }
   for (const SourceNotice& notice : actions.notices) {
     logNotice(notice);
@@ -202,7 +201,8 @@
     published_.publish(std::move(view));
     handlers_.onView();
   }
-  // After the view: a proof of a version that requests do not use yet would refuse all keys meanwhile.
+  // After the view: a proof of a version that requests do not use yet would refuse all keys until the view
+  // follows.
   publishProof();
 }
 
@@ -216,7 +216,7 @@
   if (follower_.proofHolds() != proofHeld_) {
     proofHeld_ = !proofHeld_;
     log(proofHeld_ ? LogLevel::kInfo : LogLevel::kWarning,
-        proofHeld_ ? "configuration proved the newest" : "proof of the configuration too old",
+        proofHeld_ ? "configuration proof is fresh" : "configuration proof is too old",
         {{"configuration_version", follower_.configurationVersion()},
          {"proved_version", proof.version},
          {"age_ms", toMilliseconds(steadyNow() - proof.provenAt)}});
--- a/src/programs/gateway/source_loop.h
+++ b/src/programs/gateway/source_loop.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The control thread's side of the gateway: keeps the configuration and the leaf directory up to date from
-/// the configuration source and from other daemons, and publishes each new view.
+/// Control thread of the gateway: synchronizes the configuration and the leaf directory with the
+/// configuration source and peers, and publishes each new view.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -22,12 +22,12 @@
 class SourceLoop {
  public:
   struct Handlers {
-    /// A view was published.
+    /// Called after a view was published.
     std::function<void()> onView;
-    /// A younger proof was published.
+    /// Called after a newer freshness proof was published.
     std::function<void()> onProof;
     std::function<void(const DaemonGroup& daemons)> onDaemons;
-    /// As in `PeerLink::Handlers`.
+    /// The following are documented in `PeerLink::Handlers`.
     std::function<void(const Endpoint& sender, PeerEnvelope envelope)> onShardFrame;
     std::function<void(PeerEnvelope envelope)> onShardFrameUndeliverable;
     std::function<void(const std::vector<Endpoint>& suspected)> onSuspected;
@@ -38,13 +38,13 @@
              Published<ServingView>& published, Published<ConfigurationProof>& publishedProof,
              Handlers handlers);
 
-  /// Returns a text when an address cannot be bound, else an empty one.
+  /// Returns an error message if the peer address cannot be bound, otherwise an empty string.
   std::string start();
   void stop() { peers_.stop(); }
   void leave() { peers_.leave(); }
-  /// A caller had to be refused for want of a configuration.
+  /// Call when a caller was refused because no configuration is known; fetches it as soon as possible.
   void onStateWanted();
-  /// `capacity`: of this daemon, in hundredths of a core.
+  /// `capacity`: capacity of this daemon, in hundredths of a core; 0 reports none.
   void reload(const Endpoint& source, const std::vector<Endpoint>& seeds, unsigned capacity,
               const ProverSettings& prover);
   /// Thread-safe.
@@ -52,7 +52,7 @@
     peers_.sendShardFrame(to, std::move(envelope));
   }
   bool complete() const { return follower_.complete(); }
-  /// May be read on any thread.
+  /// Thread-safe.
   const PeerTransportCounters& peerCounters() const { return peers_.counters(); }
   FollowerCounters counters() const { return follower_.counters(); }
 
@@ -63,7 +63,8 @@
   void onNews(const Endpoint& sender, const SourceNews& news);
   void onNewsRequest(const Endpoint& sender, const SourceNewsRequest& request);
   void onMembers(const DaemonGroup& daemons);
-  /// The process or its machine stood still: what was due meanwhile is done now, not when the timer comes.
+  /// Call after a pause of the process or its machine; runs overdue work now instead of waiting for the
+  /// timer.
   void onPause();
   void carryOut(const FollowerActions& actions);
   void askAndSend(const FollowerActions& actions);
