--- a/tests/serving/programs/early_signals_test.cpp
+++ b/tests/serving/programs/early_signals_test.cpp
@@ -1,4 +1,4 @@
-/// Signals that reach the gateway's process while it starts.
+/// Signals that arrive while the gateway process starts.
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// How the gateway ends when its settings cannot be used.
+/// Exit code of the gateway for invalid settings.
 constexpr int kSettingsRefused = 2;
 
-/// A named pipe in the place of the settings file: whoever opens it for writing knows that the process is
-/// reading it, which is before its handlers of signals are there.
+/// A named pipe used as the settings file. Opening it for writing blocks until the process reads its
+/// settings, which it does before it installs its signal handlers.
 class SettingsPipe {
  public:
   SettingsPipe() {
@@ -35,7 +35,7 @@
   }
 
   const std::string& path() const { return path_; }
-  /// Waits for a reader.
+  /// Blocks until there is a reader.
   int open() const { return ::open(path_.c_str(), O_WRONLY | O_CLOEXEC); }
 
  private:
@@ -54,12 +54,9 @@
 
 }  // namespace
 
-// What callers would see: a gateway that ends by itself just after its start. What happens: a notice that the
-// settings have changed comes while the process reads them; its handler is not there yet, and the kernel's
-// answer to such a signal is the end of the process. Evidence: a day of random faults on which a gateway was
-// told to reload just after its start and ended without a line in its log; here the process ends by the
-// signal where signals are not held.
-TEST_CASE("a signal that comes while the gateway reads its settings does not end it", "[serving]") {
+// Guards against a gateway that is terminated by the default action of SIGHUP, without a log line, if it is
+// notified of changed settings before its signal handlers are installed.
+TEST_CASE("a signal that arrives while the gateway reads its settings does not terminate it", "[serving]") {
   for (const int signal : {SIGHUP, SIGTERM, SIGINT}) {
     const SettingsPipe settings;
     const pid_t process = startGateway(settings.path());
--- a/tests/serving/programs/gateway_log_test.cpp
+++ b/tests/serving/programs/gateway_log_test.cpp
@@ -6,7 +6,7 @@
 
 namespace oakpier::serving {
 
-TEST_CASE("log lines are bounded and those left out are counted", "[serving]") {
+TEST_CASE("the rate of log lines is limited and suppressed lines are counted", "[serving]") {
   RequestLog log(RequestLogSettings{1, 5});
   for (int number = 0; number < 20; ++number) {
     log.onRefused({"id", {}}, "page", LossCause::kLeafsTooBusy, 503, at(1000));
@@ -16,7 +16,7 @@
   REQUIRE(log.linesLeftOut() == 15);
 }
 
-TEST_CASE("a query keeps the decisions that led to its end", "[serving]") {
+TEST_CASE("a query keeps a trace of its decisions", "[serving]") {
   const auto view = viewOf({gatherRoute({"s0"}, 1.0)}, {"s0"}, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -34,7 +34,7 @@
   REQUIRE(query.missingServices() == std::vector<std::string>{"s0"});
 }
 
-TEST_CASE("metrics tell every figure with its help", "[serving]") {
+TEST_CASE("metrics contain the values of all counters", "[serving]") {
   RequestCounters requests;
   requests.received = 7;
   requests.rejectedKeys = 31;
--- a/tests/serving/programs/held_signals_test.cpp
+++ b/tests/serving/programs/held_signals_test.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("signals that come before their handlers are there wait for them", "[serving]") {
+TEST_CASE("signals that arrive before their handlers are installed stay pending", "[serving]") {
   holdSignals();
   std::raise(SIGHUP);
   std::raise(SIGTERM);
--- a/tests/serving/programs/merge_test.cpp
+++ b/tests/serving/programs/merge_test.cpp
@@ -1,5 +1,5 @@
-/// Merging in other zones: the asking daemon, the one that merges, and queries, with frames carried, held up
-/// and lost by the test.
+/// Merging in other zones: merge client, merge server and queries. The test delivers, delays and drops
+/// frames.
 
 #include <boost/asio/io_context.hpp>
 #include <catch2/catch.hpp>
@@ -26,7 +26,7 @@
 
 std::string record(char letter) { return std::string(kRecordBytes, letter); }
 
-/// One query at an asking daemon and the merging daemon that it uses.
+/// One query at a merge client and the merge server that it uses.
 struct MergeWorld : QueryWorld {
   MergeWorld()
       : QueryWorld(viewOf({gatherRoute(kShards, 0.5)}, kShards, 1)),
@@ -50,7 +50,7 @@
         });
   }
 
-  /// Sends to the first leaf of every shard, numbered from 1.
+  /// Sends to the first leaf of every shard; exchange ids start at 1.
   void sendAll() {
     std::vector<SendAction> sends;
     for (std::size_t number = 0; number < kShards.size(); ++number) {
@@ -61,7 +61,7 @@
     client.send(sends, order);
   }
 
-  /// The merging daemon takes the oldest frame; returns what it sends to leafs.
+  /// Delivers the oldest frame to the merge server; returns what the server sends to leafs.
   std::vector<MergeSend> deliverWork() {
     const PeerEnvelope frame = std::move(toMerger.front());
     toMerger.pop_front();
@@ -105,7 +105,7 @@
 
 }  // namespace
 
-TEST_CASE("one frame carries all requests for a zone, one carries the greatest records back", "[serving]") {
+TEST_CASE("one frame carries all requests for a zone, and one returns the greatest records", "[serving]") {
   MergeWorld world;
   world.sendAll();
   REQUIRE(world.toMerger.size() == 1);
@@ -128,7 +128,7 @@
   }
 }
 
-TEST_CASE("leafs of the other zone are asked as the tenant, and with the rank, of the caller", "[serving]") {
+TEST_CASE("requests to leafs of another zone carry the caller's tenant and rank", "[serving]") {
   MergeWorld world;
   HttpRequest request = *world.order.request;
   request.tenant = "amber";
@@ -140,7 +140,7 @@
   REQUIRE(sends.at(0).task->route.rank == 5);
 }
 
-TEST_CASE("what is not an answer is told at once, so that another leaf can be asked", "[serving]") {
+TEST_CASE("a failed attempt is reported immediately, so that another leaf can be tried", "[serving]") {
   MergeWorld world;
   world.sendAll();
   const auto sends = world.deliverWork();
@@ -153,7 +153,7 @@
   REQUIRE(world.told.at(2).kind == Kind::kNotSent);
 }
 
-TEST_CASE("results wait only until the asking daemon has something to decide", "[serving]") {
+TEST_CASE("results are held only until the next decision of the query", "[serving]") {
   MergeWorld world;
   world.order.decidesAt = steadyNow() + std::chrono::milliseconds(50);
   world.sendAll();
@@ -168,7 +168,7 @@
   REQUIRE(world.toAsker.size() == 1);
 }
 
-TEST_CASE("answers that rely on a lost frame are no answers", "[serving]") {
+TEST_CASE("answers that depend on a lost frame are dropped", "[serving]") {
   MergeWorld world;
   world.order.decidesAt = steadyNow();
   world.sendAll();
@@ -182,7 +182,8 @@
   REQUIRE(world.client.counters().incomplete == 1);
 }
 
-TEST_CASE("a withdrawn request is withdrawn at the leaf, and what came of it is still noted", "[serving]") {
+TEST_CASE("a withdrawn request is abandoned at the leaf, and its outcome still updates the leaf status",
+          "[serving]") {
   MergeWorld world;
   world.sendAll();
   const auto sends = world.deliverWork();
@@ -198,7 +199,7 @@
   REQUIRE(world.told.empty());
 }
 
-TEST_CASE("frames that were not handed to the network have run nowhere", "[serving]") {
+TEST_CASE("undeliverable work is reported as not sent by the merge client", "[serving]") {
   MergeWorld world;
   world.sendAll();
   world.client.onUndeliverable(world.toMerger.front().merge_work());
@@ -207,7 +208,7 @@
   REQUIRE(world.registry.leafsOf("s0").front()->inProgress() == 0);
 }
 
-TEST_CASE("a leaf that the merging daemon does not know is not asked", "[serving]") {
+TEST_CASE("a request for a leaf unknown to the merge server is reported as not sent", "[serving]") {
   MergeWorld world;
   world.mergerSide.registry.reconcile({}, at(0));
   world.sendAll();
@@ -217,7 +218,7 @@
   REQUIRE(world.server.inProgress() == 0);
 }
 
-TEST_CASE("a request for one life of a leaf does not go to another", "[serving][lives]") {
+TEST_CASE("a request for one incarnation of a leaf is not sent to another", "[serving][lives]") {
   MergeWorld world;
   const auto relist = [](QueryWorld& side, std::uint64_t birth) {
     LeafsByService directory = leafsOf(kShards, 1);
@@ -225,19 +226,19 @@
     side.registry.reconcile(directory, at(0));
   };
   relist(world, 1760000060000);
-  SECTION("the merging daemon knows the earlier life") {
+  SECTION("the merge server knows the earlier incarnation") {
     relist(world.mergerSide, 1760000000000);
     world.sendAll();
     REQUIRE(world.deliverWork().size() == kShards.size() - 1);
     world.deliverResults();
     REQUIRE(world.told.at(1).kind == Kind::kNotSent);
   }
-  SECTION("it knows the same one") {
+  SECTION("the merge server knows the same incarnation") {
     relist(world.mergerSide, 1760000060000);
     world.sendAll();
     REQUIRE(world.deliverWork().size() == kShards.size());
   }
-  SECTION("the asking daemon does not tell the life") {
+  SECTION("the request does not specify the incarnation") {
     relist(world.mergerSide, 1760000000000);
     world.sendAll();
     world.toMerger.front().mutable_merge_work()->mutable_parts(0)->clear_leaf_born();
@@ -245,7 +246,7 @@
   }
 }
 
-TEST_CASE("results for an earlier process at the address are not taken", "[serving]") {
+TEST_CASE("results for another process at the same address are ignored", "[serving]") {
   MergeWorld world;
   world.sendAll();
   const auto sends = world.deliverWork();
@@ -256,7 +257,7 @@
   REQUIRE(world.told.empty());
 }
 
-TEST_CASE("a merged answer replaces that of the leaf that was asked as well", "[serving]") {
+TEST_CASE("merged answers replace the answer of a hedge and are combined with direct answers", "[serving]") {
   const auto view = viewOf({gatherRoute(kShards, 0.5)}, kShards, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
@@ -266,7 +267,7 @@
   query.onOutcome(hedged.sends[0].exchange, outcomeOf(Kind::kAnswered, record('x')), at(70));
   query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kAnswered, record('a')), at(70));
   query.onOutcome(started.sends[3].exchange, outcomeOf(Kind::kAnswered, record('a')), at(70));
-  // Both answers were merged: the second part's records of rank below the first part's are left out.
+  // A merge server merged both answers: the records of the second part were below those of the first.
   LeafOutcome first = outcomeOf(Kind::kAnswered, record('m'));
   LeafOutcome second = outcomeOf(Kind::kAnswered, "");
   first.merged = second.merged = true;
@@ -275,7 +276,7 @@
   REQUIRE(std::get<MergedAnswer>(*last.answer).records == record('m') + record('a') + record('a'));
 }
 
-TEST_CASE("merged in any order and in any frames, the records are the greatest", "[serving]") {
+TEST_CASE("merged in any order and over any frames, the greatest records are returned", "[serving]") {
   OAKPIER_PROPERTY("merged records", [] {
     MergeWorld world;
     const bool hold = *rc::gen::arbitrary<bool>();
--- a/tests/serving/programs/owner_client_test.cpp
+++ b/tests/serving/programs/owner_client_test.cpp
@@ -1,4 +1,4 @@
-/// The asking side of the hop between daemons: which frames go out and which results are believed.
+/// The client of shard owners: which frames it sends and which results it accepts.
 
 #include "programs/gateway/owner_client.h"
 
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-TEST_CASE("shards of one owner travel in one frame with the whole request", "[serving]") {
+TEST_CASE("shards of one owner are sent in one frame with the complete request", "[serving]") {
   ClientWorld world;
   world.sendThree();
   REQUIRE(world.frames.size() == 2);
@@ -74,7 +74,7 @@
   REQUIRE(world.frames[0].second.time_to_live_ms() > 0);
 }
 
-TEST_CASE("a result is believed once, and only by the process that asked", "[serving]") {
+TEST_CASE("a result is accepted once, and only by the process that sent the work", "[serving]") {
   ClientWorld world;
   world.sendThree();
   const std::uint64_t run = world.frames[0].second.owner_work().sender_run();
@@ -88,7 +88,7 @@
   REQUIRE(world.outcomes[0].outcome.reply->body == "records");
 }
 
-TEST_CASE("two processes do not take each other's results", "[serving]") {
+TEST_CASE("two processes at one address use different run ids", "[serving]") {
   ClientWorld first;
   ClientWorld second;
   second.random.seed(8);
@@ -101,7 +101,7 @@
           second.frames[0].second.owner_work().sender_run());
 }
 
-TEST_CASE("withdrawn shards are told to their owners and answer nobody", "[serving]") {
+TEST_CASE("withdrawn shards are cancelled at their owners and their results ignored", "[serving]") {
   ClientWorld world;
   world.sendThree();
   const std::uint64_t run = world.frames[0].second.owner_work().sender_run();
@@ -116,7 +116,7 @@
   REQUIRE(world.outcomes.empty());
 }
 
-TEST_CASE("work that never left is known not to have run", "[serving]") {
+TEST_CASE("undeliverable work is reported as not sent", "[serving]") {
   ClientWorld world;
   world.sendThree();
   const OwnerWork work = world.frames[0].second.owner_work();
@@ -126,7 +126,7 @@
   REQUIRE(world.client.counters().undeliverable == 1);
 }
 
-TEST_CASE("daemons of the zone are greeted when they come, also when they come back", "[serving]") {
+TEST_CASE("peers of the zone are probed when they join and when they return", "[serving]") {
   ClientWorld world;
   world.client.greet({kFirstOwner, kOtherOwner});
   REQUIRE(world.frames.size() == 2);
@@ -139,7 +139,7 @@
   REQUIRE(world.frames[2].first == kOtherOwner);
 }
 
-TEST_CASE("the zone hears of daemons that have fallen silent, and is believed", "[serving]") {
+TEST_CASE("unresponsive peers are reported to the zone, and reports of others are applied", "[serving]") {
   ClientWorld world;
   const Endpoint bystander(4, 9);
   world.owners.setDaemons({Endpoint(1, 9), kFirstOwner, kOtherOwner, bystander});
--- a/tests/serving/programs/peer_link_test.cpp
+++ b/tests/serving/programs/peer_link_test.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("questions for a proof and their answers reach the other daemon's control thread", "[serving]") {
+TEST_CASE("proof requests and replies reach the control thread of the peer", "[serving]") {
   boost::asio::io_context context;
   const Endpoint asker = freeEndpoint();
   const Endpoint asked = freeEndpoint();
@@ -50,7 +50,7 @@
   REQUIRE(askedLink->start().empty());
   ConfigurationProofRequest request;
   request.set_number(~std::uint64_t{0});
-  // Frames to a daemon that is not connected yet may be handed back.
+  // Frames to a peer that is not connected yet may be undeliverable, so the request is repeated.
   runUntil(context, [&] {
     askerLink.askForProof(asked, request);
     return received.has_value();
--- a/tests/serving/programs/quarantine_link_test.cpp
+++ b/tests/serving/programs/quarantine_link_test.cpp
@@ -1,5 +1,5 @@
-/// What is known of requests that end leafs, spread among many daemons of one process; frames are carried,
-/// lost and counted by the test.
+/// Gossip of quarantine records among many daemons in one process. The test delivers, drops and counts
+/// frames.
 
 #include "programs/gateway/quarantine_link.h"
 
@@ -40,7 +40,7 @@
 
   RequestQuarantine& quarantineOf(std::uint32_t number) { return daemonAt(number).quarantine; }
   void tell(std::uint32_t number) { daemonAt(number).link->onChanged(); }
-  /// Frames to it are lost from now on, or no longer.
+  /// Starts or stops dropping all frames to the daemon.
   void cutOff(std::uint32_t number, bool cut) {
     if (cut) {
       cut_.insert(Endpoint(number, kPort));
@@ -80,7 +80,7 @@
   std::set<Endpoint> cut_;
 };
 
-/// Leafs end under the request at one daemon, and so does that of the trial.
+/// The request crashes leafs at one daemon, including the leaf of its trial.
 void condemn(Fleet& fleet, std::uint32_t number) {
   RequestQuarantine& quarantine = fleet.quarantineOf(number);
   const Moment now = steadyNow();
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-TEST_CASE("all daemons come to know of a request that ends leafs, and of its answer", "[serving]") {
+TEST_CASE("all daemons learn of a request that crashes leafs, and of its answer", "[serving]") {
   constexpr std::uint32_t kDaemons = 300;
   Fleet fleet(kDaemons);
   condemn(fleet, 1);
@@ -103,7 +103,7 @@
   runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kOrdinary) == kDaemons; });
 }
 
-TEST_CASE("evidence that three daemons have of one leaf each adds up everywhere", "[serving]") {
+TEST_CASE("evidence from three daemons, one leaf each, adds up at every daemon", "[serving]") {
   constexpr std::uint32_t kDaemons = 20;
   Fleet fleet(kDaemons);
   for (std::uint32_t number = 1; number <= 3; ++number) {
@@ -113,12 +113,12 @@
   runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kOrdinary) == 0; });
 }
 
-TEST_CASE("a daemon that was cut off learns what it missed without asking", "[serving]") {
+TEST_CASE("a daemon that was unreachable receives missed records without a request", "[serving]") {
   constexpr std::size_t kOthers = 19;
   Fleet fleet(kOthers + 1);
   fleet.cutOff(5, true);
   condemn(fleet, 1);
-  // Each of the others has passed it on to eight; none of these frames is left on the way after that.
+  // Each of the others has forwarded the record to eight peers; poll() then delivers all frames in transit.
   runUntil(fleet.context, [&] { return fleet.frames >= kOthers * 8; });
   fleet.context.poll();
   REQUIRE(fleet.countOf(Verdict::kCondemned) == kOthers);
@@ -126,12 +126,12 @@
   runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kOthers + 1; });
 }
 
-TEST_CASE("what a daemon knows already is not passed on again", "[serving]") {
+TEST_CASE("a record that is already known is not forwarded again", "[serving]") {
   constexpr std::uint32_t kDaemons = 60;
   Fleet fleet(kDaemons);
   condemn(fleet, 1);
   runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kDaemons; });
-  // Eight from each daemon for the one change, and the repair's, of which few are due so soon.
+  // Eight frames per daemon for the one change, plus the few anti-entropy frames that are due by now.
   REQUIRE(fleet.frames <= std::size_t{kDaemons} * 10);
 }
 
--- a/tests/serving/programs/quota_link_test.cpp
+++ b/tests/serving/programs/quota_link_test.cpp
@@ -1,4 +1,5 @@
-/// Limits of tenants between daemons of one process; frames are carried, lost and counted by the test.
+/// Enforcement of tenant limits by several daemons in one process. The test delivers, drops and counts
+/// frames.
 
 #include "programs/gateway/quota_link.h"
 
@@ -49,22 +50,22 @@
     order = rankHomes(tenant.name, all_);
   }
 
-  /// The daemons in the order in which they count for the tenant.
+  /// The daemons in the order of their rank as quota servers of the tenant.
   std::vector<Endpoint> order;
   QuotaLink& at(const Endpoint& address) { return *links_.at(address); }
-  /// One that is not asked.
+  /// The daemon with the last rank, which receives no token requests.
   QuotaLink& entry() { return at(order.back()); }
   void take(QuotaLink& link) {
     link.take(tenant_, [this](const QuotaDecision& decision) { decisions.push_back(decision); });
   }
-  /// Takes for one request and waits for the decision.
+  /// Requests a decision for one caller request and waits for it.
   QuotaDecision decide(QuotaLink& link) {
     const std::size_t before = decisions.size();
     take(link);
     runUntil(context, [&] { return decisions.size() > before; });
     return decisions.back();
   }
-  /// Until nothing is on the way.
+  /// Delivers all frames in transit.
   void drain() {
     context.restart();
     context.poll();
@@ -74,9 +75,9 @@
   RandomEngine random{7};
   std::vector<QuotaDecision> decisions;
   std::vector<std::pair<Endpoint, PeerEnvelope>> frames;
-  /// Frames to these vanish.
+  /// Frames to these daemons are dropped.
   std::set<Endpoint> silent;
-  /// Frames to these come back as undeliverable.
+  /// Frames to these daemons are reported as undeliverable.
   std::set<Endpoint> unreachable;
 
  private:
@@ -104,7 +105,7 @@
 
 }  // namespace
 
-TEST_CASE("a tenant without a limit is let through at once and costs no frame", "[serving]") {
+TEST_CASE("a tenant without a limit is admitted immediately and without a frame", "[serving]") {
   Fleet fleet(8, tenantOf("free", 0, 0));
   fleet.take(fleet.entry());
   REQUIRE(fleet.decisions.size() == 1);
@@ -114,7 +115,7 @@
   REQUIRE(fleet.frames.empty());
 }
 
-TEST_CASE("requests that come together ask the home in one frame", "[serving]") {
+TEST_CASE("concurrent requests share one frame to the quota server", "[serving]") {
   Fleet fleet(8, tenantOf("t", 8, 8));
   for (int request = 0; request < 3; ++request) {
     fleet.take(fleet.entry());
@@ -130,16 +131,16 @@
   REQUIRE(fleet.entry().figures().waits.count() == 3);
 }
 
-TEST_CASE("the home itself decides without a frame", "[serving]") {
+TEST_CASE("the quota server decides its own requests without a frame", "[serving]") {
   Fleet fleet(8, tenantOf("t", 8, 8));
   REQUIRE(fleet.decide(fleet.at(fleet.order.front())).granted);
   REQUIRE(fleet.frames.empty());
 }
 
-TEST_CASE("beyond its limit a tenant is refused at once, without a frame, and told a growing time",
+TEST_CASE("over its limit a tenant is refused immediately, without a frame, and with a growing retry time",
           "[serving]") {
   Fleet fleet(8, tenantOf("t", 1, 1));
-  // Each at a daemon that knows nothing yet, or has waited for it.
+  // Exhausts the limit, waiting for each decision.
   while (fleet.decide(fleet.entry()).granted) {
   }
   const Duration first = fleet.decisions.back().retryAfter;
@@ -158,7 +159,8 @@
   REQUIRE(fleet.entry().figures().holder.refusedAtOnce >= kMore);
 }
 
-TEST_CASE("a refusal beyond a limit is logged with the tenant, the time and the home", "[serving]") {
+TEST_CASE("a refusal over a limit is logged with the tenant, the retry time and the quota server",
+          "[serving]") {
   const CapturedLog captured;
   Fleet fleet(8, tenantOf("t", 1, 1));
   while (fleet.decide(fleet.entry()).granted) {
@@ -171,11 +173,11 @@
   REQUIRE(atEntry.find(home + "}") != std::string::npos);
   while (fleet.decide(fleet.at(fleet.order.front())).granted) {
   }
-  // The home itself knows what is left.
+  // The quota server also logs the remaining tokens.
   REQUIRE(captured.text().find(home + R"(,"tokens_left":)") != std::string::npos);
 }
 
-TEST_CASE("the next daemon is asked while the home is silent", "[serving]") {
+TEST_CASE("a token request goes to the successor if the primary quota server is unresponsive", "[serving]") {
   Fleet fleet(8, tenantOf("t", 8, 8));
   fleet.silent.insert(fleet.order.front());
   REQUIRE(fleet.decide(fleet.entry()).granted);
@@ -183,14 +185,14 @@
   REQUIRE(fleet.entry().figures().holder.unanswered == 1);
 }
 
-TEST_CASE("the next daemon is asked at once where the frame could not be sent", "[serving]") {
+TEST_CASE("a token request goes to the successor immediately if its frame is undeliverable", "[serving]") {
   Fleet fleet(8, tenantOf("t", 8, 8));
   fleet.unreachable.insert(fleet.order.front());
   fleet.take(fleet.entry());
   fleet.drain();
   REQUIRE(fleet.decisions.size() == 1);
   REQUIRE(fleet.decisions[0].token->home == fleet.order[1]);
-  // From now on it is passed over.
+  // Later requests skip the unreachable daemon.
   fleet.frames.clear();
   fleet.take(fleet.entry());
   fleet.drain();
@@ -198,7 +200,7 @@
   REQUIRE(fleet.frames[0].first == fleet.order[1]);
 }
 
-TEST_CASE("a request is refused and told when to come back where no daemon answers", "[serving]") {
+TEST_CASE("a request is refused with a retry time if no quota server answers", "[serving]") {
   const CapturedLog captured;
   Fleet fleet(8, tenantOf("t", 8, 8));
   for (const Endpoint& daemon : fleet.order) {
@@ -213,7 +215,7 @@
   REQUIRE(fleet.entry().figures().holder.refusedUnanswered == 1);
 }
 
-TEST_CASE("a home that does not know the tenant passes it on to the next", "[serving]") {
+TEST_CASE("a token request goes to the successor if the quota server does not know the tenant", "[serving]") {
   Fleet fleet(8, tenantOf("t", 8, 8));
   fleet.at(fleet.order.front()).setTenants(nullptr);
   fleet.take(fleet.entry());
@@ -223,11 +225,12 @@
   REQUIRE(fleet.decisions[0].token->home == fleet.order[1]);
 }
 
-TEST_CASE("a daemon that steps in for one that still answers lets through what it began with", "[serving]") {
+TEST_CASE("a successor of a responsive quota server grants only its initial tokens, and probes that server",
+          "[serving]") {
   Fleet fleet(8, tenantOf("t", 1, 1));
   const QuotaPlan plan = planFor(TenantLimit{1, 1}, kTolerance);
   QuotaLink& standIn = fleet.at(fleet.order[1]);
-  // As another daemon would that cannot reach the home.
+  // As sent by a daemon that cannot reach the primary.
   TokenRequest request;
   request.set_sender_run(5);
   TenantTokens* tokens = request.add_tenants();
@@ -243,7 +246,8 @@
   REQUIRE(asked);
 }
 
-TEST_CASE("a token of a request that ran nowhere goes back to where it was counted", "[serving]") {
+TEST_CASE("the token of a request that did not run is returned to the quota server that granted it",
+          "[serving]") {
   Fleet fleet(8, tenantOf("t", 8, 8));
   const QuotaDecision decision = fleet.decide(fleet.entry());
   fleet.entry().giveBack("t", decision.token);
@@ -254,7 +258,7 @@
   REQUIRE(fleet.at(fleet.order.front()).figures().home.returned == 1);
 }
 
-TEST_CASE("frames that come twice count once, and replies to other processes are not believed", "[serving]") {
+TEST_CASE("duplicate frames count once, and replies to other processes are ignored", "[serving]") {
   Fleet fleet(8, tenantOf("t", 8, 8));
   QuotaLink& home = fleet.at(fleet.order.front());
   fleet.take(fleet.entry());
@@ -278,8 +282,8 @@
   runUntil(fleet.context, [&] { return fleet.decisions.size() == 2; });
 }
 
-TEST_CASE("a lowered limit holds at the home at once", "[serving]") {
-  // Its bucket begins with far more than the lowered limit's would ever hold.
+TEST_CASE("a lowered limit takes effect at the quota server immediately", "[serving]") {
+  // The initial bucket holds far more than the capacity under the lowered limit.
   Fleet fleet(8, tenantOf("t", 80, 80));
   REQUIRE(fleet.decide(fleet.entry()).granted);
   const Tenant lowered = tenantOf("t", 0.1, 1);
--- a/tests/serving/programs/tenant_requests_test.cpp
+++ b/tests/serving/programs/tenant_requests_test.cpp
@@ -1,5 +1,5 @@
-/// Requests of tenants through a whole gateway: raw callers in front, a raw leaf behind, frames to other
-/// daemons kept.
+/// Tenant requests through a complete `RequestGateway` with raw callers and a raw leaf. Frames to peers are
+/// recorded.
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -91,7 +91,7 @@
     clients.back()->write(bytes);
     return *clients.back();
   }
-  /// The leaf's connection that got the request; waits for it.
+  /// Waits for the request at the leaf and returns its connection.
   RawServer::Connection& awaitAtLeaf(const std::string& id) {
     RawServer::Connection* found = nullptr;
     runUntil(context, [&] {
@@ -109,7 +109,7 @@
   void awaitAnswer(const RawClient& client, const std::string& status) {
     runUntil(context, [&] { return contains(client.received(), "HTTP/1.1 " + status); });
   }
-  /// What the leaf gets of a request that is served.
+  /// Sends a request, answers it at the leaf and returns the bytes that the leaf received.
   std::string servedAs(const std::string& path, const std::string& headers) {
     const std::string id = "id-" + std::to_string(++asked);
     const RawClient& client = ask(head(path, id, headers));
@@ -119,7 +119,7 @@
     awaitAnswer(client, "200");
     return bytes;
   }
-  /// The answer to a request that is refused.
+  /// Sends a request that must be refused and returns the response.
   std::string refusalTo(const std::string& path, const std::string& headers) {
     const RawClient& client = ask(head(path, "id-" + std::to_string(++asked), headers));
     runUntil(context, [&] { return contains(client.received(), "\r\n\r\n"); });
@@ -149,7 +149,7 @@
 const std::string kBirch = "Authorization: Bearer secret-3\r\n";
 const std::string kForged = "Oakpier-Tenant: forged\r\nOAKPIER-TENANT: forged\r\n";
 
-/// Nothing of a key or of what a caller says of its tenant.
+/// Requires that `bytes` contain no key and no tenant header of the caller.
 void requireClean(const std::string& bytes) {
   for (const char* unwanted : {"secret", "forged", "uthorization"}) {
     REQUIRE_FALSE(contains(bytes, unwanted));
@@ -158,7 +158,7 @@
 
 }  // namespace
 
-TEST_CASE("a leaf gets a tenant's request with the tenant's name and without its key", "[serving]") {
+TEST_CASE("a leaf receives a tenant's request with the tenant's name and without its key", "[serving]") {
   GatewayWorld world;
   for (const std::string header :
        {"authorization: BEARER  secret-1\r\n", "AUTHORIZATION: bearer secret-2\r\n"}) {
@@ -172,7 +172,7 @@
   REQUIRE(contains(bytes, "Oakpier-Tenant: birch\r\n"));
 }
 
-TEST_CASE("a public route serves everyone, each known tenant under its own name", "[serving]") {
+TEST_CASE("a public route serves all callers, and known tenants under their names", "[serving]") {
   GatewayWorld world;
   for (const std::string& headers :
        {std::string(), "Authorization: Bearer secret-9\r\n" + kForged, kAmber + kBirch}) {
@@ -183,7 +183,7 @@
   REQUIRE(contains(world.servedAs("/open/x", kAmber + kForged), "Oakpier-Tenant: amber\r\n"));
 }
 
-TEST_CASE("pipelined requests and chunked bodies each count for their own caller", "[serving]") {
+TEST_CASE("pipelined and chunked requests are attributed to their own tenants", "[serving]") {
   GatewayWorld world;
   const std::string chunked = "POST /one/x HTTP/1.1\r\nHost: shop.example\r\n" + world.names.requestId +
                               ": first\r\nTransfer-Encoding: chunked\r\nTrailer: Oakpier-Tenant\r\n" +
@@ -201,7 +201,7 @@
   runUntil(world.context, [&] { return contains(client.received(), "second"); });
 }
 
-TEST_CASE("callers without a readable key get 401, and nothing of them goes out", "[serving]") {
+TEST_CASE("callers without a readable key get 401, and their requests reach no leaf", "[serving]") {
   GatewayWorld world;
   for (const std::string& headers :
        {std::string(), kForged, kAmber + kAmber, std::string("Authorization: secret-1\r\n"),
@@ -212,7 +212,8 @@
   REQUIRE(world.gateway.counters().rejectedKeys == 7);
 }
 
-TEST_CASE("an unknown key gets 401 only under a fresh proof, else a time to come back", "[serving]") {
+TEST_CASE("an unknown key is answered with 401 only under a fresh proof, otherwise with a retry time",
+          "[serving]") {
   GatewayWorld world;
   const std::string unknown = "Authorization: Bearer secret-9\r\n";
   const std::string early = world.refusalTo("/one/x", unknown);
@@ -224,7 +225,7 @@
   REQUIRE(world.gateway.counters().rejectedKeys == 1);
 }
 
-TEST_CASE("where keys may be taken away, a known key waits for a proof", "[serving]") {
+TEST_CASE("if keys can be revoked, a known key is accepted only under a proof", "[serving]") {
   GatewayWorld world;
   world.demandProof();
   REQUIRE(contains(world.refusalTo("/one/x", kAmber), "HTTP/1.1 503"));
@@ -244,7 +245,7 @@
   world.refusalTo("/one/x?key=secret-8", "X-Api-Key: secret-7\r\n");
   world.refusalTo("/nowhere/", kAmber);
   world.refusalTo("/one/x", kAmber + kBirch);
-  // A caller that leaves is logged with the decisions of its request.
+  // A caller that disconnects is logged with the decisions of its request.
   RawClient& leaving = world.ask(world.head("/one/x", "leaving", kBirch));
   world.awaitAtLeaf("leaving");
   leaving.reset();
@@ -256,7 +257,7 @@
   REQUIRE_FALSE(contains(text, "secret"));
 }
 
-TEST_CASE("without tenants callers' credentials are the leaf's, and their word on a tenant is dropped",
+TEST_CASE("without tenants, credentials are forwarded to the leaf and tenant headers of callers are removed",
           "[serving]") {
   GatewayWorld world(std::vector<Tenant>{});
   const std::string bytes = world.servedAs("/one/x", kAmber + kForged);
@@ -265,8 +266,9 @@
   world.servedAs("/one/x", "");
 }
 
-TEST_CASE("a tenant's rank goes before its route's where requests wait for a connection", "[serving]") {
-  // One connection to the leaf.
+TEST_CASE("a tenant's rank overrides its route's rank among requests that wait for a connection",
+          "[serving]") {
+  // A single connection to the leaf.
   GatewayWorld world(twoTenants(), 1);
   world.gateway.setDaemons(DaemonGroup{{kSelf}, {kSelf}, {}, 1}, 1, true);
   world.ask(world.head("/one/x", "running", kAmber));
@@ -281,9 +283,9 @@
   REQUIRE(contains(connection.received, ": sooner\r\n"));
 }
 
-TEST_CASE("owners and merging daemons are told the tenant and its rank, and no key", "[serving]") {
+TEST_CASE("owners and merge servers receive the tenant and its rank, but no key", "[serving]") {
   SECTION("owners") {
-    // Fewer connections than daemons.
+    // With fewer connections per leaf than daemons, shards have owners.
     GatewayWorld world(twoTenants(), 2);
     world.gateway.setDaemons(DaemonGroup{{kSelf, kOther}, {kOther}, {}, 1}, 40, true);
     world.frames.clear();
@@ -294,7 +296,7 @@
     REQUIRE(work.rank() == 5);
     requireClean(world.frames.front().SerializeAsString());
   }
-  SECTION("merging daemons") {
+  SECTION("merge servers") {
     GatewayWorld world(twoTenants(), 100, "b");
     world.gateway.setDaemons(DaemonGroup{{kSelf, kOther}, {kSelf}, {{"b", {kOther}}}, 2}, 2, true);
     world.frames.clear();
