--- a/src/coordination/serving/machine_limits.cpp
+++ b/src/coordination/serving/machine_limits.cpp
@@ -30,7 +30,7 @@
   return static_cast<unsigned>(std::lround(std::clamp(cores * kHundredths, 1.0, double{kMostCapacity})));
 }
 
-std::vector<std::string> problemsOf(const MachineLimits& limits) {
+std::vector<std::string> validationErrors(const MachineLimits& limits) {
   std::vector<std::string> problems;
   if (!within(limits.processorCores, kMostCores)) {
     problems.emplace_back("the processor share of the machine is not within 0 and 256 cores");
--- a/src/coordination/serving/machine_limits.h
+++ b/src/coordination/serving/machine_limits.h
@@ -28,6 +28,6 @@
 unsigned capacityOf(const MachineLimits& limits);
 
 /// Every reason, in plain words, why the limits cannot be; empty when they can.
-std::vector<std::string> problemsOf(const MachineLimits& limits);
+std::vector<std::string> validationErrors(const MachineLimits& limits);
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/serving_knowledge.cpp
+++ b/src/coordination/serving/serving_knowledge.cpp
@@ -36,7 +36,7 @@
   if (configuration_ && configuration->version <= configuration_->version) {
     return {};
   }
-  std::vector<std::string> problems = problemsOf(*configuration);
+  std::vector<std::string> problems = validationErrors(*configuration);
   if (!problems.empty()) {
     return problems;
   }
--- a/src/programs/gateway/active_query.h
+++ b/src/programs/gateway/active_query.h
@@ -30,8 +30,8 @@
 };
 
 /// A request before its query starts; it may be waiting for a decision on its tenant's quota.
-struct RequestGateway::ArrivedRequest {
-  explicit ArrivedRequest(ResponseWriter responseWriter) : writer(std::move(responseWriter)) {}
+struct RequestGateway::IncomingRequest {
+  explicit IncomingRequest(ResponseWriter responseWriter) : writer(std::move(responseWriter)) {}
 
   Moment receivedAt{};
   LoggedRequest logged;
@@ -44,7 +44,7 @@
   const Tenant* tenant = nullptr;
   RequestQuarantine::Judgement judgement;
   std::optional<Token> token;
-  bool callerGone = false;
+  bool callerDisconnected = false;
   /// Set when the query starts.
   std::weak_ptr<ActiveQuery> active;
 
--- a/src/programs/gateway/decision_timer.h
+++ b/src/programs/gateway/decision_timer.h
@@ -34,10 +34,10 @@
  private:
   /// Asio timers do not advance while the machine is suspended. Waking at least this often bounds how late a
   /// decision is after a resume.
-  static constexpr Duration kLongestSleep = std::chrono::milliseconds(250);
+  static constexpr Duration kMaxSleep = std::chrono::milliseconds(250);
 
   void sleep(std::function<void()> onDue) {
-    setFor(timer_, std::min(armedFor_, steadyNow() + kLongestSleep));
+    setFor(timer_, std::min(armedFor_, steadyNow() + kMaxSleep));
     timer_.async_wait([this, onDue = std::move(onDue)](const boost::system::error_code& error) mutable {
       if (error) {
         return;
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -14,7 +14,7 @@
 #include "programs/common/held_signals.h"
 #include "programs/common/logging.h"
 #include "programs/gateway/request_gateway.h"
-#include "programs/gateway/source_loop.h"
+#include "programs/gateway/source_synchronizer.h"
 #include "protocol/serving/caller_messages.h"
 #include "transport/steady_clock.h"
 
@@ -33,17 +33,17 @@
 constexpr Duration kStopCheck = std::chrono::milliseconds(50);
 /// Time reserved before the process would be killed: this share of the grace period, up to this maximum.
 constexpr double kStopReserveShare = 0.15;
-constexpr Duration kLongestStopReserve = std::chrono::milliseconds(800);
+constexpr Duration kMaxStopReserve = std::chrono::milliseconds(800);
 /// Assumed number of owners of a shard (one per zone), and how many more may replace them within a budget
 /// window.
-constexpr std::size_t kUsualOwners = 4;
-constexpr std::size_t kOwnersInChange = 2;
+constexpr std::size_t kDefaultOwners = 4;
+constexpr std::size_t kMaxReplacedOwners = 2;
 /// Plans for a fleet that grows by one daemon in this many.
-constexpr std::size_t kSpareShare = 3;
+constexpr std::size_t kGrowthDivisor = 3;
 
 /// An unknown key is rejected with 401 only under a proof that is younger than this fraction (1/n) of the
 /// time within which new keys take effect everywhere.
-constexpr int kFinalRefusalParts = 2;
+constexpr int kFinalRefusalDivisor = 2;
 
 /// Answers readiness checks, and metrics at their path.
 class StatusHandler : public RequestHandler {
@@ -80,7 +80,7 @@
 }
 
 AuthorizationSettings authorizationSettings(const GatewaySettings& settings) {
-  return AuthorizationSettings{proofBoundFor(settings), settings.configurationBound / kFinalRefusalParts};
+  return AuthorizationSettings{proofBoundFor(settings), settings.configurationBound / kFinalRefusalDivisor};
 }
 
 FollowerSettings followerSettings(const GatewaySettings& settings) {
@@ -100,13 +100,14 @@
         published_(emptyView()),
         proof_(std::make_shared<const ConfigurationProof>()),
         random_(std::random_device{}()),
-        extraSendShare_(settings.extraSends, kUsualDaemons),
-        budgets_(extraSendShare_.bounds(), steadyNow(), random_),
-        ownerShare_(settings.extraSends, kUsualOwners + kOwnersInChange, ExtraSendShare::Holder::kOwner),
-        ownerBudgets_(ownerShare_.bounds(), steadyNow(), random_),
+        retryShare_(settings.retryLimit, kDefaultDaemons),
+        retryBudgets_(retryShare_.bounds(), steadyNow(), random_),
+        ownerRetryShare_(settings.retryLimit, kDefaultOwners + kMaxReplacedOwners,
+                         ExtraSendShare::Holder::kOwner),
+        ownerRetryBudgets_(ownerRetryShare_.bounds(), steadyNow(), random_),
         requests_(requestContext_, names, published_, proof_, settings.peerAddress,
                   QueryContext{leafs_,
-                               budgets_,
+                               retryBudgets_,
                                random_,
                                QueryPolicy{},
                                settings.zone,
@@ -115,16 +116,16 @@
                                {},
                                nullptr,
                                {}},
-                  ownerBudgets_,
+                  ownerRetryBudgets_,
                   [this](const Endpoint& to, PeerEnvelope envelope) {
-                    source_.sendShardFrame(to, std::move(envelope));
+                    source_.sendFrame(to, std::move(envelope));
                   }),
-        statusHandler_([this] { return takesCallers(); }, [this] { return metrics(); }),
+        statusHandler_([this] { return isReady(); }, [this] { return metrics(); }),
         callers_(requestContext_, requests_),
         status_(requestContext_, statusHandler_),
         source_(controlContext_, settings.sourceAddress, dialect,
-                PeerLinkSettings{settings.peerAddress, settings.zone, settings.seeds,
-                                 capacityOf(settings.machine)},
+                PeerMessengerSettings{settings.peerAddress, settings.zone, settings.seeds,
+                                      capacityOf(settings.machine)},
                 followerSettings(settings), published_, proof_,
                 {[this] { onView(); }, [this] { onProof(); },
                  [this](const DaemonGroup& daemons) { onDaemons(daemons); },
@@ -145,7 +146,7 @@
         signals_(requestContext_, SIGTERM, SIGINT, SIGHUP),
         stopTimer_(requestContext_),
         reloadTimer_(requestContext_),
-        settledTimer_(controlContext_) {}
+        stabilizationTimer_(controlContext_) {}
 
   int run() {
     for (const std::string& problem : {callers_.listen(settings_.callerAddress),
@@ -160,12 +161,12 @@
     requests_.setWarmupTolerance(settings_.warmup);
     requests_.setAuthorization(authorizationSettings(settings_));
     requests_.setQuotaTolerance(settings_.quota);
-    requests_.setOnStateWanted(
-        [this] { boost::asio::post(controlContext_, [this] { source_.onStateWanted(); }); });
+    requests_.setOnConfigurationNeeded(
+        [this] { boost::asio::post(controlContext_, [this] { source_.onConfigurationNeeded(); }); });
     awaitSignal();
     deliverSignals();
     scheduleReload();
-    scheduleSettled();
+    scheduleStabilization();
     const auto keepRunning = boost::asio::make_work_guard(controlContext_);
     std::thread control([this] { controlContext_.run(); });
     requestContext_.run();
@@ -207,7 +208,7 @@
   /// Whether this daemon is ready for callers. If keys require a recent proof, it is not ready without one,
   /// because all requests except those for public routes would be refused. If no daemon of a zone is ready,
   /// the platform sends callers to all of them.
-  bool takesCallers() const {
+  bool isReady() const {
     const auto bound = proofBoundFor(settings_);
     // Read before the view, because the view is published before the proof.
     const auto proof = proof_.read();
@@ -228,32 +229,34 @@
   void onDaemons(const DaemonGroup& daemons) {
     lastDaemons_ = daemons;
     const Moment now = steadyNow();
-    settling_.onMembers(daemons.all.size(), now);
-    settled_ = settled_ || now >= settling_.settledAt();
-    const bool settled = settled_;
+    stabilization_.onMembers(daemons.all.size(), now);
+    membershipStable_ = membershipStable_ || now >= stabilization_.settledAt();
+    const bool membershipStable = membershipStable_;
     const std::size_t count = daemons.all.size();
-    const std::size_t planned = settled ? count + count / kSpareShare + 1 : std::max(count, kUsualDaemons);
-    boost::asio::post(requestContext_, [this, daemons, planned, settled, counters = source_.counters()] {
-      sourceCounters_ = counters;
-      daemons_ = daemons.all.size();
-      fleetCapacity_ = capacityOf(daemons.all);
-      requests_.setDaemons(daemons, planned, settled);
-      extraSendShare_.onDaemonCount(planned);
-      budgets_.setBounds(extraSendShare_.bounds());
-      ownerShare_.onDaemonCount(daemons.zones + kOwnersInChange);
-      ownerBudgets_.setBounds(ownerShare_.bounds());
-    });
+    const std::size_t planned =
+        membershipStable ? count + count / kGrowthDivisor + 1 : std::max(count, kDefaultDaemons);
+    boost::asio::post(requestContext_,
+                      [this, daemons, planned, membershipStable, counters = source_.counters()] {
+                        sourceCounters_ = counters;
+                        daemons_ = daemons.all.size();
+                        fleetCapacity_ = capacityOf(daemons.all);
+                        requests_.setDaemons(daemons, planned, membershipStable);
+                        retryShare_.onDaemonCount(planned);
+                        retryBudgets_.setBounds(retryShare_.bounds());
+                        ownerRetryShare_.onDaemonCount(daemons.zones + kMaxReplacedOwners);
+                        ownerRetryBudgets_.setBounds(ownerRetryShare_.bounds());
+                      });
   }
 
   /// On the control thread. Applies the last members again once membership is stable.
-  void scheduleSettled() {
-    setFor(settledTimer_, settling_.settledAt());
-    settledTimer_.async_wait([this](const boost::system::error_code& error) {
-      if (error || settled_) {
+  void scheduleStabilization() {
+    setFor(stabilizationTimer_, stabilization_.settledAt());
+    stabilizationTimer_.async_wait([this](const boost::system::error_code& error) {
+      if (error || membershipStable_) {
         return;
       }
-      if (steadyNow() < settling_.settledAt()) {
-        scheduleSettled();
+      if (steadyNow() < stabilization_.settledAt()) {
+        scheduleStabilization();
         return;
       }
       onDaemons(lastDaemons_);
@@ -266,7 +269,7 @@
     for (const auto& [service, entries] : *view->leafs) {
       leafs += entries.size();
     }
-    return metricsText(GatewayFigures{requests_.counters(),
+    return metricsText(GatewayMetrics{requests_.counters(),
                                       requests_.poolCounters(),
                                       requests_.ownerCounters(),
                                       requests_.partsServed(),
@@ -277,15 +280,15 @@
                                       view->configuration ? view->configuration->version : 0,
                                       leafs,
                                       daemons_,
-                                      requests_.condemnedRequests(),
-                                      takesCallers(),
-                                      requests_.logLinesLeftOut(),
+                                      requests_.quarantinedRequests(),
+                                      isReady(),
+                                      requests_.logLinesSuppressed(),
                                       droppedLogLines(),
                                       capacityOf(settings_.machine),
                                       fleetCapacity_,
                                       view->tenants ? view->tenants->keyCount() : 0,
                                       proofAgeSeconds(),
-                                      requests_.quotaFigures()});
+                                      requests_.quotaMetrics()});
   }
 
   void awaitSignal() {
@@ -314,20 +317,21 @@
   }
 
   void reload() {
-    const auto fresh = reload_();
-    if (!fresh || describe(*fresh) == describe(settings_)) {
+    const auto reloaded = reload_();
+    if (!reloaded || describe(*reloaded) == describe(settings_)) {
       return;
     }
-    settings_ = *fresh;
-    extraSendShare_.setTotal(settings_.extraSends);
-    budgets_.setBounds(extraSendShare_.bounds());
-    ownerShare_.setTotal(settings_.extraSends);
+    settings_ = *reloaded;
+    retryShare_.setTotal(settings_.retryLimit);
+    retryBudgets_.setBounds(retryShare_.bounds());
+    ownerRetryShare_.setTotal(settings_.retryLimit);
     requests_.setWarmupTolerance(settings_.warmup);
     requests_.setAuthorization(authorizationSettings(settings_));
     requests_.setQuotaTolerance(settings_.quota);
-    ownerBudgets_.setBounds(ownerShare_.bounds());
-    boost::asio::post(controlContext_, [this, fresh = settings_] {
-      source_.reload(fresh.sourceAddress, fresh.seeds, capacityOf(fresh.machine), proverSettings(fresh));
+    ownerRetryBudgets_.setBounds(ownerRetryShare_.bounds());
+    boost::asio::post(controlContext_, [this, reloaded = settings_] {
+      source_.reload(reloaded.sourceAddress, reloaded.seeds, capacityOf(reloaded.machine),
+                     proverSettings(reloaded));
     });
     log(LogLevel::kInfo, "settings reloaded", {{"name", settings_.name}});
   }
@@ -347,7 +351,7 @@
 
   Duration stopReserve() const {
     const auto share = static_cast<std::int64_t>(settings_.stopGrace.count() * kStopReserveShare);
-    return std::min(kLongestStopReserve, Duration(share));
+    return std::min(kMaxStopReserve, Duration(share));
   }
 
   void checkStop() {
@@ -355,8 +359,8 @@
     if (passed >= kAcceptAfterStop) {
       callers_.stopAccepting();
       const bool idle =
-          callers_.inProgress() == 0 && callers_.connections() == 0 && requests_.servedForOthers() == 0;
-      if (idle || gaveUp_) {
+          callers_.inProgress() == 0 && callers_.connections() == 0 && requests_.inProgressForPeers() == 0;
+      if (idle || requestsAborted_) {
         requestContext_.stop();
         return;
       }
@@ -364,7 +368,7 @@
         log(LogLevel::kWarning, "stop grace period ending; answering open requests with 504",
             {{"in_progress", callers_.inProgress()}});
         callers_.answerAll(ownReply(kGatewayTimeout, "no answer before this daemon had to stop"));
-        gaveUp_ = true;
+        requestsAborted_ = true;
       }
     }
     stopTimer_.expires_after(kStopCheck);
@@ -384,20 +388,20 @@
   std::atomic<bool> ready_{false};
   RandomEngine random_;
   LeafRegistry leafs_;
-  ExtraSendShare extraSendShare_;
-  ExtraSendBudgets budgets_;
-  ExtraSendShare ownerShare_;
-  ExtraSendBudgets ownerBudgets_;
+  ExtraSendShare retryShare_;
+  ExtraSendBudgets retryBudgets_;
+  ExtraSendShare ownerRetryShare_;
+  ExtraSendBudgets ownerRetryBudgets_;
   ExchangeNumbers exchanges_;
   RequestGateway requests_;
   StatusHandler statusHandler_;
   HttpService callers_;
   HttpService status_;
-  SourceLoop source_;
+  SourceSynchronizer source_;
   boost::asio::signal_set signals_;
   boost::asio::steady_timer stopTimer_;
   boost::asio::steady_timer reloadTimer_;
-  boost::asio::steady_timer settledTimer_;
+  boost::asio::steady_timer stabilizationTimer_;
   FollowerCounters sourceCounters_;
   std::size_t daemons_ = 1;
   /// In hundredths of a core.
@@ -406,10 +410,10 @@
   DaemonGroup lastDaemons_;
   bool stopping_ = false;
   /// Requests in progress were answered with 504; the process stops at the next check.
-  bool gaveUp_ = false;
-  FleetSettling settling_{FleetSettlingSettings{}, steadyNow()};
+  bool requestsAborted_ = false;
+  FleetSettling stabilization_{FleetSettlingSettings{}, steadyNow()};
   /// Membership has become stable; never reset. Control thread only.
-  bool settled_ = false;
+  bool membershipStable_ = false;
   Moment stopRequestedAt_{};
 };
 
--- a/src/programs/gateway/gateway_metrics.cpp
+++ b/src/programs/gateway/gateway_metrics.cpp
@@ -53,17 +53,18 @@
     families_.push_back(std::move(family));
   }
   void histogram(const std::string& name, const std::string& help, const LatencyHistogram& histogram) {
-    families_.push_back({"oakpier_gateway_" + name, help, MetricType::Histogram, {figuresOf(histogram)}});
+    families_.push_back(
+        {"oakpier_gateway_" + name, help, MetricType::Histogram, {histogramMetric(histogram)}});
   }
   const std::vector<MetricFamily>& families() const { return families_; }
 
  private:
   static ClientMetric metricOf(const std::string& route, const LatencyHistogram& histogram) {
-    ClientMetric metric = figuresOf(histogram);
+    ClientMetric metric = histogramMetric(histogram);
     metric.label.push_back({"route", route});
     return metric;
   }
-  static ClientMetric figuresOf(const LatencyHistogram& histogram) {
+  static ClientMetric histogramMetric(const LatencyHistogram& histogram) {
     ClientMetric metric;
     metric.histogram.sample_count = histogram.count();
     metric.histogram.sample_sum = histogram.sumSeconds();
@@ -78,23 +79,26 @@
   std::vector<MetricFamily> families_;
 };
 
-void addQuota(FamilyList& list, const QuotaFigures& quota) {
-  list.counter("token_asks_total", "Frames that asked homes of tenants for tokens", quota.holder.asks);
-  list.counter("token_asks_unanswered_total", "Of these, left unanswered in time", quota.holder.unanswered);
-  list.counter("tenant_grants_total", "Requests of limited tenants let through", quota.holder.granted);
+void addQuota(FamilyList& list, const QuotaMetrics& quota) {
+  list.counter("token_asks_total", "Frames that asked homes of tenants for tokens", quota.client.asks);
+  list.counter("token_asks_unanswered_total", "Of these, left unanswered in time", quota.client.unanswered);
+  list.counter("tenant_grants_total", "Requests of limited tenants let through", quota.client.granted);
   list.counter("tenant_grants_at_once_total", "Of these, on a token that was at hand",
-               quota.holder.grantedAtOnce);
-  list.counter("tenant_refusals_total", "Requests refused beyond their tenant's limit", quota.holder.refused);
-  list.counter("tenant_refusals_at_once_total", "Of these, without asking", quota.holder.refusedAtOnce);
+               quota.client.grantedAtOnce);
+  list.counter("tenant_refusals_total", "Requests refused beyond their tenant's limit", quota.client.refused);
+  list.counter("tenant_refusals_at_once_total", "Of these, without asking", quota.client.refusedAtOnce);
   list.counter("tenant_refusals_unanswered_total", "Of these, as no daemon that counts answered",
-               quota.holder.refusedUnanswered);
-  list.counter("tokens_lapsed_total", "Tokens that nobody used in time", quota.holder.lapsed);
-  list.counter("tokens_given_back_total", "Tokens of requests that ran nowhere", quota.holder.givenBack);
-  list.counter("home_tokens_granted_total", "Tokens counted out as the home of tenants", quota.home.granted);
-  list.counter("home_tokens_advanced_total", "Of these, ahead of a request", quota.home.advanced);
-  list.counter("home_tokens_refused_total", "Requests refused as the home of tenants", quota.home.refused);
-  list.counter("home_tokens_returned_total", "Tokens taken back as the home of tenants", quota.home.returned);
-  list.counter("home_frames_ignored_total", "Asks that came again or out of order", quota.home.framesIgnored);
+               quota.client.refusedUnanswered);
+  list.counter("tokens_lapsed_total", "Tokens that nobody used in time", quota.client.lapsed);
+  list.counter("tokens_given_back_total", "Tokens of requests that ran nowhere", quota.client.givenBack);
+  list.counter("home_tokens_granted_total", "Tokens counted out as the home of tenants",
+               quota.server.granted);
+  list.counter("home_tokens_advanced_total", "Of these, ahead of a request", quota.server.advanced);
+  list.counter("home_tokens_refused_total", "Requests refused as the home of tenants", quota.server.refused);
+  list.counter("home_tokens_returned_total", "Tokens taken back as the home of tenants",
+               quota.server.returned);
+  list.counter("home_frames_ignored_total", "Asks that came again or out of order",
+               quota.server.framesIgnored);
   list.gauge("tenant_homes_held", "Tenants that this daemon counts for", static_cast<double>(quota.buckets));
   list.gauge("tokens_held", "Tokens that lie here unused", static_cast<double>(quota.tokensHeld));
   list.histogram("token_wait_seconds", "Time that requests waited for a token or its refusal", quota.waits);
@@ -110,42 +114,44 @@
   list.counter("unservable_refusals_total", "Of these, before any send, as too few leafs could be reached",
                requests.refusedUnservable);
   list.counter("requests_rejected_ending_leafs_total", "Requests rejected, as leafs end under them",
-               requests.rejectedEndingLeafs);
+               requests.rejectedQuarantined);
   list.counter("rejected_keys_total", "Requests answered 401: no readable key, or one that no tenant holds",
                requests.rejectedKeys);
   list.counter("refusals_unproved_total",
                "Requests refused, as the configuration was not proved fresh enough for their keys",
-               requests.refusedUnproved);
+               requests.refusedUnproven);
   list.counter("refusals_over_limit_total", "Requests answered 429: their tenant is over its limit",
                requests.refusedOverLimit);
   list.counter("request_trials_total", "Requests sent to one leaf first, as leafs have ended under them",
                requests.trials);
   list.counter("failures_total", "Requests that ended without an answer", requests.failed);
   list.counter("requests_without_route_total", "Requests for which no route was found", requests.noRoute);
-  list.counter("callers_gone_total", "Callers that left before their answer", requests.callersGone);
+  list.counter("callers_gone_total", "Callers that left before their answer", requests.callersDisconnected);
   list.counter("leaf_sends_total", "First sends to leafs", requests.sends);
   list.counter("hedges_total", "Second sends while the first was out", requests.hedges);
   list.counter("retries_total", "Further sends after one had ended", requests.retries);
   list.counter("extra_sends_denied_total", "Hedges and retries that the budget did not allow",
-               requests.budgetEmpty);
+               requests.retryBudgetExhausted);
   list.histograms("answer_seconds", "Time from a request to its answer", requests.answerTimes);
 }
 
-void addWorkOfDaemons(FamilyList& list, const GatewayFigures& figures) {
-  list.counter("parts_left_to_owners_total", "Shards of requests sent to their owners", figures.owners.parts);
+void addDelegation(FamilyList& list, const GatewayMetrics& metrics) {
+  list.counter("parts_left_to_owners_total", "Shards of requests sent to their owners",
+               metrics.ownerClient.parts);
   list.counter("silences_told_total", "Times that the zone was told of silent daemons",
-               figures.owners.silencesTold);
-  list.counter("owner_probes_total", "Signs of life asked of silent owners", figures.owners.probes);
+               metrics.ownerClient.unresponsiveReports);
+  list.counter("owner_probes_total", "Signs of life asked of silent owners", metrics.ownerClient.probes);
   list.counter("owner_frames_undeliverable_total", "Frames to owners that could not be sent",
-               figures.owners.undeliverable);
-  list.counter("parts_served_total", "Shards served as their owner", figures.partsServed);
+               metrics.ownerClient.undeliverable);
+  list.counter("parts_served_total", "Shards served as their owner", metrics.partsServed);
   list.counter("parts_by_way_of_mergers_total",
-               "Requests to leafs that went by way of a daemon of their zone", figures.mergers.parts);
-  list.counter("merger_results_expired_total", "Of these, without a result in time", figures.mergers.expired);
+               "Requests to leafs that went by way of a daemon of their zone", metrics.mergeClient.parts);
+  list.counter("merger_results_expired_total", "Of these, without a result in time",
+               metrics.mergeClient.expired);
   list.counter("merger_answers_incomplete_total", "Answers that relied on a lost frame",
-               figures.mergers.incomplete);
+               metrics.mergeClient.incomplete);
   list.counter("parts_merged_total", "Requests sent to leafs for daemons of other zones",
-               figures.partsMerged);
+               metrics.partsMerged);
 }
 
 void addLeafConnections(FamilyList& list, const LeafPoolCounters& pool) {
@@ -168,76 +174,76 @@
                pool.leafsEnded);
 }
 
-void addPeersAndSource(FamilyList& list, const GatewayFigures& figures) {
-  list.bytesByKind(figures.peers);
+void addPeersAndSource(FamilyList& list, const GatewayMetrics& metrics) {
+  list.bytesByKind(metrics.peers);
   list.counter("peer_reconnections_total", "Connections made anew, as an unreachable daemon was heard",
-               figures.peers.reconnections);
-  list.counter("source_calls_total", "Calls to the configuration source", figures.source.calls);
-  list.counter("source_failures_total", "Of these, without a usable answer", figures.source.failures);
+               metrics.peers.reconnections);
+  list.counter("source_calls_total", "Calls to the configuration source", metrics.source.calls);
+  list.counter("source_failures_total", "Of these, without a usable answer", metrics.source.failures);
   list.gauge("source_epoch", "Rises each time that the configuration source comes back from a copy",
-             static_cast<double>(figures.source.known.epoch));
+             static_cast<double>(metrics.source.known.epoch));
   list.gauge("source_revision", "Everything that the source held at this revision of the epoch is known",
-             static_cast<double>(figures.source.known.revision));
+             static_cast<double>(metrics.source.known.revision));
   list.counter("source_restorations_total", "Times that a newer epoch of the source became known",
-               figures.source.epochs.restorations);
+               metrics.source.epochs.restorations);
   list.counter("source_epochs_told_total", "Answers of the source that told an epoch",
-               figures.source.epochs.told);
+               metrics.source.epochs.told);
   list.counter("source_epochs_skipped_total", "Epochs of the source that were never heard of",
-               figures.source.epochs.skipped);
+               metrics.source.epochs.skipped);
   list.counter("source_epochs_older_total", "Answers of an epoch before the known one",
-               figures.source.epochs.older);
+               metrics.source.epochs.older);
   list.counter("source_epochs_missing_total", "Answers without an epoch of a source that has told one",
-               figures.source.epochs.missing);
+               metrics.source.epochs.missing);
   list.counter("source_epochs_malformed_total", "Answers whose epoch is not a whole number",
-               figures.source.epochs.malformed);
+               metrics.source.epochs.malformed);
   list.counter("source_listings_outdated_total", "Listings older than what was known, not taken over",
-               figures.source.listingsOutdated);
-  list.counter("news_accepted_total", "News taken over from other daemons", figures.source.newsAccepted);
+               metrics.source.listingsOutdated);
+  list.counter("news_accepted_total", "News taken over from other daemons", metrics.source.newsAccepted);
   list.counter("news_asked_total", "Times that everything was asked of another daemon",
-               figures.source.newsAsked);
+               metrics.source.newsAsked);
   list.counter("configurations_refused_total", "Configurations with a problem",
-               figures.source.configurationsRefused);
+               metrics.source.configurationsRefused);
   list.counter("unusable_records_total", "Records of the source that name no leaf to use or cannot be read",
-               figures.source.unusableRecords);
+               metrics.source.unusableRecords);
   list.counter("leafs_born_again_total", "Entries that told of another life of a known leaf",
-               figures.source.leafsBornAgain);
+               metrics.source.leafsBornAgain);
   list.counter("proof_questions_total", "Times that another daemon was asked for its proof",
-               figures.source.proofs.asked);
-  list.counter("proof_answers_total", "Of these, answered in time", figures.source.proofs.answered);
+               metrics.source.proofs.asked);
+  list.counter("proof_answers_total", "Of these, answered in time", metrics.source.proofs.answered);
   list.counter("proof_questions_timed_out_total", "Of these, not answered in time",
-               figures.source.proofs.timedOut);
+               metrics.source.proofs.timedOut);
   list.counter("proof_reads_total", "Times that the source was read as no other daemon helped to a proof",
-               figures.source.proofs.readWishes);
+               metrics.source.proofs.readWishes);
   list.gauge("configuration_proof_age_seconds", "Since the configuration was last proved the newest",
-             figures.proofAgeSeconds);
+             metrics.proofAgeSeconds);
 }
 
-void addStateAndLogs(FamilyList& list, const GatewayFigures& figures) {
-  list.gauge("configuration_version", "Version in force", static_cast<double>(figures.configurationVersion));
-  list.gauge("leafs", "Leafs listed", static_cast<double>(figures.leafs));
-  list.gauge("keys", "Keys of all tenants in the configuration", static_cast<double>(figures.keys));
+void addStateAndLogs(FamilyList& list, const GatewayMetrics& metrics) {
+  list.gauge("configuration_version", "Version in force", static_cast<double>(metrics.configurationVersion));
+  list.gauge("leafs", "Leafs listed", static_cast<double>(metrics.leafs));
+  list.gauge("keys", "Keys of all tenants in the configuration", static_cast<double>(metrics.keys));
   list.gauge("condemned_requests", "Requests that are rejected at present, as leafs end under them",
-             static_cast<double>(figures.condemnedRequests));
-  list.gauge("daemons", "Serving daemons, this one included", static_cast<double>(figures.daemons));
+             static_cast<double>(metrics.quarantinedRequests));
+  list.gauge("daemons", "Serving daemons, this one included", static_cast<double>(metrics.daemons));
   list.gauge("capacity_cores", "What other daemons place work here by; 0 when it is not told",
-             figures.capacity / kCoreHundredths);
+             metrics.capacity / kCoreHundredths);
   list.gauge("fleet_capacity_cores", "Of all serving daemons; those that did not tell counted as usual ones",
-             static_cast<double>(figures.fleetCapacity) / kCoreHundredths);
-  list.gauge("ready", "1 when callers should be sent here", figures.ready ? 1 : 0);
-  list.counter("log_lines_left_out_total", "Log lines beyond the bound", figures.logLinesLeftOut);
-  list.counter("log_lines_dropped_total", "Log lines lost to a stalled reader", figures.logLinesDropped);
+             static_cast<double>(metrics.fleetCapacity) / kCoreHundredths);
+  list.gauge("ready", "1 when callers should be sent here", metrics.ready ? 1 : 0);
+  list.counter("log_lines_left_out_total", "Log lines beyond the bound", metrics.logLinesSuppressed);
+  list.counter("log_lines_dropped_total", "Log lines lost to a stalled reader", metrics.logLinesDropped);
 }
 
 }  // namespace
 
-std::string metricsText(const GatewayFigures& figures) {
+std::string metricsText(const GatewayMetrics& metrics) {
   FamilyList list;
-  addRequests(list, figures.requests);
-  addWorkOfDaemons(list, figures);
-  addLeafConnections(list, figures.pool);
-  addPeersAndSource(list, figures);
-  addQuota(list, figures.quota);
-  addStateAndLogs(list, figures);
+  addRequests(list, metrics.requests);
+  addDelegation(list, metrics);
+  addLeafConnections(list, metrics.pool);
+  addPeersAndSource(list, metrics);
+  addQuota(list, metrics.quota);
+  addStateAndLogs(list, metrics);
   return prometheus::TextSerializer().Serialize(list.families());
 }
 
--- a/src/programs/gateway/gateway_metrics.h
+++ b/src/programs/gateway/gateway_metrics.h
@@ -10,7 +10,7 @@
 #include "programs/gateway/latency_histogram.h"
 #include "programs/gateway/merge_client.h"
 #include "programs/gateway/owner_client.h"
-#include "programs/gateway/quota_link.h"
+#include "programs/gateway/quota_enforcer.h"
 #include "transport/peer_transport.h"
 #include "transport/serving/leaf_pool.h"
 
@@ -24,34 +24,34 @@
   std::uint64_t refusedBusy = 0;
   std::uint64_t refusedUnservable = 0;
   /// Rejected because they are quarantined for crashing leafs.
-  std::uint64_t rejectedEndingLeafs = 0;
+  std::uint64_t rejectedQuarantined = 0;
   /// Sent to a single leaf first because they have crashed leafs.
   std::uint64_t trials = 0;
   /// Answered with 401.
   std::uint64_t rejectedKeys = 0;
   /// Refused because there was no sufficiently recent freshness proof of the configuration.
-  std::uint64_t refusedUnproved = 0;
+  std::uint64_t refusedUnproven = 0;
   /// Answered with 429.
   std::uint64_t refusedOverLimit = 0;
   std::uint64_t failed = 0;
   std::uint64_t noRoute = 0;
-  std::uint64_t callersGone = 0;
+  std::uint64_t callersDisconnected = 0;
   std::uint64_t sends = 0;
   std::uint64_t hedges = 0;
   std::uint64_t retries = 0;
-  std::uint64_t budgetEmpty = 0;
+  std::uint64_t retryBudgetExhausted = 0;
   /// Time to the answer, by route.
   std::map<std::string, LatencyHistogram> answerTimes;
 };
 
 /// Values of all metrics at one point in time.
-struct GatewayFigures {
+struct GatewayMetrics {
   const RequestCounters& requests;
   const LeafPoolCounters& pool;
-  const OwnerClientCounters& owners;
+  const OwnerClientCounters& ownerClient;
   /// Shards served for peers as their owner.
   std::uint64_t partsServed = 0;
-  const MergeClientCounters& mergers;
+  const MergeClientCounters& mergeClient;
   /// Requests sent to leafs as the merge server for peers in other zones.
   std::uint64_t partsMerged = 0;
   const PeerTransportCounters& peers;
@@ -60,9 +60,9 @@
   std::size_t leafs = 0;
   std::size_t daemons = 0;
   /// Fingerprints of requests that are currently rejected for crashing leafs.
-  std::size_t condemnedRequests = 0;
+  std::size_t quarantinedRequests = 0;
   bool ready = false;
-  std::uint64_t logLinesLeftOut = 0;
+  std::uint64_t logLinesSuppressed = 0;
   std::uint64_t logLinesDropped = 0;
   /// Capacity reported to peers, in hundredths of a core; 0 if none is reported.
   unsigned capacity = 0;
@@ -72,9 +72,9 @@
   std::size_t keys = 0;
   /// Age of the latest freshness proof of the configuration; infinite if there is none.
   double proofAgeSeconds = 0;
-  QuotaFigures quota;
+  QuotaMetrics quota;
 };
 
-std::string metricsText(const GatewayFigures& figures);
+std::string metricsText(const GatewayMetrics& metrics);
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/gateway_settings.h
+++ b/src/programs/gateway/gateway_settings.h
@@ -41,7 +41,7 @@
   /// like any other configuration change.
   std::optional<Duration> keyRevocationBound;
   /// Retry budget of a service, shared by all daemons.
-  OperatorExtraSends extraSends;
+  OperatorExtraSends retryLimit;
   /// What all daemons together may send to a cold leaf beyond the warm-up rate of its service.
   WarmupTolerance warmup;
   /// Resource limits of this daemon's machine; peers place work by them.
@@ -53,6 +53,6 @@
 /// One line per setting; the unit is part of the name.
 std::string describe(const GatewaySettings& settings);
 /// Returns all validation errors as readable messages; empty if the settings are valid.
-std::vector<std::string> problemsOf(const GatewaySettings& settings);
+std::vector<std::string> validationErrors(const GatewaySettings& settings);
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/leaf_sender.cpp
+++ b/src/programs/gateway/leaf_sender.cpp
@@ -6,12 +6,12 @@
 
 namespace oakpier::serving {
 
-std::size_t LeafSender::connectionsTo(const std::string& service) const {
+std::size_t LeafSender::connectionLimit(const std::string& service) const {
   const auto found = shares_.find(service);
   return found == shares_.end() ? 1 : found->second.connections;
 }
 
-void LeafSender::send(const LeafSend& send, QueryContext& context, LeafPool::Listener listener) {
+void LeafSender::send(const LeafAttempt& send, QueryContext& context, LeafPool::Listener listener) {
   const LeafEntry& leaf = send.action.leaf->entry();
   LeafPool::Order order;
   order.exchange = send.action.exchange;
@@ -35,7 +35,7 @@
     }
     notify(outcome);
   };
-  pool_.send(leaf, connectionsTo(leaf.service), std::move(order));
+  pool_.send(leaf, connectionLimit(leaf.service), std::move(order));
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/leaf_sender.h
+++ b/src/programs/gateway/leaf_sender.h
@@ -13,7 +13,7 @@
 namespace oakpier::serving {
 
 /// One attempt of a request at one leaf.
-struct LeafSend {
+struct LeafAttempt {
   SendAction action;
   std::shared_ptr<const LeafRequestTemplate> request;
   /// Held until the outcome is known.
@@ -27,12 +27,12 @@
   explicit LeafSender(LeafPool& pool) : pool_(pool) {}
 
   /// Sets how many connections this daemon may open to each leaf of a service.
-  void setShares(const ConnectionShares& shares) { shares_ = shares; }
+  void setConnectionShares(const ConnectionShares& shares) { shares_ = shares; }
   /// 1 for a service without a share.
-  std::size_t connectionsTo(const std::string& service) const;
+  std::size_t connectionLimit(const std::string& service) const;
 
   /// `context` must outlive the exchange. `listener.onOutcome` is called after the outcome is recorded.
-  void send(const LeafSend& send, QueryContext& context, LeafPool::Listener listener);
+  void send(const LeafAttempt& send, QueryContext& context, LeafPool::Listener listener);
 
  private:
   LeafPool& pool_;
--- a/src/programs/gateway/loss_ledger.cpp
+++ b/src/programs/gateway/loss_logger.cpp
@@ -1,4 +1,4 @@
-#include "programs/gateway/loss_ledger.h"
+#include "programs/gateway/loss_logger.h"
 
 #include "programs/common/logging.h"
 
@@ -8,7 +8,7 @@
 
 constexpr Duration kPeriod = std::chrono::seconds(1);
 
-void writeCauses(const char* message, const std::string& route, const Loss& loss) {
+void logCauses(const char* message, const std::string& route, const Loss& loss) {
   for (std::size_t number = 0; number < kLossCauses; ++number) {
     const auto cause = static_cast<LossCause>(number);
     if (loss.of(cause) > 0) {
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-void LossLedger::add(const std::string& route, const Loss& loss, Moment now) {
-  writeWhenDue(now);
+void LossLogger::add(const std::string& route, const Loss& loss, Moment now) {
+  flushIfDue(now);
   RouteLoss& sum = routes_[route];
   ++sum.requests;
   for (std::size_t number = 0; number < kLossCauses; ++number) {
@@ -29,27 +29,27 @@
   }
 }
 
-void LossLedger::addServed(const std::string& route, LossCause cause, Moment now) {
-  writeWhenDue(now);
+void LossLogger::addServed(const std::string& route, LossCause cause, Moment now) {
+  flushIfDue(now);
   served_[route].add(cause, 1.0);
 }
 
-void LossLedger::writeWhenDue(Moment now) {
-  if (now - startedAt_ < kPeriod) {
+void LossLogger::flushIfDue(Moment now) {
+  if (now - periodStartedAt_ < kPeriod) {
     return;
   }
-  write();
-  startedAt_ = now;
+  flush();
+  periodStartedAt_ = now;
 }
 
-void LossLedger::write() {
+void LossLogger::flush() {
   for (const auto& [route, sum] : routes_) {
     log(LogLevel::kInfo, "requests ended",
         {{"route", route}, {"requests", sum.requests}, {"lost", sum.loss.total()}});
-    writeCauses("loss", route, sum.loss);
+    logCauses("loss", route, sum.loss);
   }
   for (const auto& [route, loss] : served_) {
-    writeCauses("loss at owner", route, loss);
+    logCauses("loss at owner", route, loss);
   }
   routes_.clear();
   served_.clear();
--- a/src/programs/gateway/loss_ledger.h
+++ b/src/programs/gateway/loss_logger.h
@@ -14,32 +14,32 @@
 namespace oakpier::serving {
 
 /// Not thread-safe.
-class LossLedger {
+class LossLogger {
  public:
-  LossLedger() = default;
-  LossLedger(const LossLedger&) = delete;
-  LossLedger& operator=(const LossLedger&) = delete;
-  ~LossLedger() { write(); }
+  LossLogger() = default;
+  LossLogger(const LossLogger&) = delete;
+  LossLogger& operator=(const LossLogger&) = delete;
+  ~LossLogger() { flush(); }
 
   /// Adds a finished request; `loss` is empty for a complete answer in time.
   void add(const std::string& route, const Loss& loss, Moment now);
   /// Adds a shard that was served for a peer and did not reach it in time with an answer.
   void addServed(const std::string& route, LossCause cause, Moment now);
   /// Logs the sums and resets them.
-  void write();
+  void flush();
 
  private:
   struct RouteLoss {
     std::uint64_t requests = 0;
     Loss loss;
   };
-  void writeWhenDue(Moment now);
+  void flushIfDue(Moment now);
 
   std::map<std::string, RouteLoss> routes_;
   /// Losses of shards served for peers; each shard counts as 1.
   std::map<std::string, Loss> served_;
   /// Start of the current period.
-  Moment startedAt_{};
+  Moment periodStartedAt_{};
 };
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/merge_client.cpp
+++ b/src/programs/gateway/merge_client.cpp
@@ -17,26 +17,27 @@
 /// leafs' deadline.
 constexpr Duration kResultGrace = std::chrono::milliseconds(400);
 
-MergeWork workFor(const MergeClient::Order& order, std::uint64_t run, Moment now) {
+MergeWork workFor(const MergeClient::RequestParameters& parameters, std::uint64_t run, Moment now) {
   MergeWork work;
   work.set_sender_run(run);
-  work.set_method(order.request->method);
-  work.set_target(order.request->target);
-  for (const Header& header : order.request->headers) {
+  work.set_method(parameters.request->method);
+  work.set_target(parameters.request->target);
+  for (const Header& header : parameters.request->headers) {
     HeaderField* field = work.add_headers();
     field->set_name(header.name);
     field->set_value(header.value);
   }
-  work.set_body(order.request->body);
-  work.set_tenant(order.request->tenant);
-  work.set_route(order.route->name);
-  work.set_rank(order.rank);
-  work.set_target_latency_us(static_cast<std::uint64_t>(order.route->targetLatency.count()));
-  const Duration remaining = std::max(order.leafDeadline - now, Duration(0));
+  work.set_body(parameters.request->body);
+  work.set_tenant(parameters.request->tenant);
+  work.set_route(parameters.route->name);
+  work.set_rank(parameters.rank);
+  work.set_target_latency_us(static_cast<std::uint64_t>(parameters.route->targetLatency.count()));
+  const Duration remaining = std::max(parameters.leafDeadline - now, Duration(0));
   work.set_remaining_us(static_cast<std::uint64_t>(remaining.count()));
-  const Duration hold = std::max(std::min(order.decidesAt, order.leafDeadline) - now, Duration(0));
+  const Duration hold = std::max(std::min(parameters.decidesAt, parameters.leafDeadline) - now, Duration(0));
   work.set_hold_us(static_cast<std::uint64_t>(hold.count()));
-  work.set_top_records(static_cast<std::uint32_t>(std::get<GatherTarget>(order.route->target).topRecords));
+  work.set_top_records(
+      static_cast<std::uint32_t>(std::get<GatherTarget>(parameters.route->target).topRecords));
   return work;
 }
 
@@ -79,23 +80,23 @@
 
 }  // namespace
 
-MergeClient::MergeClient(boost::asio::io_context& io, QueryContext& context, ZoneMergers& mergers,
+MergeClient::MergeClient(boost::asio::io_context& io, QueryContext& context, ZoneMergers& mergeServers,
                          FrameSender sendFrame)
     : context_(context),
-      mergers_(mergers),
+      mergeServers_(mergeServers),
       sendFrame_(std::move(sendFrame)),
-      run_(context.random()),
+      runId_(context.random()),
       timer_(io) {}
 
-void MergeClient::send(const std::vector<SendAction>& sends, const Order& order) {
+void MergeClient::send(const std::vector<SendAction>& sends, const RequestParameters& parameters) {
   const Moment now = steadyNow();
-  std::map<Endpoint, std::pair<std::shared_ptr<Work>, PeerEnvelope>> frames;
+  std::map<Endpoint, std::pair<std::shared_ptr<MergeJob>, PeerEnvelope>> frames;
   for (const SendAction& send : sends) {
     const auto [entry, isNew] = frames.try_emplace(*send.merger);
-    auto& [work, frame] = entry->second;
+    auto& [job, frame] = entry->second;
     if (isNew) {
-      work = std::make_shared<Work>(Work{*send.merger, order.route, 0});
-      *frame.mutable_merge_work() = workFor(order, run_, now);
+      job = std::make_shared<MergeJob>(MergeJob{*send.merger, parameters.route, 0});
+      *frame.mutable_merge_work() = workFor(parameters, runId_, now);
       frame.set_time_to_live_ms(kWorkLifetimeMilliseconds);
     }
     MergePart* part = frame.mutable_merge_work()->add_parts();
@@ -103,14 +104,14 @@
     part->set_service(send.leaf->entry().service);
     part->set_leaf(send.leaf->entry().id);
     part->set_leaf_born(send.leaf->entry().bornAt);
-    const Moment expiresAt = order.leafDeadline + kResultGrace;
-    pending_[send.exchange] = Pending{work, send.leaf, now, expiresAt, order.listener};
+    const Moment expiresAt = parameters.leafDeadline + kResultGrace;
+    pending_[send.exchange] = Pending{job, send.leaf, now, expiresAt, parameters.listener};
     expiries_.emplace(expiresAt, send.exchange);
     ++counters_.parts;
   }
-  for (auto& [merger, entry] : frames) {
-    mergers_.onSent(merger, now);
-    sendFrame_(merger, std::move(entry.second));
+  for (auto& [mergeServer, entry] : frames) {
+    mergeServers_.onSent(mergeServer, now);
+    sendFrame_(mergeServer, std::move(entry.second));
   }
   armTimer();
 }
@@ -123,32 +124,32 @@
       continue;
     }
     pending->second.listener = nullptr;
-    PeerEnvelope& frame = frames[pending->second.work->merger];
-    frame.mutable_merge_cancel()->set_sender_run(run_);
+    PeerEnvelope& frame = frames[pending->second.job->mergeServer];
+    frame.mutable_merge_cancel()->set_sender_run(runId_);
     frame.mutable_merge_cancel()->add_exchanges(exchange);
     frame.set_time_to_live_ms(kCancelLifetimeMilliseconds);
   }
-  for (auto& [merger, frame] : frames) {
-    sendFrame_(merger, std::move(frame));
+  for (auto& [mergeServer, frame] : frames) {
+    sendFrame_(mergeServer, std::move(frame));
   }
 }
 
-void MergeClient::onResults(const Endpoint& merger, const MergeResults& results) {
-  if (results.receiver_run() != run_) {
+void MergeClient::onResults(const Endpoint& mergeServer, const MergeResults& results) {
+  if (results.receiver_run() != runId_) {
     return;
   }
   const Moment now = steadyNow();
-  mergers_.onHeard(merger, now);
-  const bool complete = countIn(results);
+  mergeServers_.onHeard(mergeServer, now);
+  const bool complete = acceptAnswers(results);
   std::string records = results.records();
   std::shared_ptr<const Listener> listener;
   std::vector<ExchangeOutcome> outcomes;
   for (const MergeResult& result : results.results()) {
-    const std::optional<Pending> pending = take(result.exchange());
+    const std::optional<Pending> pending = removePending(result.exchange());
     if (!pending) {
       continue;
     }
-    learn(result, *pending, now);
+    recordResult(result, *pending, now);
     listener = pending->listener ? pending->listener : listener;
     const bool lost = result.outcome() == MERGE_ANSWERED && !complete;
     counters_.incomplete += lost ? 1 : 0;
@@ -163,28 +164,28 @@
   armTimer();
 }
 
-bool MergeClient::countIn(const MergeResults& results) {
-  std::shared_ptr<Work> work;
+bool MergeClient::acceptAnswers(const MergeResults& results) {
+  std::shared_ptr<MergeJob> job;
   unsigned answers = 0;
   for (const MergeResult& result : results.results()) {
     if (result.outcome() != MERGE_ANSWERED) {
       continue;
     }
     const auto found = pending_.find(result.exchange());
-    if (found == pending_.end() || (work && found->second.work != work)) {
+    if (found == pending_.end() || (job && found->second.job != job)) {
       return false;
     }
-    work = found->second.work;
+    job = found->second.job;
     ++answers;
   }
-  if (!work || work->answersReceived != results.earlier_answers()) {
+  if (!job || job->answersReceived != results.earlier_answers()) {
     return false;
   }
-  work->answersReceived += answers;
+  job->answersReceived += answers;
   return true;
 }
 
-void MergeClient::learn(const MergeResult& result, const Pending& pending, Moment now) {
+void MergeClient::recordResult(const MergeResult& result, const Pending& pending, Moment now) {
   const auto taken = Duration(static_cast<std::int64_t>(result.taken_us()));
   const Moment endedAt = std::min(now, pending.startedAt + taken);
   pending.leaf->onFinished(result.exchange(), kindOf(result.outcome()), endedAt);
@@ -192,11 +193,11 @@
     pending.leaf->onLoad(ReportedLoad{result.running(), result.waiting(), result.slots()}, endedAt);
   }
   if (result.outcome() == MERGE_ANSWERED) {
-    context_.latencyOf(*pending.work->route).record(endedAt - pending.startedAt, now);
+    context_.latencyOf(*pending.job->route).record(endedAt - pending.startedAt, now);
   }
 }
 
-std::optional<MergeClient::Pending> MergeClient::take(ExchangeId exchange) {
+std::optional<MergeClient::Pending> MergeClient::removePending(ExchangeId exchange) {
   const auto found = pending_.find(exchange);
   if (found == pending_.end()) {
     return std::nullopt;
@@ -207,8 +208,8 @@
   return pending;
 }
 
-void MergeClient::endWithoutResult(ExchangeId exchange, LeafOutcome::Kind kind) {
-  const std::optional<Pending> pending = take(exchange);
+void MergeClient::failPending(ExchangeId exchange, LeafOutcome::Kind kind) {
+  const std::optional<Pending> pending = removePending(exchange);
   if (!pending) {
     return;
   }
@@ -223,7 +224,7 @@
 
 void MergeClient::onUndeliverable(const MergeWork& work) {
   for (const MergePart& part : work.parts()) {
-    endWithoutResult(part.exchange(), LeafOutcome::Kind::kNotSent);
+    failPending(part.exchange(), LeafOutcome::Kind::kNotSent);
   }
   armTimer();
 }
@@ -232,7 +233,7 @@
   const Moment now = steadyNow();
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
     ++counters_.expired;
-    endWithoutResult(expiries_.begin()->second, LeafOutcome::Kind::kNoAnswer);
+    failPending(expiries_.begin()->second, LeafOutcome::Kind::kNoAnswer);
   }
   armTimer();
 }
--- a/src/programs/gateway/merge_client.h
+++ b/src/programs/gateway/merge_client.h
@@ -37,7 +37,7 @@
  public:
   /// Receives outcomes that must be processed together.
   using Listener = std::function<void(const std::vector<ExchangeOutcome>&)>;
-  struct Order {
+  struct RequestParameters {
     std::shared_ptr<const HttpRequest> request;
     /// Held until the last result.
     std::shared_ptr<const Route> route;
@@ -49,27 +49,27 @@
     std::shared_ptr<const Listener> listener;
   };
 
-  MergeClient(boost::asio::io_context& io, QueryContext& context, ZoneMergers& mergers,
+  MergeClient(boost::asio::io_context& io, QueryContext& context, ZoneMergers& mergeServers,
               FrameSender sendFrame);
 
   /// `sends` belong to one query and each name a merge server.
-  void send(const std::vector<SendAction>& sends, const Order& order);
+  void send(const std::vector<SendAction>& sends, const RequestParameters& parameters);
   /// Withdraws the exchanges that were sent to merge servers and ignores others. Their results still update
   /// the leaf status.
   void cancel(const std::vector<ExchangeId>& exchanges);
-  void onResults(const Endpoint& merger, const MergeResults& results);
+  void onResults(const Endpoint& mergeServer, const MergeResults& results);
   void onUndeliverable(const MergeWork& work);
   const MergeClientCounters& counters() const { return counters_; }
 
  private:
   /// The part of one query that one merge server handles.
-  struct Work {
-    Endpoint merger;
+  struct MergeJob {
+    Endpoint mergeServer;
     std::shared_ptr<const Route> route;
     unsigned answersReceived = 0;
   };
   struct Pending {
-    std::shared_ptr<Work> work;
+    std::shared_ptr<MergeJob> job;
     std::shared_ptr<LeafStatus> leaf;
     Moment startedAt{};
     Moment expiresAt{};
@@ -79,21 +79,21 @@
 
   /// Returns true if the answers of the frame are complete: their exchanges are pending and all earlier
   /// answers of the job were received. Then counts them as received.
-  bool countIn(const MergeResults& results);
+  bool acceptAnswers(const MergeResults& results);
   /// Updates the leaf status and latency statistics from the result.
-  void learn(const MergeResult& result, const Pending& pending, Moment now);
+  void recordResult(const MergeResult& result, const Pending& pending, Moment now);
   /// Removes and returns the exchange; empty if it is not pending.
-  std::optional<Pending> take(ExchangeId exchange);
+  std::optional<Pending> removePending(ExchangeId exchange);
   /// Ends an exchange for which the merge server sent no result.
-  void endWithoutResult(ExchangeId exchange, LeafOutcome::Kind kind);
+  void failPending(ExchangeId exchange, LeafOutcome::Kind kind);
   void expire();
   void armTimer();
 
   QueryContext& context_;
-  ZoneMergers& mergers_;
+  ZoneMergers& mergeServers_;
   FrameSender sendFrame_;
   /// Random number that distinguishes this process from earlier ones at its address.
-  std::uint64_t run_;
+  std::uint64_t runId_;
   std::unordered_map<ExchangeId, Pending> pending_;
   std::set<std::pair<Moment, ExchangeId>> expiries_;
   DecisionTimer timer_;
--- a/src/programs/gateway/merge_service.cpp
+++ b/src/programs/gateway/merge_service.cpp
@@ -16,13 +16,13 @@
       server_(context),
       timer_(io) {}
 
-void MergeService::onWork(const Endpoint& asker, const MergeWork& work) {
+void MergeService::onWork(const Endpoint& requester, const MergeWork& work) {
   partsMerged_ += static_cast<std::uint64_t>(work.parts_size());
-  apply(server_.onWork(asker, work, steadyNow()));
+  apply(server_.onWork(requester, work, steadyNow()));
 }
 
-void MergeService::onCancel(const Endpoint& asker, const MergeCancel& cancel) {
-  apply(server_.onCancel(asker, cancel));
+void MergeService::onCancel(const Endpoint& requester, const MergeCancel& cancel) {
+  apply(server_.onCancel(requester, cancel));
 }
 
 void MergeService::apply(const MergeServerActions& actions) {
@@ -46,7 +46,7 @@
 }
 
 void MergeService::send(const MergeSend& merge, std::shared_ptr<const LeafRequestTemplate> request) {
-  LeafSend send;
+  LeafAttempt send;
   send.action = merge.action;
   send.request = std::move(request);
   send.route = std::shared_ptr<const Route>(merge.task, &merge.task->route);
--- a/src/programs/gateway/merge_service.h
+++ b/src/programs/gateway/merge_service.h
@@ -19,14 +19,14 @@
   MergeService(boost::asio::io_context& io, const HeaderNames& names, LeafPool& pool, LeafSender& sender,
                QueryContext& context, FrameSender sendFrame);
 
-  void onWork(const Endpoint& asker, const MergeWork& work);
-  void onCancel(const Endpoint& asker, const MergeCancel& cancel);
+  void onWork(const Endpoint& requester, const MergeWork& work);
+  void onCancel(const Endpoint& requester, const MergeCancel& cancel);
   std::size_t inProgress() const { return server_.inProgress(); }
   std::uint64_t partsMerged() const { return partsMerged_; }
 
  private:
   void apply(const MergeServerActions& actions);
-  void send(const MergeSend& send, std::shared_ptr<const LeafRequestTemplate> request);
+  void send(const MergeSend& merge, std::shared_ptr<const LeafRequestTemplate> request);
   void armTimer();
 
   const HeaderNames& names_;
--- a/src/programs/gateway/owner_client.cpp
+++ b/src/programs/gateway/owner_client.cpp
@@ -16,32 +16,33 @@
 constexpr std::uint32_t kWorkLifetimeMilliseconds = 250;
 constexpr std::uint32_t kCancelLifetimeMilliseconds = 2000;
 /// Maximum number of peers that are probed to open connections in advance.
-constexpr std::size_t kMostGreetings = 100;
+constexpr std::size_t kMaxProbedPeers = 100;
 
 std::uint64_t microsecondsUntil(Moment moment, Moment now) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (moment - now).count()));
 }
 
-OwnerWork workFor(const OwnerClient::Order& order, unsigned attempts, Moment now) {
+OwnerWork workFor(const OwnerClient::RequestParameters& parameters, unsigned attempts, Moment now) {
   OwnerWork work;
-  work.set_method(order.request->method);
-  work.set_target(order.request->target);
-  for (const Header& header : order.request->headers) {
+  work.set_method(parameters.request->method);
+  work.set_target(parameters.request->target);
+  for (const Header& header : parameters.request->headers) {
     HeaderField* field = work.add_headers();
     field->set_name(header.name);
     field->set_value(header.value);
   }
-  work.set_body(order.request->body);
-  work.set_tenant(order.request->tenant);
-  work.set_route(order.route->name);
-  work.set_rank(order.rank);
-  work.set_target_latency_us(static_cast<std::uint64_t>(order.route->targetLatency.count()));
-  work.set_remaining_us(microsecondsUntil(order.leafDeadline, now));
-  work.set_renewable_us(microsecondsUntil(order.lastDeadline, now));
-  work.set_useful_us(microsecondsUntil(order.usefulUntil - kReturnMargin, now));
-  work.set_top_records(static_cast<std::uint32_t>(std::get<GatherTarget>(order.route->target).topRecords));
+  work.set_body(parameters.request->body);
+  work.set_tenant(parameters.request->tenant);
+  work.set_route(parameters.route->name);
+  work.set_rank(parameters.rank);
+  work.set_target_latency_us(static_cast<std::uint64_t>(parameters.route->targetLatency.count()));
+  work.set_remaining_us(microsecondsUntil(parameters.leafDeadline, now));
+  work.set_renewable_us(microsecondsUntil(parameters.lastDeadline, now));
+  work.set_useful_us(microsecondsUntil(parameters.usefulUntil - kReturnMargin, now));
+  work.set_top_records(
+      static_cast<std::uint32_t>(std::get<GatherTarget>(parameters.route->target).topRecords));
   work.set_attempts(attempts);
-  work.set_vetted(order.vetted);
+  work.set_vetted(parameters.skipQuarantineCheck);
   return work;
 }
 
@@ -72,85 +73,85 @@
 }  // namespace
 
 OwnerClient::OwnerClient(QueryContext& context, ShardOwners& owners, FrameSender sendFrame)
-    : context_(context), owners_(owners), sendFrame_(std::move(sendFrame)), run_(context.random()) {}
+    : context_(context), owners_(owners), sendFrame_(std::move(sendFrame)), runId_(context.random()) {}
 
-void OwnerClient::send(const std::vector<RelayAction>& relays, const Order& order) {
+void OwnerClient::send(const std::vector<RelayAction>& delegations, const RequestParameters& parameters) {
   const Moment now = steadyNow();
   std::map<Endpoint, PeerEnvelope> frames;
-  for (const RelayAction& relay : relays) {
-    const auto [frame, isNew] = frames.try_emplace(relay.owner);
+  for (const RelayAction& delegation : delegations) {
+    const auto [frame, isNew] = frames.try_emplace(delegation.owner);
     if (isNew) {
-      *frame->second.mutable_owner_work() = workFor(order, relay.attempts, now);
-      frame->second.mutable_owner_work()->set_sender_run(run_);
+      *frame->second.mutable_owner_work() = workFor(parameters, delegation.attempts, now);
+      frame->second.mutable_owner_work()->set_sender_run(runId_);
       frame->second.set_time_to_live_ms(kWorkLifetimeMilliseconds);
     }
     OwnerPart* part = frame->second.mutable_owner_work()->add_parts();
-    part->set_exchange(relay.exchange);
-    part->set_service(relay.service);
-    pending_[relay.exchange] = Pending{relay.owner, now, order.route, order.listener};
+    part->set_exchange(delegation.exchange);
+    part->set_service(delegation.service);
+    pending_[delegation.exchange] = Pending{delegation.owner, now, parameters.route, parameters.listener};
     ++counters_.parts;
   }
   for (auto& [owner, frame] : frames) {
     owners_.onSent(owner, now);
     sendFrame_(owner, std::move(frame));
   }
-  probeSilentOwners(now);
+  probeUnresponsiveOwners(now);
 }
 
-void OwnerClient::probeSilentOwners(Moment now) {
+void OwnerClient::probeUnresponsiveOwners(Moment now) {
   for (const Endpoint& owner : owners_.takeProbes(now)) {
     ++counters_.probes;
-    askForSignOfLife(owner);
+    sendProbe(owner);
   }
 }
 
-void OwnerClient::askForSignOfLife(const Endpoint& owner) {
+void OwnerClient::sendProbe(const Endpoint& owner) {
   PeerEnvelope frame;
-  frame.mutable_owner_work()->set_sender_run(run_);
+  frame.mutable_owner_work()->set_sender_run(runId_);
   frame.set_time_to_live_ms(kWorkLifetimeMilliseconds);
   sendFrame_(owner, std::move(frame));
 }
 
-void OwnerClient::tellOfSilence() {
+void OwnerClient::reportUnresponsivePeers() {
   const Moment now = steadyNow();
-  const std::vector<Endpoint> silent = owners_.takeNewlySilent(now);
-  if (silent.empty()) {
+  const std::vector<Endpoint> unresponsive = owners_.takeNewlySilent(now);
+  if (unresponsive.empty()) {
     return;
   }
   PeerEnvelope frame;
-  for (const Endpoint& daemon : silent) {
+  for (const Endpoint& daemon : unresponsive) {
     frame.mutable_silent_daemons()->add_addresses(daemon.text());
   }
   frame.set_time_to_live_ms(kWorkLifetimeMilliseconds);
-  ++counters_.silencesTold;
-  for (const Endpoint& daemon : greeted_) {
+  ++counters_.unresponsiveReports;
+  for (const Endpoint& daemon : probed_) {
     if (!owners_.silent(daemon, now)) {
       sendFrame_(daemon, frame);
     }
   }
 }
 
-void OwnerClient::onSilentDaemons(const SilentDaemons& silent) {
+void OwnerClient::onUnresponsivePeers(const SilentDaemons& unresponsive) {
   const Moment now = steadyNow();
-  for (const std::string& address : silent.addresses()) {
+  for (const std::string& address : unresponsive.addresses()) {
     if (const auto daemon = Endpoint::parse(address)) {
       owners_.onToldSilent(*daemon, now);
     }
   }
 }
 
-void OwnerClient::greet(const std::vector<Endpoint>& daemons) {
-  std::set<Endpoint> greeted;
+void OwnerClient::probeNewPeers(const std::vector<Endpoint>& daemons) {
+  std::set<Endpoint> probed;
   for (const Endpoint& daemon : daemons) {
-    if (greeted.size() >= kMostGreetings) {
+    if (probed.size() >= kMaxProbedPeers) {
       break;
     }
-    greeted.insert(daemon);
-    if (greeted_.count(daemon) == 0) {
-      askForSignOfLife(daemon);
+    probed.insert(daemon);
+    if (probed_.count(daemon) == 0) {
+      sendProbe(daemon);
     }
   }
-  greeted_ = std::move(greeted);
+  probed_ = std::move(probed);
 }
 
 void OwnerClient::cancel(const std::vector<ExchangeId>& exchanges) {
@@ -161,7 +162,7 @@
       continue;
     }
     PeerEnvelope& frame = frames[pending->second.owner];
-    frame.mutable_owner_cancel()->set_sender_run(run_);
+    frame.mutable_owner_cancel()->set_sender_run(runId_);
     frame.mutable_owner_cancel()->add_exchanges(exchange);
     frame.set_time_to_live_ms(kCancelLifetimeMilliseconds);
     pending_.erase(pending);
@@ -172,21 +173,21 @@
 }
 
 void OwnerClient::onResults(const Endpoint& owner, const OwnerResults& results) {
-  if (results.receiver_run() != run_) {
+  if (results.receiver_run() != runId_) {
     return;
   }
   const Moment now = steadyNow();
   owners_.onHeard(owner, now);
   Listeners listeners;
   for (const OwnerResult& result : results.results()) {
-    takeResult(result, now, listeners);
+    collectResult(result, now, listeners);
   }
   for (const auto& [listener, outcomes] : listeners) {
     (*listener)(outcomes);
   }
 }
 
-void OwnerClient::takeResult(const OwnerResult& result, Moment now, Listeners& listeners) {
+void OwnerClient::collectResult(const OwnerResult& result, Moment now, Listeners& listeners) {
   const auto found = pending_.find(result.exchange());
   if (found == pending_.end()) {
     return;
--- a/src/programs/gateway/owner_client.h
+++ b/src/programs/gateway/owner_client.h
@@ -26,7 +26,7 @@
   /// Probes of unresponsive owners.
   std::uint64_t probes = 0;
   /// Reports of unresponsive peers to the zone.
-  std::uint64_t silencesTold = 0;
+  std::uint64_t unresponsiveReports = 0;
   /// Work frames that could not be handed to the network.
   std::uint64_t undeliverable = 0;
 };
@@ -36,10 +36,10 @@
   /// Receives all outcomes of one frame together.
   using Listener = std::function<void(const std::vector<ExchangeOutcome>&)>;
   /// What all delegated shards of one request share.
-  struct Order {
+  struct RequestParameters {
     std::shared_ptr<const HttpRequest> request;
     /// The request is a quarantine trial: it has crashed leafs, but owners must not refuse it.
-    bool vetted = false;
+    bool skipQuarantineCheck = false;
     /// Held until the last result.
     std::shared_ptr<const Route> route;
     /// Request priority: the tenant's rank, or the route's if the tenant has none; 0 is the most urgent.
@@ -53,18 +53,18 @@
 
   OwnerClient(QueryContext& context, ShardOwners& owners, FrameSender sendFrame);
 
-  void send(const std::vector<RelayAction>& relays, const Order& order);
+  void send(const std::vector<RelayAction>& delegations, const RequestParameters& parameters);
   /// `daemons`: all peers of the zone. Probes the new ones so that connections are established before work is
   /// sent.
-  void greet(const std::vector<Endpoint>& daemons);
+  void probeNewPeers(const std::vector<Endpoint>& daemons);
   /// Withdraws the exchanges that were delegated to owners and ignores others.
   void cancel(const std::vector<ExchangeId>& exchanges);
   void onResults(const Endpoint& owner, const OwnerResults& results);
   void onUndeliverable(const OwnerWork& work);
   /// Reports newly unresponsive peers to the rest of the zone, so that not every daemon has to lose a query
   /// to detect them.
-  void tellOfSilence();
-  void onSilentDaemons(const SilentDaemons& silent);
+  void reportUnresponsivePeers();
+  void onUnresponsivePeers(const SilentDaemons& unresponsive);
   const OwnerClientCounters& counters() const { return counters_; }
 
  private:
@@ -75,19 +75,19 @@
     std::shared_ptr<const Listener> listener;
   };
 
-  void askForSignOfLife(const Endpoint& owner);
-  void probeSilentOwners(Moment now);
+  void sendProbe(const Endpoint& owner);
+  void probeUnresponsiveOwners(Moment now);
   using Listeners = std::map<std::shared_ptr<const Listener>, std::vector<ExchangeOutcome>>;
   /// Adds the outcome of a result to the outcomes for its listener.
-  void takeResult(const OwnerResult& result, Moment now, Listeners& listeners);
+  void collectResult(const OwnerResult& result, Moment now, Listeners& listeners);
 
   QueryContext& context_;
   ShardOwners& owners_;
   FrameSender sendFrame_;
   /// Random number that distinguishes this process from earlier ones at its address.
-  std::uint64_t run_;
+  std::uint64_t runId_;
   std::unordered_map<ExchangeId, Pending> pending_;
-  std::set<Endpoint> greeted_;
+  std::set<Endpoint> probed_;
   OwnerClientCounters counters_;
 };
 
--- a/src/programs/gateway/owner_service.cpp
+++ b/src/programs/gateway/owner_service.cpp
@@ -27,18 +27,18 @@
       timer_(io),
       acknowledgeTimer_(io) {}
 
-void OwnerService::onWork(const Endpoint& asker, const OwnerWork& work) {
+void OwnerService::onWork(const Endpoint& requester, const OwnerWork& work) {
   partsServed_ += static_cast<std::uint64_t>(work.parts_size());
-  acknowledgeLater({asker, work.sender_run()});
-  apply(server_.onWork(asker, work, steadyNow()));
+  scheduleAcknowledgement({requester, work.sender_run()});
+  apply(server_.onWork(requester, work, steadyNow()));
 }
 
 void OwnerService::setOwnedShards(const std::unordered_set<std::string>& services) {
   context_.budgets.setHeld(services, steadyNow());
 }
 
-void OwnerService::onCancel(const Endpoint& asker, const OwnerCancel& cancel) {
-  apply(server_.onCancel(asker, cancel));
+void OwnerService::onCancel(const Endpoint& requester, const OwnerCancel& cancel) {
+  apply(server_.onCancel(requester, cancel));
 }
 
 void OwnerService::apply(const ShardServerActions& actions) {
@@ -61,8 +61,8 @@
     boost::asio::post(io_, [this] { flushResults(); });
   }
   for (const OutgoingResults& outgoing : actions.results) {
-    const AskerProcess asker{outgoing.to, outgoing.results.receiver_run()};
-    results_[asker].MergeFrom(outgoing.results);
+    const RequesterProcess requester{outgoing.to, outgoing.results.receiver_run()};
+    results_[requester].MergeFrom(outgoing.results);
   }
   armTimer();
 }
@@ -74,7 +74,7 @@
 }
 
 void OwnerService::send(const ServedSend& served, std::shared_ptr<const LeafRequestTemplate> request) {
-  LeafSend send;
+  LeafAttempt send;
   send.action = served.action;
   send.request = std::move(request);
   send.route = std::shared_ptr<const Route>(served.work, &served.work->route);
@@ -89,33 +89,33 @@
 }
 
 void OwnerService::flushResults() {
-  std::map<AskerProcess, OwnerResults> results;
+  std::map<RequesterProcess, OwnerResults> results;
   results.swap(results_);
-  for (auto& [asker, found] : results) {
+  for (auto& [requester, found] : results) {
     PeerEnvelope envelope;
     *envelope.mutable_owner_results() = std::move(found);
-    unacknowledged_.erase(asker);
-    sendFrame_(asker.first, std::move(envelope));
+    unacknowledged_.erase(requester);
+    sendFrame_(requester.first, std::move(envelope));
   }
 }
 
-void OwnerService::acknowledgeLater(const AskerProcess& asker) {
+void OwnerService::scheduleAcknowledgement(const RequesterProcess& requester) {
   if (unacknowledged_.empty()) {
     acknowledgeTimer_.expires_after(kAcknowledgeAfter);
     acknowledgeTimer_.async_wait([this](const boost::system::error_code& error) {
       if (!error) {
-        acknowledge();
+        sendAcknowledgements();
       }
     });
   }
-  unacknowledged_.insert(asker);
+  unacknowledged_.insert(requester);
 }
 
-void OwnerService::acknowledge() {
-  for (const auto& [asker, run] : unacknowledged_) {
+void OwnerService::sendAcknowledgements() {
+  for (const auto& [requester, run] : unacknowledged_) {
     PeerEnvelope envelope;
     envelope.mutable_owner_results()->set_receiver_run(run);
-    sendFrame_(asker, std::move(envelope));
+    sendFrame_(requester, std::move(envelope));
   }
   unacknowledged_.clear();
 }
--- a/src/programs/gateway/owner_service.h
+++ b/src/programs/gateway/owner_service.h
@@ -26,17 +26,17 @@
   OwnerService(boost::asio::io_context& io, const HeaderNames& names, LeafPool& pool, LeafSender& sender,
                QueryContext context, FrameSender sendFrame);
 
-  void onWork(const Endpoint& asker, const OwnerWork& work);
+  void onWork(const Endpoint& requester, const OwnerWork& work);
   /// `services`: the shards of which this daemon is the first owner.
   void setOwnedShards(const std::unordered_set<std::string>& services);
-  void onCancel(const Endpoint& asker, const OwnerCancel& cancel);
+  void onCancel(const Endpoint& requester, const OwnerCancel& cancel);
   std::size_t inProgress() const { return server_.inProgress(); }
   std::uint64_t partsServed() const { return partsServed_; }
   void setWarmups(const WarmupAllowances& warmups) { context_.warmups = warmups; }
-  std::uint64_t logLinesLeftOut() const { return log_.linesLeftOut(); }
+  std::uint64_t logLinesSuppressed() const { return log_.linesSuppressed(); }
 
  private:
-  using AskerProcess = std::pair<Endpoint, std::uint64_t>;
+  using RequesterProcess = std::pair<Endpoint, std::uint64_t>;
 
   void apply(const ShardServerActions& actions);
   void logUnanswered(const UnansweredPart& part);
@@ -44,8 +44,8 @@
   /// Sends the results of one event-loop turn in one frame per requester.
   void flushResults();
   /// Acknowledges the requester's work unless a result is sent first.
-  void acknowledgeLater(const AskerProcess& asker);
-  void acknowledge();
+  void scheduleAcknowledgement(const RequesterProcess& requester);
+  void sendAcknowledgements();
   void armTimer();
 
   boost::asio::io_context& io_;
@@ -56,9 +56,9 @@
   FrameSender sendFrame_;
   ShardServer server_;
   DecisionTimer timer_;
-  std::map<AskerProcess, OwnerResults> results_;
+  std::map<RequesterProcess, OwnerResults> results_;
   /// Requesters that were sent no frame since their work arrived.
-  std::set<AskerProcess> unacknowledged_;
+  std::set<RequesterProcess> unacknowledged_;
   boost::asio::steady_timer acknowledgeTimer_;
   std::uint64_t partsServed_ = 0;
   RequestLog log_{RequestLogSettings{}};
--- a/src/programs/gateway/peer_link.cpp
+++ b/src/programs/gateway/peer_messenger.cpp
@@ -1,4 +1,4 @@
-#include "programs/gateway/peer_link.h"
+#include "programs/gateway/peer_messenger.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -14,34 +14,34 @@
 
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
+constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
 /// A tick that is late by this much indicates a pause of the process or its machine.
-constexpr Duration kPause = std::chrono::seconds(1);
+constexpr Duration kPauseThreshold = std::chrono::seconds(1);
 /// Frames that were in transit for longer are ignored.
 constexpr std::uint32_t kTimeToLiveMilliseconds = 1000;
 
 /// Probes compare complete member tables for this long after the start. In fleets of hundreds of daemons
 /// these would otherwise dominate the traffic between daemons.
-constexpr Duration kMembershipSettling = std::chrono::seconds(4);
+constexpr Duration kStabilizationTime = std::chrono::seconds(4);
 /// After a simultaneous start of all daemons, tables become complete in about six rounds.
-constexpr Duration kSettlingProbePeriod = std::chrono::milliseconds(250);
+constexpr Duration kStabilizationProbePeriod = std::chrono::milliseconds(250);
 
 MembershipSettings membershipSettings() {
   MembershipSettings settings;
   settings.adoptHigherIncarnation = true;
-  settings.settlingTime = kMembershipSettling;
-  settings.settlingProbePeriod = kSettlingProbePeriod;
+  settings.settlingTime = kStabilizationTime;
+  settings.settlingProbePeriod = kStabilizationProbePeriod;
   return settings;
 }
 
-bool isAboutShards(const PeerEnvelope& envelope) {
+bool isForRequestThread(const PeerEnvelope& envelope) {
   return envelope.has_owner_work() || envelope.has_owner_results() || envelope.has_owner_cancel() ||
          envelope.has_silent_daemons() || envelope.has_merge_work() || envelope.has_merge_results() ||
          envelope.has_merge_cancel() || envelope.has_ending_requests() || envelope.has_token_request() ||
          envelope.has_token_reply();
 }
 
-void insertInOrder(const ServingDaemon& daemon, std::vector<ServingDaemon>& daemons) {
+void insertSorted(const ServingDaemon& daemon, std::vector<ServingDaemon>& daemons) {
   const auto place = std::lower_bound(
       daemons.begin(), daemons.end(), daemon.address,
       [](const ServingDaemon& other, const Endpoint& address) { return other.address < address; });
@@ -55,7 +55,8 @@
 
 }  // namespace
 
-PeerLink::PeerLink(boost::asio::io_context& context, const PeerLinkSettings& settings, Handlers handlers)
+PeerMessenger::PeerMessenger(boost::asio::io_context& context, const PeerMessengerSettings& settings,
+                             Handlers handlers)
     : context_(context),
       settings_(settings),
       handlers_(std::move(handlers)),
@@ -67,8 +68,8 @@
                                    }
                                  },
                                  [this](const Endpoint&, PeerEnvelope envelope) {
-                                   if (isAboutShards(envelope)) {
-                                     handlers_.onShardFrameUndeliverable(std::move(envelope));
+                                   if (isForRequestThread(envelope)) {
+                                     handlers_.onRequestFrameUndeliverable(std::move(envelope));
                                    }
                                  }}),
       tick_(context) {
@@ -77,59 +78,59 @@
   incarnation_ = membership_.incarnation();
 }
 
-void PeerLink::receive(PeerEnvelope envelope) {
-  if (!isAboutShards(envelope)) {
+void PeerMessenger::receive(PeerEnvelope envelope) {
+  if (!isForRequestThread(envelope)) {
     boost::asio::post(context_, [this, envelope = std::move(envelope)] { onEnvelope(envelope); });
     return;
   }
   if (const auto sender = Endpoint::parse(envelope.sender())) {
-    handlers_.onShardFrame(*sender, std::move(envelope));
+    handlers_.onRequestFrame(*sender, std::move(envelope));
   }
 }
 
-std::string PeerLink::start() {
-  std::string problem = transport_.start();
-  if (problem.empty()) {
+std::string PeerMessenger::start() {
+  std::string error = transport_.start();
+  if (error.empty()) {
     scheduleTick();
   }
-  return problem;
+  return error;
 }
 
-void PeerLink::stop() { transport_.stop(); }
+void PeerMessenger::stop() { transport_.stop(); }
 
-void PeerLink::scheduleTick() {
-  tick_.expires_after(kTick);
+void PeerMessenger::scheduleTick() {
+  tick_.expires_after(kTickPeriod);
   tick_.async_wait([this](const boost::system::error_code& error) {
     if (error) {
       return;
     }
     const Moment now = steadyNow();
-    if (lastTickAt_ != Moment{} && now - lastTickAt_ > kPause) {
+    if (lastTickAt_ != Moment{} && now - lastTickAt_ > kPauseThreshold) {
       membership_.onPause(now);
       handlers_.onPause();
     }
     lastTickAt_ = now;
-    carryOut(membership_.onTime(now));
+    apply(membership_.onTime(now));
     publishMembers();
     publishSuspects();
     scheduleTick();
   });
 }
 
-void PeerLink::onEnvelope(const PeerEnvelope& envelope) {
+void PeerMessenger::onEnvelope(const PeerEnvelope& envelope) {
   const auto sender = Endpoint::parse(envelope.sender());
   if (!sender) {
     return;
   }
   const Moment now = steadyNow();
   if (envelope.has_probe()) {
-    carryOut(membership_.onProbe(*sender, envelope.probe(), now));
+    apply(membership_.onProbe(*sender, envelope.probe(), now));
   } else if (envelope.has_probe_reply()) {
-    carryOut(membership_.onReply(*sender, envelope.probe_reply(), now));
-  } else if (const auto news = unpackNews(envelope)) {
-    handlers_.onNews(*sender, *news);
+    apply(membership_.onReply(*sender, envelope.probe_reply(), now));
+  } else if (const auto update = unpackNews(envelope)) {
+    handlers_.onUpdate(*sender, *update);
   } else if (envelope.has_source_news_request()) {
-    handlers_.onNewsRequest(*sender, envelope.source_news_request());
+    handlers_.onUpdateRequest(*sender, envelope.source_news_request());
   } else if (envelope.has_configuration_proof_request()) {
     handlers_.onProofRequest(*sender, envelope.configuration_proof_request());
   } else if (envelope.has_configuration_proof_reply()) {
@@ -137,7 +138,7 @@
   }
 }
 
-void PeerLink::carryOut(const MembershipActions& actions) {
+void PeerMessenger::apply(const MembershipActions& actions) {
   for (const OutgoingProbe& outgoing : actions.probes) {
     PeerEnvelope envelope;
     *envelope.mutable_probe() = outgoing.probe;
@@ -150,12 +151,12 @@
   }
 }
 
-void PeerLink::send(const Endpoint& to, PeerEnvelope envelope) {
+void PeerMessenger::send(const Endpoint& to, PeerEnvelope envelope) {
   incarnation_ = membership_.incarnation();
-  sendShardFrame(to, std::move(envelope));
+  sendFrame(to, std::move(envelope));
 }
 
-void PeerLink::sendShardFrame(const Endpoint& to, PeerEnvelope envelope) {
+void PeerMessenger::sendFrame(const Endpoint& to, PeerEnvelope envelope) {
   envelope.set_sender(settings_.self.text());
   envelope.set_incarnation(incarnation_);
   if (envelope.time_to_live_ms() == 0) {
@@ -164,22 +165,22 @@
   transport_.send(to, std::move(envelope));
 }
 
-void PeerLink::introduceMembers(const Endpoint& to) {
+void PeerMessenger::sendMembers(const Endpoint& to) {
   PeerEnvelope envelope;
   *envelope.mutable_probe_reply() = membership_.introduction(to);
   send(to, std::move(envelope));
 }
 
-void PeerLink::sendNews(const Endpoint& to, const SourceNews& news) {
+void PeerMessenger::sendUpdate(const Endpoint& to, const SourceNews& update) {
   PeerEnvelope envelope;
-  if (news.whole()) {
-    introduceMembers(to);
+  if (update.whole()) {
+    sendMembers(to);
   }
-  newsPacker_.pack(news, envelope);
+  updatePacker_.pack(update, envelope);
   send(to, std::move(envelope));
 }
 
-void PeerLink::askForNews(const Endpoint& from, const SourcePosition& known) {
+void PeerMessenger::requestUpdate(const Endpoint& from, const SourcePosition& known) {
   PeerEnvelope envelope;
   SourceNewsRequest* request = envelope.mutable_source_news_request();
   request->set_known_revision(known.revision);
@@ -187,21 +188,21 @@
   send(from, std::move(envelope));
 }
 
-void PeerLink::askForProof(const Endpoint& from, const ConfigurationProofRequest& request) {
+void PeerMessenger::requestProof(const Endpoint& from, const ConfigurationProofRequest& request) {
   PeerEnvelope envelope;
   *envelope.mutable_configuration_proof_request() = request;
   send(from, std::move(envelope));
 }
 
-void PeerLink::sendProof(const Endpoint& to, const ConfigurationProofReply& reply) {
+void PeerMessenger::sendProof(const Endpoint& to, const ConfigurationProofReply& reply) {
   PeerEnvelope envelope;
   *envelope.mutable_configuration_proof_reply() = reply;
   send(to, std::move(envelope));
 }
 
-void PeerLink::leave() { carryOut(membership_.leave(steadyNow())); }
+void PeerMessenger::leave() { apply(membership_.leave(steadyNow())); }
 
-void PeerLink::publishSuspects() {
+void PeerMessenger::publishSuspects() {
   const auto& records = membership_.members().records();
   std::vector<Endpoint> suspects;
   for (const MemberRecord& record : records) {
@@ -215,7 +216,7 @@
   }
 }
 
-void PeerLink::publishMembers() {
+void PeerMessenger::publishMembers() {
   if (membership_.version() == publishedVersion_) {
     return;
   }
@@ -233,9 +234,9 @@
     }
   }
   const ServingDaemon own(settings_.self, membership_.capacity());
-  insertInOrder(own, daemons.all);
+  insertSorted(own, daemons.all);
   const bool aloneInZone = daemons.ownZone.empty();
-  insertInOrder(own, daemons.ownZone);
+  insertSorted(own, daemons.ownZone);
   daemons.zones = zones.size() + (aloneInZone ? 1 : 0);
   handlers_.onMembers(daemons);
 }
--- a/src/programs/gateway/peer_link.h
+++ b/src/programs/gateway/peer_messenger.h
@@ -18,7 +18,7 @@
 
 namespace oakpier::serving {
 
-struct PeerLinkSettings {
+struct PeerMessengerSettings {
   Endpoint self;
   std::string zone;
   std::vector<Endpoint> seeds;
@@ -26,11 +26,11 @@
   unsigned capacity = 0;
 };
 
-class PeerLink {
+class PeerMessenger {
  public:
   struct Handlers {
-    std::function<void(const Endpoint& sender, const SourceNews& news)> onNews;
-    std::function<void(const Endpoint& sender, const SourceNewsRequest& request)> onNewsRequest;
+    std::function<void(const Endpoint& sender, const SourceNews& update)> onUpdate;
+    std::function<void(const Endpoint& sender, const SourceNewsRequest& request)> onUpdateRequest;
     std::function<void(const Endpoint& sender, const ConfigurationProofRequest& request)> onProofRequest;
     std::function<void(const Endpoint& sender, const ConfigurationProofReply& reply)> onProofReply;
     /// `daemons` is sorted by address.
@@ -38,14 +38,14 @@
     /// The process or its machine was paused for longer than load can explain.
     std::function<void()> onPause;
     /// Received a frame for the request thread. Called on the transport's thread.
-    std::function<void(const Endpoint& sender, PeerEnvelope envelope)> onShardFrame;
+    std::function<void(const Endpoint& sender, PeerEnvelope envelope)> onRequestFrame;
     /// A frame of the request thread was not handed to the network. Called on the transport's thread.
-    std::function<void(PeerEnvelope envelope)> onShardFrameUndeliverable;
+    std::function<void(PeerEnvelope envelope)> onRequestFrameUndeliverable;
     /// Called with all suspected daemons whenever the set changes.
     std::function<void(const std::vector<Endpoint>& suspected)> onSuspected;
   };
 
-  PeerLink(boost::asio::io_context& context, const PeerLinkSettings& settings, Handlers handlers);
+  PeerMessenger(boost::asio::io_context& context, const PeerMessengerSettings& settings, Handlers handlers);
 
   /// Returns an error message if the address cannot be bound, otherwise an empty string.
   std::string start();
@@ -53,13 +53,13 @@
   void setSeeds(const std::vector<Endpoint>& seeds) { membership_.setSeeds(seeds); }
   /// `capacity`: in hundredths of a core; 0 reports none.
   void setCapacity(unsigned capacity) { membership_.setCapacity(capacity); }
-  void sendNews(const Endpoint& to, const SourceNews& news);
+  void sendUpdate(const Endpoint& to, const SourceNews& update);
   /// Requests all updates after the position `known`.
-  void askForNews(const Endpoint& from, const SourcePosition& known);
-  void askForProof(const Endpoint& from, const ConfigurationProofRequest& request);
+  void requestUpdate(const Endpoint& from, const SourcePosition& known);
+  void requestProof(const Endpoint& from, const ConfigurationProofRequest& request);
   void sendProof(const Endpoint& to, const ConfigurationProofReply& reply);
   /// Thread-safe.
-  void sendShardFrame(const Endpoint& to, PeerEnvelope envelope);
+  void sendFrame(const Endpoint& to, PeerEnvelope envelope);
   /// Thread-safe.
   const PeerTransportCounters& counters() const { return transport_.counters(); }
   /// Notifies peers that this daemon leaves the fleet.
@@ -68,22 +68,22 @@
  private:
   void receive(PeerEnvelope envelope);
   void onEnvelope(const PeerEnvelope& envelope);
-  void carryOut(const MembershipActions& actions);
+  void apply(const MembershipActions& actions);
   void send(const Endpoint& to, PeerEnvelope envelope);
   void scheduleTick();
   void publishMembers();
   void publishSuspects();
   /// Sends the known members to a daemon that has just started.
-  void introduceMembers(const Endpoint& to);
+  void sendMembers(const Endpoint& to);
 
   boost::asio::io_context& context_;
-  PeerLinkSettings settings_;
+  PeerMessengerSettings settings_;
   Handlers handlers_;
   Membership membership_;
   /// Copy of the incarnation of `membership_` for other threads.
   std::atomic<std::uint64_t> incarnation_{0};
   PeerTransport transport_;
-  NewsPacker newsPacker_;
+  NewsPacker updatePacker_;
   boost::asio::steady_timer tick_;
   Moment lastTickAt_{};
   std::uint64_t publishedVersion_ = 0;
--- a/src/programs/gateway/quarantine_link.cpp
+++ b/src/programs/gateway/quarantine_gossip.cpp
@@ -1,4 +1,4 @@
-#include "programs/gateway/quarantine_link.h"
+#include "programs/gateway/quarantine_gossip.h"
 
 #include <algorithm>
 #include <iterator>
@@ -15,12 +15,12 @@
 
 /// Fan-out of a new record. Every receiver forwards it too, so that it reaches all but a share of e^-8
 /// (0.03%) of 7,100 daemons in about four rounds; anti-entropy reaches the rest.
-constexpr std::size_t kSpread = 8;
+constexpr std::size_t kFanOut = 8;
 /// Changes within this time are sent together: a request for 20 shards crashes 20 leafs within milliseconds.
-constexpr Duration kGather = std::chrono::milliseconds(2);
+constexpr Duration kBatchDelay = std::chrono::milliseconds(2);
 /// Anti-entropy period. A daemon receives two such frames per second on average, and none within four seconds
 /// with a probability of e^-8 (0.03%). A record takes about 80 bytes, so ten records cost 1.6 KB/s.
-constexpr Duration kRepairPeriod = std::chrono::milliseconds(500);
+constexpr Duration kAntiEntropyPeriod = std::chrono::milliseconds(500);
 /// A late frame is useless because anti-entropy sends a newer one.
 constexpr std::uint32_t kLifetimeMilliseconds = 1000;
 
@@ -39,58 +39,58 @@
 
 }  // namespace
 
-QuarantineLink::QuarantineLink(boost::asio::io_context& io, RequestQuarantine& quarantine,
-                               RandomEngine& random, const Endpoint& self, SendFrame sendFrame)
+QuarantineGossip::QuarantineGossip(boost::asio::io_context& io, RequestQuarantine& quarantine,
+                                   RandomEngine& random, const Endpoint& self, SendFrame sendFrame)
     : io_(io),
       quarantine_(quarantine),
       random_(random),
       self_(self),
       sendFrame_(std::move(sendFrame)),
-      tellTimer_(io_),
-      repairTimer_(io_) {}
+      sendTimer_(io_),
+      antiEntropyTimer_(io_) {}
 
-void QuarantineLink::setDaemons(const std::vector<Endpoint>& daemons) {
-  others_ = daemons;
-  others_.erase(std::remove(others_.begin(), others_.end(), self_), others_.end());
+void QuarantineGossip::setDaemons(const std::vector<Endpoint>& daemons) {
+  peers_ = daemons;
+  peers_.erase(std::remove(peers_.begin(), peers_.end(), self_), peers_.end());
 }
 
-void QuarantineLink::onFrame(const EndingRequests& message) {
+void QuarantineGossip::onFrame(const EndingRequests& message) {
   for (const QuarantineRecord& record : decodeEndingRequests(message, steadyNow())) {
     quarantine_.merge(record);
-    ++counters_.recordsTakenOver;
+    ++counters_.recordsMerged;
   }
   onChanged();
 }
 
-void QuarantineLink::onChanged() {
+void QuarantineGossip::onChanged() {
   if (quarantine_.empty()) {
     return;
   }
-  if (!std::exchange(telling_, true)) {
-    tellTimer_.expires_after(kGather);
-    tellTimer_.async_wait([this](const boost::system::error_code& error) {
-      telling_ = false;
+  if (!std::exchange(sendScheduled_, true)) {
+    sendTimer_.expires_after(kBatchDelay);
+    sendTimer_.async_wait([this](const boost::system::error_code& error) {
+      sendScheduled_ = false;
       if (!error) {
-        tellChanged();
+        sendChangedRecords();
       }
     });
   }
-  if (!std::exchange(repairing_, true)) {
-    scheduleRepair();
+  if (!std::exchange(antiEntropyScheduled_, true)) {
+    scheduleAntiEntropy();
   }
 }
 
-void QuarantineLink::tellChanged() {
+void QuarantineGossip::sendChangedRecords() {
   const std::vector<QuarantineRecord> changed = quarantine_.takeChanged();
   for (const QuarantineRecord& record : changed) {
-    logBelief(record);
+    logVerdict(record);
   }
   if (!changed.empty()) {
-    tell(changed, drawReceivers(kSpread));
+    sendRecords(changed, pickRandomPeers(kFanOut));
   }
 }
 
-void QuarantineLink::logBelief(const QuarantineRecord& record) const {
+void QuarantineGossip::logVerdict(const QuarantineRecord& record) const {
   const Moment now = steadyNow();
   const Duration age = now - record.lastEndedAt;
   log(LogLevel::kWarning, "leafs end under a request",
@@ -102,37 +102,37 @@
        {"last_ended_ms_ago", toMilliseconds(age)}});
 }
 
-void QuarantineLink::scheduleRepair() {
-  repairTimer_.expires_after(kRepairPeriod);
-  repairTimer_.async_wait([this](const boost::system::error_code& error) {
+void QuarantineGossip::scheduleAntiEntropy() {
+  antiEntropyTimer_.expires_after(kAntiEntropyPeriod);
+  antiEntropyTimer_.async_wait([this](const boost::system::error_code& error) {
     if (error) {
       return;
     }
     quarantine_.forgetOld(steadyNow());
     if (quarantine_.empty()) {
-      repairing_ = false;
+      antiEntropyScheduled_ = false;
       return;
     }
-    tell(quarantine_.newest(kMostEndingRequestsInFrame), drawReceivers(1));
-    scheduleRepair();
+    sendRecords(quarantine_.newest(kMostEndingRequestsInFrame), pickRandomPeers(1));
+    scheduleAntiEntropy();
   });
 }
 
-std::vector<Endpoint> QuarantineLink::drawReceivers(std::size_t count) {
-  std::vector<Endpoint> drawn;
-  std::sample(others_.begin(), others_.end(), std::back_inserter(drawn), count, random_);
-  return drawn;
+std::vector<Endpoint> QuarantineGossip::pickRandomPeers(std::size_t count) {
+  std::vector<Endpoint> picked;
+  std::sample(peers_.begin(), peers_.end(), std::back_inserter(picked), count, random_);
+  return picked;
 }
 
-void QuarantineLink::tell(const std::vector<QuarantineRecord>& records,
-                          const std::vector<Endpoint>& receivers) {
+void QuarantineGossip::sendRecords(const std::vector<QuarantineRecord>& records,
+                                   const std::vector<Endpoint>& receivers) {
   const Moment now = steadyNow();
   for (std::size_t begin = 0; begin < records.size(); begin += kMostEndingRequestsInFrame) {
     const std::size_t end = std::min(records.size(), begin + kMostEndingRequestsInFrame);
-    const std::vector<QuarantineRecord> some(records.begin() + static_cast<std::ptrdiff_t>(begin),
-                                             records.begin() + static_cast<std::ptrdiff_t>(end));
+    const std::vector<QuarantineRecord> batch(records.begin() + static_cast<std::ptrdiff_t>(begin),
+                                              records.begin() + static_cast<std::ptrdiff_t>(end));
     PeerEnvelope frame;
-    *frame.mutable_ending_requests() = encodeEndingRequests(some, now);
+    *frame.mutable_ending_requests() = encodeEndingRequests(batch, now);
     frame.set_time_to_live_ms(kLifetimeMilliseconds);
     for (const Endpoint& receiver : receivers) {
       ++counters_.framesSent;
--- a/src/programs/gateway/quarantine_link.h
+++ b/src/programs/gateway/quarantine_gossip.h
@@ -19,44 +19,44 @@
 
 namespace oakpier::serving {
 
-struct QuarantineLinkCounters {
+struct QuarantineGossipCounters {
   std::uint64_t framesSent = 0;
-  std::uint64_t recordsTakenOver = 0;
+  std::uint64_t recordsMerged = 0;
 };
 
-class QuarantineLink {
+class QuarantineGossip {
  public:
   using SendFrame = std::function<void(const Endpoint&, PeerEnvelope)>;
 
-  QuarantineLink(boost::asio::io_context& io, RequestQuarantine& quarantine, RandomEngine& random,
-                 const Endpoint& self, SendFrame sendFrame);
+  QuarantineGossip(boost::asio::io_context& io, RequestQuarantine& quarantine, RandomEngine& random,
+                   const Endpoint& self, SendFrame sendFrame);
 
   /// `daemons`: all serving daemons; may include this one.
   void setDaemons(const std::vector<Endpoint>& daemons);
   void onFrame(const EndingRequests& message);
   /// Call after a possible change of the quarantine.
   void onChanged();
-  const QuarantineLinkCounters& counters() const { return counters_; }
+  const QuarantineGossipCounters& counters() const { return counters_; }
 
  private:
-  void tellChanged();
+  void sendChangedRecords();
   /// Logs the verdict that applies to the request from now on.
-  void logBelief(const QuarantineRecord& record) const;
-  void tell(const std::vector<QuarantineRecord>& records, const std::vector<Endpoint>& receivers);
-  std::vector<Endpoint> drawReceivers(std::size_t count);
-  void scheduleRepair();
+  void logVerdict(const QuarantineRecord& record) const;
+  void sendRecords(const std::vector<QuarantineRecord>& records, const std::vector<Endpoint>& receivers);
+  std::vector<Endpoint> pickRandomPeers(std::size_t count);
+  void scheduleAntiEntropy();
 
   boost::asio::io_context& io_;
   RequestQuarantine& quarantine_;
   RandomEngine& random_;
   Endpoint self_;
   SendFrame sendFrame_;
-  std::vector<Endpoint> others_;
-  bool telling_ = false;
-  bool repairing_ = false;
-  boost::asio::steady_timer tellTimer_;
-  boost::asio::steady_timer repairTimer_;
-  QuarantineLinkCounters counters_;
+  std::vector<Endpoint> peers_;
+  bool sendScheduled_ = false;
+  bool antiEntropyScheduled_ = false;
+  boost::asio::steady_timer sendTimer_;
+  boost::asio::steady_timer antiEntropyTimer_;
+  QuarantineGossipCounters counters_;
 };
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/quota_link.h
+++ b/src/programs/gateway/quota_enforcer.h
@@ -3,9 +3,9 @@
 /// Enforces tenant limits over the whole fleet: decides whether a request of a limited tenant is admitted,
 /// and answers the token requests that peers send to it as a quota server. Runs on the request thread.
 ///
-/// Invariants: each request gets exactly one decision, at most `kLongestAsk` after the call; a request of a
-/// limited tenant is admitted only with a token; a released token can admit another request. Nothing is sent
-/// while there are no requests of limited tenants.
+/// Invariants: each request gets exactly one decision, at most `kMaxDecisionTime` after the call; a request
+/// of a limited tenant is admitted only with a token; a released token can admit another request. Nothing is
+/// sent while there are no requests of limited tenants.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -32,7 +32,7 @@
 
 /// Upper bound on the time to a decision if all quota servers are unresponsive. Timers of a busy daemon may
 /// fire slightly later.
-inline constexpr Duration kLongestAsk = kMostTries * kTryTime;
+inline constexpr Duration kMaxDecisionTime = kMostTries * kTryTime;
 
 struct QuotaDecision {
   bool granted = true;
@@ -43,38 +43,38 @@
   std::optional<Token> token;
 };
 
-struct QuotaFigures {
-  TokenHolderCounters holder;
-  TokenHomeCounters home;
+struct QuotaMetrics {
+  TokenHolderCounters client;
+  TokenHomeCounters server;
   /// Tenants that this daemon is a quota server for.
   std::size_t buckets = 0;
   /// Unused tokens held by this daemon's quota client.
   std::size_t tokensHeld = 0;
   /// Time to the decision, of requests that were not decided immediately.
   LatencyHistogram waits;
-  std::uint64_t logLinesLeftOut = 0;
+  std::uint64_t logLinesSuppressed = 0;
 };
 
-class QuotaLink {
+class QuotaEnforcer {
  public:
   using Listener = std::function<void(const QuotaDecision&)>;
   using SendFrame = std::function<void(const Endpoint&, PeerEnvelope)>;
 
-  QuotaLink(boost::asio::io_context& io, RandomEngine& random, const Endpoint& self, SendFrame sendFrame);
+  QuotaEnforcer(boost::asio::io_context& io, RandomEngine& random, const Endpoint& self, SendFrame sendFrame);
 
   /// Calls `listener` exactly once: before returning if the decision needs no answer from a quota server (no
   /// limit, or a token or a refusal is known), otherwise on the answer or a timeout. `tenant` need not
   /// outlive the call.
-  void take(const Tenant& tenant, Listener listener);
+  void acquire(const Tenant& tenant, Listener listener);
   /// Releases the token of a request that certainly did not run on any leaf.
-  void giveBack(const std::string& tenant, const std::optional<Token>& token);
+  void release(const std::string& tenant, const std::optional<Token>& token);
 
   void setTolerance(const QuotaTolerance& tolerance);
   /// Sets the limits that this daemon enforces as a quota server; null for none.
   void setTenants(std::shared_ptr<const TenantTable> tenants);
   /// `daemons`: all serving daemons including this one, sorted by address. `planned`: the number of daemons
-  /// to assume until membership is stable (`settled`).
-  void setDaemons(const std::vector<ServingDaemon>& daemons, std::size_t planned, bool settled);
+  /// to assume until membership is stable (`membershipStable`).
+  void setDaemons(const std::vector<ServingDaemon>& daemons, std::size_t planned, bool membershipStable);
   /// `suspected`: all daemons that the membership protocol suspects.
   void setSuspected(const std::vector<Endpoint>& suspected);
 
@@ -82,51 +82,51 @@
   void onReply(const Endpoint& sender, const TokenReply& reply);
   void onUndeliverable(const TokenRequest& request);
 
-  QuotaFigures figures() const;
+  QuotaMetrics metrics() const;
 
  private:
-  struct Waiting {
+  struct PendingDecision {
     Listener listener;
-    Moment cameAt{};
+    Moment receivedAt{};
   };
 
   /// Sends due token requests after the current event-loop turn, so that concurrent requests share a frame.
   void scheduleFlush();
   void flush();
-  void send(const TokenAsk& ask, Moment now);
-  void askForSignOfLife(const Endpoint& daemon, Moment now);
-  std::vector<TokenGrantDecision> grant(const std::vector<TokenWish>& wishes, Moment now);
+  void send(const TokenAsk& outgoing, Moment now);
+  void sendProbe(const Endpoint& daemon, Moment now);
+  std::vector<TokenGrantDecision> grant(const std::vector<TokenWish>& tenantRequests, Moment now);
   void decide(const std::vector<TokenDecision>& decisions);
   void refuse(const std::string& tenant, const TokenRefusal& refusal, const Listener& listener, Moment now);
   void logRefusal(const std::string& tenant, const TokenRefusal& refusal, Moment now);
   void armTimer();
-  void scheduleUpkeep();
-  void updateShare();
+  void scheduleCleanup();
+  void updateVisibility();
 
   boost::asio::io_context& io_;
   Endpoint self_;
   SendFrame sendFrame_;
   /// Random number that distinguishes this process from earlier ones at its address.
-  std::uint64_t run_;
-  TokenHomes homes_;
-  TokenHolder holder_;
-  TokenHome home_;
-  FleetShare share_;
+  std::uint64_t runId_;
+  TokenHomes serverSelector_;
+  TokenHolder client_;
+  TokenHome server_;
+  FleetShare visibility_;
   std::shared_ptr<const TenantTable> tenants_;
-  std::unordered_map<TokenTicket, Waiting> waiting_;
-  std::size_t suspected_ = 0;
-  std::size_t planned_ = 1;
-  bool settled_ = false;
-  bool flushing_ = false;
-  bool keepingUp_ = false;
+  std::unordered_map<TokenTicket, PendingDecision> pending_;
+  std::size_t suspectedDaemons_ = 0;
+  std::size_t plannedDaemons_ = 1;
+  bool membershipStable_ = false;
+  bool flushScheduled_ = false;
+  bool cleanupScheduled_ = false;
   Moment armedFor_ = kNever;
   boost::asio::steady_timer timer_;
-  boost::asio::steady_timer upkeepTimer_;
+  boost::asio::steady_timer cleanupTimer_;
   LatencyHistogram waits_;
   /// Token bucket that limits log lines.
-  double logRoom_;
-  Moment logRoomAt_{};
-  std::uint64_t logLinesLeftOut_ = 0;
+  double logTokens_;
+  Moment logTokensRefilledAt_{};
+  std::uint64_t logLinesSuppressed_ = 0;
 };
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Maximum number of leafs to connect to in advance while it is not yet known how many daemons share them.
-constexpr std::size_t kMostEarlyConnections = 150;
+constexpr std::size_t kMaxEarlyConnections = 150;
 
 }  // namespace
 
@@ -45,70 +45,70 @@
                                  {},
                                  &quarantine_},
                     sendFrame),
-      mergeClient_(context, queryContext_, mergers_, sendFrame),
+      mergeClient_(context, queryContext_, mergeServers_, sendFrame),
       mergeService_(context, names, pool_, sender_, queryContext_, sendFrame),
-      quarantineLink_(context, quarantine_, queryContext_.random, self, sendFrame),
+      quarantineGossip_(context, quarantine_, queryContext_.random, self, sendFrame),
       quota_(context, queryContext_.random, self, sendFrame) {
   queryContext_.quarantine = &quarantine_;
   pool_.setReachabilityListener(
       [this](const LeafEntry& leaf, bool reachable) { leafs_.onReachability(leaf, reachable, steadyNow()); });
   pool_.setLeafEndListener(
       [this](const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under) {
-        onLeafEnd(leaf, under);
+        onLeafCrash(leaf, under);
       });
   pool_.setAnswerListener([this](const RequestRecord& request) {
     if (!quarantine_.empty()) {
       quarantine_.onAnswered(request.fingerprint, steadyNow());
-      quarantineLink_.onChanged();
+      quarantineGossip_.onChanged();
     }
   });
   queryContext_.owners = &owners_;
-  queryContext_.mergers = &mergers_;
+  queryContext_.mergers = &mergeServers_;
 }
 
-void RequestGateway::onLeafEnd(const LeafEntry& leaf,
-                               const std::vector<std::shared_ptr<RequestRecord>>& under) {
+void RequestGateway::onLeafCrash(const LeafEntry& leaf,
+                                 const std::vector<std::shared_ptr<RequestRecord>>& under) {
   const Moment now = steadyNow();
-  log_.onLeafEnd(leaf, under, now);
+  log_.onLeafCrash(leaf, under, now);
   for (const auto& request : under) {
     if (!request->answered) {
       quarantine_.onLeafEnded(request->fingerprint, stableHash(leaf.life()), now);
     }
   }
-  quarantineLink_.onChanged();
+  quarantineGossip_.onChanged();
 }
 
-std::size_t RequestGateway::condemnedRequests() const { return quarantine_.condemned(steadyNow()); }
+std::size_t RequestGateway::quarantinedRequests() const { return quarantine_.condemned(steadyNow()); }
 
-void RequestGateway::setDaemons(const DaemonGroup& daemons, std::size_t planned, bool settled) {
-  quarantineLink_.setDaemons(addressesOf(daemons.all));
-  quota_.setDaemons(daemons.all, planned, settled);
+void RequestGateway::setDaemons(const DaemonGroup& daemons, std::size_t planned, bool membershipStable) {
+  quarantineGossip_.setDaemons(addressesOf(daemons.all));
+  quota_.setDaemons(daemons.all, planned, membershipStable);
   owners_.setDaemons(daemons.ownZone);
-  mergers_.setDaemons(daemons.otherZones);
+  mergeServers_.setDaemons(daemons.otherZones);
   daemons_.planned = planned;
   daemons_.zones = daemons.zones;
-  if (settled) {
-    const bool first = !settled_;
+  if (membershipStable) {
+    const bool first = !membershipStable_;
     daemons_.mostPlanned = first ? planned : std::max(daemons_.mostPlanned, planned);
     daemons_.mostZones = first ? daemons.zones : std::max(daemons_.mostZones, daemons.zones);
   }
-  settled_ = settled;
+  membershipStable_ = membershipStable;
   onView();
   if (owners_.any()) {
-    ownerClient_.greet(addressesOf(daemons.ownZone));
+    ownerClient_.probeNewPeers(addressesOf(daemons.ownZone));
   }
 }
 
 void RequestGateway::onFrame(const Endpoint& sender, const PeerEnvelope& envelope) {
   if (envelope.has_owner_work()) {
-    serveForOther(envelope.owner_work());
+    acceptDelegatedShards(envelope.owner_work());
     ownerService_.onWork(sender, envelope.owner_work());
   } else if (envelope.has_owner_results()) {
     ownerClient_.onResults(sender, envelope.owner_results());
   } else if (envelope.has_owner_cancel()) {
     ownerService_.onCancel(sender, envelope.owner_cancel());
   } else if (envelope.has_silent_daemons()) {
-    ownerClient_.onSilentDaemons(envelope.silent_daemons());
+    ownerClient_.onUnresponsivePeers(envelope.silent_daemons());
   } else if (envelope.has_merge_work()) {
     mergeService_.onWork(sender, envelope.merge_work());
   } else if (envelope.has_merge_results()) {
@@ -116,7 +116,7 @@
   } else if (envelope.has_merge_cancel()) {
     mergeService_.onCancel(sender, envelope.merge_cancel());
   } else if (envelope.has_ending_requests()) {
-    quarantineLink_.onFrame(envelope.ending_requests());
+    quarantineGossip_.onFrame(envelope.ending_requests());
   } else if (envelope.has_token_request()) {
     quota_.onRequest(sender, envelope.token_request());
   } else if (envelope.has_token_reply()) {
@@ -124,7 +124,7 @@
   }
 }
 
-void RequestGateway::serveForOther(const OwnerWork& work) {
+void RequestGateway::acceptDelegatedShards(const OwnerWork& work) {
   const Moment now = steadyNow();
   for (const OwnerPart& part : work.parts()) {
     if (!owners_.serveForOther(part.service(), now)) {
@@ -155,9 +155,9 @@
   ownerService_.setOwnedShards(assignment.firstOwned);
   ownerService_.setWarmups(assignment.warmups);
   queryContext_.warmups = assignment.warmups;
-  sender_.setShares(assignment.shares);
+  sender_.setConnectionShares(assignment.shares);
   leafs_.reconcile(assignment.leafs, steadyNow());
-  openAhead(assignment);
+  preconnect(assignment);
   retainConnections(assignment);
 }
 
@@ -184,12 +184,12 @@
   });
 }
 
-void RequestGateway::openAhead(const LeafAssignment& assignment) {
+void RequestGateway::preconnect(const LeafAssignment& assignment) {
   std::size_t count = 0;
   for (const auto& [service, entries] : assignment.leafs) {
     count += entries.size();
   }
-  if (!settled_ && count > kMostEarlyConnections) {
+  if (!membershipStable_ && count > kMaxEarlyConnections) {
     return;
   }
   for (const auto& [service, entries] : assignment.leafs) {
@@ -197,7 +197,7 @@
       continue;
     }
     for (const LeafEntry& leaf : entries) {
-      pool_.warm(leaf, sender_.connectionsTo(service));
+      pool_.warm(leaf, sender_.connectionLimit(service));
     }
   }
 }
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -19,8 +19,8 @@
 #include "programs/gateway/merge_service.h"
 #include "programs/gateway/owner_client.h"
 #include "programs/gateway/owner_service.h"
-#include "programs/gateway/quarantine_link.h"
-#include "programs/gateway/quota_link.h"
+#include "programs/gateway/quarantine_gossip.h"
+#include "programs/gateway/quota_enforcer.h"
 #include "programs/gateway/request_log.h"
 #include "protocol/serving/header_names.h"
 #include "state/published.h"
@@ -30,12 +30,12 @@
 namespace oakpier::serving {
 
 /// Fleet size that is assumed until peers have had time to be discovered.
-inline constexpr std::size_t kUsualDaemons = 12;
+inline constexpr std::size_t kDefaultDaemons = 12;
 
 /// Assumption about the daemons that share leafs until peers are known.
-inline SharingDaemons sharingUntilKnown() {
+inline SharingDaemons defaultSharingDaemons() {
   SharingDaemons daemons;
-  daemons.planned = kUsualDaemons;
+  daemons.planned = kDefaultDaemons;
   return daemons;
 }
 
@@ -59,51 +59,55 @@
   /// `suspected`: all daemons that the membership protocol suspects.
   void setSuspectedDaemons(const std::vector<Endpoint>& suspected) { quota_.setSuspected(suspected); }
   /// `handler` is called at most once, when a caller is first refused because no configuration is known.
-  void setOnStateWanted(std::function<void()> handler) { onStateWanted_ = std::move(handler); }
-  /// `planned`: the number of daemons assumed to share each leaf's connections. `settled`: membership is
-  /// stable, so `planned` is reliable.
-  void setDaemons(const DaemonGroup& daemons, std::size_t planned, bool settled);
+  void setOnConfigurationNeeded(std::function<void()> handler) {
+    onConfigurationNeeded_ = std::move(handler);
+  }
+  /// `planned`: the number of daemons assumed to share each leaf's connections. `membershipStable`:
+  /// membership is stable, so `planned` is reliable.
+  void setDaemons(const DaemonGroup& daemons, std::size_t planned, bool membershipStable);
   /// `sender` may be this daemon itself.
   void onFrame(const Endpoint& sender, const PeerEnvelope& envelope);
   /// `envelope` could not be handed to the network.
   void onUndeliverable(const PeerEnvelope& envelope);
   /// Requests of peers in progress.
-  std::size_t servedForOthers() const { return ownerService_.inProgress() + mergeService_.inProgress(); }
-  const QuarantineLinkCounters& quarantineCounters() const { return quarantineLink_.counters(); }
+  std::size_t inProgressForPeers() const { return ownerService_.inProgress() + mergeService_.inProgress(); }
+  const QuarantineGossipCounters& quarantineCounters() const { return quarantineGossip_.counters(); }
   /// Number of fingerprints of requests that are currently rejected for crashing leafs.
-  std::size_t condemnedRequests() const;
+  std::size_t quarantinedRequests() const;
   const RequestCounters& counters() const { return counters_; }
-  QuotaFigures quotaFigures() const { return quota_.figures(); }
+  QuotaMetrics quotaMetrics() const { return quota_.metrics(); }
   const LeafPoolCounters& poolCounters() const { return pool_.counters(); }
   const OwnerClientCounters& ownerCounters() const { return ownerClient_.counters(); }
   std::uint64_t partsServed() const { return ownerService_.partsServed(); }
   const MergeClientCounters& mergeCounters() const { return mergeClient_.counters(); }
   std::uint64_t partsMerged() const { return mergeService_.partsMerged(); }
-  std::uint64_t logLinesLeftOut() const { return log_.linesLeftOut() + ownerService_.logLinesLeftOut(); }
+  std::uint64_t logLinesSuppressed() const {
+    return log_.linesSuppressed() + ownerService_.logLinesSuppressed();
+  }
 
  private:
   /// Registers the leafs of delegated shards that this daemon does not consider its own: the requester's
   /// member table may differ from that of this daemon.
-  void serveForOther(const OwnerWork& work);
+  void acceptDelegatedShards(const OwnerWork& work);
   struct ActiveQuery;
-  struct ArrivedRequest;
+  struct IncomingRequest;
   using ActivePointer = std::shared_ptr<ActiveQuery>;
 
   // From the arrival of a request to the start of its query, in request_intake.cpp. The first three return
   // false if they have answered the request.
-  bool findRoute(ArrivedRequest& arrived);
-  bool identifyCaller(ArrivedRequest& arrived);
-  bool admit(ArrivedRequest& arrived);
-  void rejectCaller(const ArrivedRequest& arrived, AuthorizationProblem problem);
-  void onQuota(ArrivedRequest& arrived, const QuotaDecision& decision);
-  void onCallerGone(ArrivedRequest& arrived);
-  void begin(ArrivedRequest& arrived);
+  bool findRoute(IncomingRequest& incoming);
+  bool identifyCaller(IncomingRequest& incoming);
+  bool admit(IncomingRequest& incoming);
+  void rejectCaller(const IncomingRequest& incoming, AuthorizationProblem problem);
+  void onQuotaDecision(IncomingRequest& incoming, const QuotaDecision& decision);
+  void onCallerDisconnected(IncomingRequest& incoming);
+  void begin(IncomingRequest& incoming);
 
   /// Refuses a request before its query starts. `route` is empty if no configuration is known.
   void refuse(const ResponseWriter& writer, const LoggedRequest& request, const std::string& route,
               LossCause cause, Duration retryAfter);
   /// Answers a request that has crashed leafs and may not be sent now; returns false if it may be sent.
-  bool rejectEndingLeafs(const ResponseWriter& writer, const LoggedRequest& request, const Route& route,
+  bool rejectQuarantined(const ResponseWriter& writer, const LoggedRequest& request, const Route& route,
                          const RequestQuarantine::Judgement& judgement);
   /// The deadline that the caller sent, limited by the route's timeout.
   Moment deadlineOf(const HttpRequest& request, const Route& route, Moment now) const;
@@ -111,20 +115,20 @@
   // Carrying out the actions of a running query, in request_queries.cpp.
   void apply(const ActivePointer& active, QueryActions actions);
   void send(const ActivePointer& active, const SendAction& action);
-  void relay(const ActivePointer& active, const std::vector<RelayAction>& relays);
+  void delegate(const ActivePointer& active, const std::vector<RelayAction>& delegations);
   /// Sends attempts through merge servers.
-  void sendMerged(const ActivePointer& active, const std::vector<SendAction>& sends);
+  void sendToMergeServers(const ActivePointer& active, const std::vector<SendAction>& sends);
   void onOutcome(const ActivePointer& active, ExchangeId exchange, const LeafOutcome& outcome);
   void answer(const ActivePointer& active, const FinalAnswer& answer);
   void countDecisions(const RequestTrace& trace);
   void armTimer(const ActivePointer& active);
 
   /// Records evidence against the requests that were in progress at a leaf that crashed.
-  void onLeafEnd(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under);
+  void onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under);
   /// Finishes or closes connections to leafs that are no longer assigned to this daemon.
   void retainConnections(const LeafAssignment& assignment);
   /// Opens connections to assigned leafs before requests need them.
-  void openAhead(const LeafAssignment& assignment);
+  void preconnect(const LeafAssignment& assignment);
 
   boost::asio::io_context& context_;
   const HeaderNames& names_;
@@ -141,14 +145,14 @@
   ShardOwners owners_;
   OwnerClient ownerClient_;
   OwnerService ownerService_;
-  ZoneMergers mergers_;
+  ZoneMergers mergeServers_;
   MergeClient mergeClient_;
   MergeService mergeService_;
-  QuarantineLink quarantineLink_;
-  QuotaLink quota_;
-  SharingDaemons daemons_ = sharingUntilKnown();
-  bool settled_ = false;
-  std::function<void()> onStateWanted_;
+  QuarantineGossip quarantineGossip_;
+  QuotaEnforcer quota_;
+  SharingDaemons daemons_ = defaultSharingDaemons();
+  bool membershipStable_ = false;
+  std::function<void()> onConfigurationNeeded_;
   RequestCounters counters_;
   RequestLog log_{RequestLogSettings{}};
 };
--- a/src/programs/gateway/request_intake.cpp
+++ b/src/programs/gateway/request_intake.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kInternalError = 500;
 /// Used while no configuration is known yet.
-constexpr Duration kStartingRetryAfter = std::chrono::milliseconds(300);
+constexpr Duration kNoConfigurationRetryAfter = std::chrono::milliseconds(300);
 /// Used while there is no sufficiently recent freshness proof; about one round of proof requests.
 constexpr Duration kProofRetryAfter = std::chrono::milliseconds(600);
 
@@ -44,7 +44,7 @@
   log_.onRefused(request, route, cause, reply.status, steadyNow());
 }
 
-bool RequestGateway::rejectEndingLeafs(const ResponseWriter& writer, const LoggedRequest& request,
+bool RequestGateway::rejectQuarantined(const ResponseWriter& writer, const LoggedRequest& request,
                                        const Route& route, const RequestQuarantine::Judgement& judgement) {
   if (judgement.verdict == RequestQuarantine::Verdict::kNotYet) {
     refuse(writer, request, route.name, LossCause::kEndsLeafs, judgement.retryAfter);
@@ -53,7 +53,7 @@
   if (judgement.verdict != RequestQuarantine::Verdict::kCondemned) {
     return false;
   }
-  ++counters_.rejectedEndingLeafs;
+  ++counters_.rejectedQuarantined;
   // Not 503, which means "not run, retry later": leafs have run the request. Not 4xx: the caller may be
   // right.
   writer.write(ownReply(kInternalError, "rejected: leafs have ended each time that they ran this request"));
@@ -73,121 +73,121 @@
 
 std::function<void()> RequestGateway::onRequest(HttpRequest request, ResponseWriter writer) {
   ++counters_.received;
-  auto arrived = std::make_shared<ArrivedRequest>(std::move(writer));
-  arrived->receivedAt = steadyNow();
-  const std::string* told = findHeader(request.headers, names_.requestId);
-  arrived->logged.id = told == nullptr ? "" : *told;
-  arrived->request = std::move(request);
-  arrived->view = view_;
-  if (!findRoute(*arrived) || !identifyCaller(*arrived) || !admit(*arrived)) {
+  auto incoming = std::make_shared<IncomingRequest>(std::move(writer));
+  incoming->receivedAt = steadyNow();
+  const std::string* requestId = findHeader(request.headers, names_.requestId);
+  incoming->logged.id = requestId == nullptr ? "" : *requestId;
+  incoming->request = std::move(request);
+  incoming->view = view_;
+  if (!findRoute(*incoming) || !identifyCaller(*incoming) || !admit(*incoming)) {
     return nullptr;
   }
-  if (arrived->tenant == nullptr) {
-    begin(*arrived);
+  if (incoming->tenant == nullptr) {
+    begin(*incoming);
   } else {
-    quota_.take(*arrived->tenant,
-                [this, arrived](const QuotaDecision& decision) { onQuota(*arrived, decision); });
+    quota_.acquire(*incoming->tenant,
+                   [this, incoming](const QuotaDecision& decision) { onQuotaDecision(*incoming, decision); });
   }
-  return [this, arrived] { onCallerGone(*arrived); };
+  return [this, incoming] { onCallerDisconnected(*incoming); };
 }
 
-bool RequestGateway::findRoute(ArrivedRequest& arrived) {
-  const HttpRequest& request = arrived.request;
-  if (!arrived.view->configuration) {
-    arrived.logged.fingerprint = fingerprintOf(request);
-    refuse(arrived.writer, arrived.logged, "", LossCause::kNoConfiguration, kStartingRetryAfter);
-    if (const auto wanted = std::exchange(onStateWanted_, nullptr)) {
-      wanted();
+bool RequestGateway::findRoute(IncomingRequest& incoming) {
+  const HttpRequest& request = incoming.request;
+  if (!incoming.view->configuration) {
+    incoming.logged.fingerprint = fingerprintOf(request);
+    refuse(incoming.writer, incoming.logged, "", LossCause::kNoConfiguration, kNoConfigurationRetryAfter);
+    if (const auto notify = std::exchange(onConfigurationNeeded_, nullptr)) {
+      notify();
     }
     return false;
   }
   const std::string* host = findHeader(request.headers, "Host");
-  arrived.route = host == nullptr ? nullptr : arrived.view->routes->find(*host, request.target);
-  if (arrived.route != nullptr) {
+  incoming.route = host == nullptr ? nullptr : incoming.view->routes->find(*host, request.target);
+  if (incoming.route != nullptr) {
     return true;
   }
   ++counters_.noRoute;
   const HttpReply reply = host == nullptr ? ownReply(kBadRequest, "the request names no host")
                                           : ownReply(kNotFound, "no route for this host and path");
-  arrived.writer.write(reply);
-  arrived.logged.fingerprint = fingerprintOf(request);
-  log_.onUnrouted(arrived.logged, reply.status, arrived.receivedAt);
+  incoming.writer.write(reply);
+  incoming.logged.fingerprint = fingerprintOf(request);
+  log_.onUnrouted(incoming.logged, reply.status, incoming.receivedAt);
   return false;
 }
 
-bool RequestGateway::identifyCaller(ArrivedRequest& arrived) {
-  const ServingView& view = *arrived.view;
-  const auto key = keyOf(arrived.request.headers, names_);
+bool RequestGateway::identifyCaller(IncomingRequest& incoming) {
+  const ServingView& view = *incoming.view;
+  const auto key = keyOf(incoming.request.headers, names_);
   const auto proof = proof_.read();
   const Authorization authorization =
-      authorize(*arrived.route, key, view, *proof, authorization_, arrived.receivedAt);
+      authorize(*incoming.route, key, view, *proof, authorization_, incoming.receivedAt);
   const auto* problem = std::get_if<AuthorizationProblem>(&authorization);
   if (problem == nullptr) {
-    arrived.tenant = std::get<AuthorizedCaller>(authorization).tenant;
+    incoming.tenant = std::get<AuthorizedCaller>(authorization).tenant;
   }
   if (view.tenants != nullptr && !view.tenants->empty()) {
     // Also for refused requests, so that the log line names the tenant and the fingerprint does not depend on
     // the key.
-    const Tenant* named = problem != nullptr && key ? view.tenants->holderOf(*key) : arrived.tenant;
-    arrived.logged.tenant = named == nullptr ? "" : named->name;
-    replaceCredentials(arrived.request, arrived.logged.tenant, names_);
+    const Tenant* named = problem != nullptr && key ? view.tenants->holderOf(*key) : incoming.tenant;
+    incoming.logged.tenant = named == nullptr ? "" : named->name;
+    replaceCredentials(incoming.request, incoming.logged.tenant, names_);
   }
-  arrived.logged.fingerprint = fingerprintOf(arrived.request);
+  incoming.logged.fingerprint = fingerprintOf(incoming.request);
   if (problem != nullptr) {
-    rejectCaller(arrived, *problem);
+    rejectCaller(incoming, *problem);
   }
   return problem == nullptr;
 }
 
-void RequestGateway::rejectCaller(const ArrivedRequest& arrived, AuthorizationProblem problem) {
+void RequestGateway::rejectCaller(const IncomingRequest& incoming, AuthorizationProblem problem) {
   const LossCause cause = causeOf(problem);
   const bool final =
       problem == AuthorizationProblem::kKeyMissing || problem == AuthorizationProblem::kKeyUnknown;
   if (!final) {
-    ++counters_.refusedUnproved;
-    refuse(arrived.writer, arrived.logged, arrived.route->name, cause, kProofRetryAfter);
+    ++counters_.refusedUnproven;
+    refuse(incoming.writer, incoming.logged, incoming.route->name, cause, kProofRetryAfter);
     return;
   }
   ++counters_.rejectedKeys;
-  arrived.writer.write(ownReply(kUnauthorized, std::string("rejected: ") + textOf(cause)));
-  log_.onRefused(arrived.logged, arrived.route->name, cause, kUnauthorized, arrived.receivedAt);
+  incoming.writer.write(ownReply(kUnauthorized, std::string("rejected: ") + textOf(cause)));
+  log_.onRefused(incoming.logged, incoming.route->name, cause, kUnauthorized, incoming.receivedAt);
 }
 
-bool RequestGateway::admit(ArrivedRequest& arrived) {
-  const Moment now = arrived.receivedAt;
-  const Route& route = *arrived.route;
-  arrived.judgement = quarantine_.judge(arrived.logged.fingerprint, now);
-  if (rejectEndingLeafs(arrived.writer, arrived.logged, route, arrived.judgement)) {
+bool RequestGateway::admit(IncomingRequest& incoming) {
+  const Moment now = incoming.receivedAt;
+  const Route& route = *incoming.route;
+  incoming.judgement = quarantine_.judge(incoming.logged.fingerprint, now);
+  if (rejectQuarantined(incoming.writer, incoming.logged, route, incoming.judgement)) {
     return false;
   }
-  if (const auto refusal = refuseWhenUnservable(route, *arrived.view, queryContext_, now)) {
+  if (const auto refusal = refuseWhenUnservable(route, *incoming.view, queryContext_, now)) {
     ++counters_.refusedUnservable;
-    refuse(arrived.writer, arrived.logged, route.name, LossCause::kLeafUnreachable, refusal->retryAfter);
+    refuse(incoming.writer, incoming.logged, route.name, LossCause::kLeafUnreachable, refusal->retryAfter);
     return false;
   }
   if (const auto refusal = refuseWhenBusy(route, queryContext_, now)) {
     ++counters_.refusedBusy;
-    refuse(arrived.writer, arrived.logged, route.name, LossCause::kLeafsTooBusy, refusal->retryAfter);
+    refuse(incoming.writer, incoming.logged, route.name, LossCause::kLeafsTooBusy, refusal->retryAfter);
     return false;
   }
   return true;
 }
 
-void RequestGateway::onQuota(ArrivedRequest& arrived, const QuotaDecision& decision) {
-  if (arrived.callerGone) {
+void RequestGateway::onQuotaDecision(IncomingRequest& incoming, const QuotaDecision& decision) {
+  if (incoming.callerDisconnected) {
     if (decision.granted) {
-      quota_.giveBack(arrived.tenant->name, decision.token);
+      quota_.release(incoming.tenant->name, decision.token);
     }
     return;
   }
   if (decision.granted) {
-    arrived.token = decision.token;
-    begin(arrived);
+    incoming.token = decision.token;
+    begin(incoming);
     return;
   }
   if (decision.refusal == RefusalCause::kUnanswered) {
     // The fleet is at fault, so this is not answered with 429, which would point to the tenant's limit.
-    refuse(arrived.writer, arrived.logged, arrived.route->name, LossCause::kTenantNotCounted,
+    refuse(incoming.writer, incoming.logged, incoming.route->name, LossCause::kTenantNotCounted,
            decision.retryAfter);
     return;
   }
@@ -195,36 +195,36 @@
   const LossCause cause = LossCause::kTenantOverLimit;
   HttpReply reply = refusalReply(decision.retryAfter, std::string("not run: ") + textOf(cause));
   reply.status = kTooManyRequests;
-  arrived.writer.write(reply);
-  log_.onRefused(arrived.logged, arrived.route->name, cause, reply.status, steadyNow());
+  incoming.writer.write(reply);
+  log_.onRefused(incoming.logged, incoming.route->name, cause, reply.status, steadyNow());
 }
 
-void RequestGateway::onCallerGone(ArrivedRequest& arrived) {
-  arrived.callerGone = true;
-  if (const ActivePointer gone = arrived.active.lock()) {
-    ++counters_.callersGone;
-    log_.onCallerGone(loggedAs(*gone->request), *gone->query, steadyNow());
+void RequestGateway::onCallerDisconnected(IncomingRequest& incoming) {
+  incoming.callerDisconnected = true;
+  if (const ActivePointer gone = incoming.active.lock()) {
+    ++counters_.callersDisconnected;
+    log_.onCallerDisconnected(loggedAs(*gone->request), *gone->query, steadyNow());
     countDecisions(gone->query->trace());
     apply(gone, gone->query->onCallerGone());
   }
 }
 
-void RequestGateway::begin(ArrivedRequest& arrived) {
+void RequestGateway::begin(IncomingRequest& incoming) {
   const Moment now = steadyNow();
-  const Moment deadline = deadlineOf(arrived.request, *arrived.route, arrived.receivedAt);
-  auto active = std::make_shared<ActiveQuery>(context_, std::move(arrived.writer));
-  arrived.active = active;
-  active->rank = arrived.rank();
-  active->token = arrived.token;
-  active->request = std::make_shared<const LeafRequestTemplate>(arrived.request, names_);
-  active->original = std::make_shared<const HttpRequest>(std::move(arrived.request));
-  const bool trial = arrived.judgement.verdict == RequestQuarantine::Verdict::kTrial;
+  const Moment deadline = deadlineOf(incoming.request, *incoming.route, incoming.receivedAt);
+  auto active = std::make_shared<ActiveQuery>(context_, std::move(incoming.writer));
+  incoming.active = active;
+  active->rank = incoming.rank();
+  active->token = incoming.token;
+  active->request = std::make_shared<const LeafRequestTemplate>(incoming.request, names_);
+  active->original = std::make_shared<const HttpRequest>(std::move(incoming.request));
+  const bool trial = incoming.judgement.verdict == RequestQuarantine::Verdict::kTrial;
   if (trial) {
     ++counters_.trials;
-    quarantine_.onTrial(arrived.logged.fingerprint, now);
-    quarantineLink_.onChanged();
+    quarantine_.onTrial(incoming.logged.fingerprint, now);
+    quarantineGossip_.onChanged();
   }
-  active->query = std::make_unique<Query>(arrived.view, *arrived.route, queryContext_, arrived.receivedAt,
+  active->query = std::make_unique<Query>(incoming.view, *incoming.route, queryContext_, incoming.receivedAt,
                                           deadline, trial ? Query::Start::kOneLeafFirst : Query::Start::kAll);
   apply(active, active->query->start(now));
 }
--- a/src/programs/gateway/request_log.cpp
+++ b/src/programs/gateway/request_log.cpp
@@ -108,22 +108,22 @@
 
 }  // namespace
 
-bool RequestLog::takeRoom(Moment now) {
-  if (filledAt_ != Moment{}) {
-    const double seconds = std::chrono::duration<double>(now - filledAt_).count();
-    room_ = std::min(settings_.linesPerSecond, room_ + seconds * settings_.linesPerSecond);
-  }
-  filledAt_ = now;
-  if (room_ < 1) {
-    ++leftOut_;
+bool RequestLog::takeLogToken(Moment now) {
+  if (refilledAt_ != Moment{}) {
+    const double seconds = std::chrono::duration<double>(now - refilledAt_).count();
+    logTokens_ = std::min(settings_.linesPerSecond, logTokens_ + seconds * settings_.linesPerSecond);
+  }
+  refilledAt_ = now;
+  if (logTokens_ < 1) {
+    ++suppressed_;
     return false;
   }
-  room_ -= 1;
+  logTokens_ -= 1;
   return true;
 }
 
 void RequestLog::onUnrouted(const LoggedRequest& request, unsigned status, Moment now) {
-  writeRefusal(request, "no route", status, now);
+  logRefusal(request, "no route", status, now);
 }
 
 void RequestLog::onRefused(const LoggedRequest& request, const std::string& route, LossCause cause,
@@ -131,12 +131,12 @@
   Loss loss;
   loss.add(cause, 1.0);
   losses_.add(route, loss, now);
-  writeRefusal(request, std::string("refused: ") + textOf(cause), status, now);
+  logRefusal(request, std::string("refused: ") + textOf(cause), status, now);
 }
 
-void RequestLog::writeRefusal(const LoggedRequest& request, const std::string& outcome, unsigned status,
-                              Moment now) {
-  if (!takeRoom(now)) {
+void RequestLog::logRefusal(const LoggedRequest& request, const std::string& outcome, unsigned status,
+                            Moment now) {
+  if (!takeLogToken(now)) {
     return;
   }
   std::vector<LogField> fields = {{"id", request.id},
@@ -165,14 +165,14 @@
   }
 }
 
-void RequestLog::onCallerGone(const LoggedRequest& request, const Query& query, Moment now) {
+void RequestLog::onCallerDisconnected(const LoggedRequest& request, const Query& query, Moment now) {
   write(request, query, "caller disconnected", false, now);
 }
 
 void RequestLog::onUnanswered(const LoggedRequest& request, const UnansweredPart& part, Moment now) {
   const ServedWork& work = *part.work;
   losses_.addServed(work.route.name, part.cause, now);
-  if (!takeRoom(now)) {
+  if (!takeLogToken(now)) {
     return;
   }
   log(LogLevel::kWarning, "shard",
@@ -183,15 +183,15 @@
        {"requester", work.asker.text()},
        {"elapsed_ms", inMilliseconds(now - work.receivedAt)}});
   for (const TraceEvent& event : work.trace.events()) {
-    if (event.service == part.service && takeRoom(now)) {
+    if (event.service == part.service && takeLogToken(now)) {
       log(LogLevel::kWarning, "decision", fieldsOf(request.id, event, work.receivedAt));
     }
   }
 }
 
-void RequestLog::onLeafEnd(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under,
-                           Moment now) {
-  if (!takeRoom(now)) {
+void RequestLog::onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under,
+                             Moment now) {
+  if (!takeLogToken(now)) {
     return;
   }
   std::vector<std::string> fingerprints;
@@ -213,7 +213,7 @@
   if (ordinary && ++ordinary_ % settings_.sampleOneIn != 0) {
     return;
   }
-  if (!takeRoom(now)) {
+  if (!takeLogToken(now)) {
     return;
   }
   std::vector<LogField> fields = {{"id", request.id},
@@ -241,7 +241,7 @@
   const auto missing = query.missingServices();
   const std::set<std::string, std::less<>> explained(missing.begin(), missing.end());
   for (const TraceEvent& event : query.trace().events()) {
-    if ((explained.empty() || explained.count(event.service) != 0) && takeRoom(now)) {
+    if ((explained.empty() || explained.count(event.service) != 0) && takeLogToken(now)) {
       log(LogLevel::kWarning, "decision", fieldsOf(request.id, event, query.receivedAt()));
     }
   }
--- a/src/programs/gateway/request_log.h
+++ b/src/programs/gateway/request_log.h
@@ -11,7 +11,7 @@
 #include "coordination/serving/query.h"
 #include "coordination/serving/request_record.h"
 #include "coordination/serving/shard_server.h"
-#include "programs/gateway/loss_ledger.h"
+#include "programs/gateway/loss_logger.h"
 
 namespace oakpier::serving {
 
@@ -35,7 +35,7 @@
 class RequestLog {
  public:
   explicit RequestLog(const RequestLogSettings& settings)
-      : settings_(settings), room_(settings.linesPerSecond) {}
+      : settings_(settings), logTokens_(settings.linesPerSecond) {}
 
   /// A request that matched no route.
   void onUnrouted(const LoggedRequest& request, unsigned status, Moment now);
@@ -43,27 +43,28 @@
   void onRefused(const LoggedRequest& request, const std::string& route, LossCause cause, unsigned status,
                  Moment now);
   void onAnswer(const LoggedRequest& request, const Query& query, const FinalAnswer& answer, Moment now);
-  void onCallerGone(const LoggedRequest& request, const Query& query, Moment now);
+  void onCallerDisconnected(const LoggedRequest& request, const Query& query, Moment now);
   /// A shard that was served for a peer and ended without an answer.
   void onUnanswered(const LoggedRequest& request, const UnansweredPart& part, Moment now);
   /// A leaf crashed while the requests `under` were in progress there.
-  void onLeafEnd(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under, Moment now);
-  std::uint64_t linesLeftOut() const { return leftOut_; }
+  void onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under,
+                   Moment now);
+  std::uint64_t linesSuppressed() const { return suppressed_; }
 
  private:
-  void writeRefusal(const LoggedRequest& request, const std::string& outcome, unsigned status, Moment now);
+  void logRefusal(const LoggedRequest& request, const std::string& outcome, unsigned status, Moment now);
   /// Takes a line from the rate limit; counts a suppressed line and returns false if there is none.
-  bool takeRoom(Moment now);
+  bool takeLogToken(Moment now);
   void write(const LoggedRequest& request, const Query& query, const std::string& outcome, bool ordinary,
              Moment now);
   void writeDecisions(const LoggedRequest& request, const Query& query, Moment now);
 
   RequestLogSettings settings_;
-  LossLedger losses_;
-  double room_;
-  Moment filledAt_{};
+  LossLogger losses_;
+  double logTokens_;
+  Moment refilledAt_{};
   std::uint64_t ordinary_ = 0;
-  std::uint64_t leftOut_ = 0;
+  std::uint64_t suppressed_ = 0;
 };
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/request_queries.cpp
+++ b/src/programs/gateway/request_queries.cpp
@@ -12,21 +12,21 @@
   }
   ownerClient_.cancel(actions.abandons);
   mergeClient_.cancel(actions.abandons);
-  std::vector<SendAction> merged;
+  std::vector<SendAction> toMergeServers;
   for (const SendAction& action : actions.sends) {
     if (action.merger) {
-      merged.push_back(action);
+      toMergeServers.push_back(action);
     } else {
       send(active, action);
     }
   }
-  if (!merged.empty()) {
-    sendMerged(active, merged);
+  if (!toMergeServers.empty()) {
+    sendToMergeServers(active, toMergeServers);
   }
   if (!actions.relays.empty()) {
-    relay(active, actions.relays);
+    delegate(active, actions.relays);
   }
-  ownerClient_.tellOfSilence();
+  ownerClient_.reportUnresponsivePeers();
   if (actions.answer) {
     answer(active, *actions.answer);
   }
@@ -34,7 +34,7 @@
 }
 
 void RequestGateway::send(const ActivePointer& active, const SendAction& action) {
-  LeafSend send;
+  LeafAttempt send;
   send.action = action;
   send.request = active->request;
   send.route = std::shared_ptr<const Route>(active, &active->query->route());
@@ -48,7 +48,7 @@
   sender_.send(send, queryContext_, std::move(listener));
 }
 
-void RequestGateway::relay(const ActivePointer& active, const std::vector<RelayAction>& relays) {
+void RequestGateway::delegate(const ActivePointer& active, const std::vector<RelayAction>& delegations) {
   if (!active->ownerListener) {
     const std::weak_ptr<ActiveQuery> weak = active;
     active->ownerListener = std::make_shared<const OwnerClient::Listener>(
@@ -59,27 +59,27 @@
           }
         });
   }
-  OwnerClient::Order order;
-  order.request = active->original;
-  order.vetted = active->query->isTrial();
-  order.route = std::shared_ptr<const Route>(active, &active->query->route());
-  order.rank = active->rank;
-  order.leafDeadline = active->query->leafDeadline();
-  order.lastDeadline = active->query->deadline();
-  order.usefulUntil = active->query->answerBy();
-  order.listener = active->ownerListener;
-  ownerClient_.send(relays, order);
+  OwnerClient::RequestParameters parameters;
+  parameters.request = active->original;
+  parameters.skipQuarantineCheck = active->query->isTrial();
+  parameters.route = std::shared_ptr<const Route>(active, &active->query->route());
+  parameters.rank = active->rank;
+  parameters.leafDeadline = active->query->leafDeadline();
+  parameters.lastDeadline = active->query->deadline();
+  parameters.usefulUntil = active->query->answerBy();
+  parameters.listener = active->ownerListener;
+  ownerClient_.send(delegations, parameters);
 }
 
-void RequestGateway::sendMerged(const ActivePointer& active, const std::vector<SendAction>& sends) {
-  MergeClient::Order order;
-  order.request = active->original;
-  order.route = std::shared_ptr<const Route>(active, &active->query->route());
-  order.rank = active->rank;
-  order.leafDeadline = active->query->leafDeadline();
-  order.decidesAt = active->query->nextDecisionAt();
+void RequestGateway::sendToMergeServers(const ActivePointer& active, const std::vector<SendAction>& sends) {
+  MergeClient::RequestParameters parameters;
+  parameters.request = active->original;
+  parameters.route = std::shared_ptr<const Route>(active, &active->query->route());
+  parameters.rank = active->rank;
+  parameters.leafDeadline = active->query->leafDeadline();
+  parameters.decidesAt = active->query->nextDecisionAt();
   const std::weak_ptr<ActiveQuery> weak = active;
-  order.listener = std::make_shared<const MergeClient::Listener>(
+  parameters.listener = std::make_shared<const MergeClient::Listener>(
       [this, weak](const std::vector<ExchangeOutcome>& outcomes) {
         const ActivePointer asking = weak.lock();
         if (asking && !asking->query->finished()) {
@@ -89,7 +89,7 @@
   for (const SendAction& send : sends) {
     active->query->onWritten(send.exchange);
   }
-  mergeClient_.send(sends, order);
+  mergeClient_.send(sends, parameters);
 }
 
 void RequestGateway::onOutcome(const ActivePointer& active, ExchangeId exchange, const LeafOutcome& outcome) {
@@ -101,7 +101,7 @@
 void RequestGateway::answer(const ActivePointer& active, const FinalAnswer& answer) {
   if (std::holds_alternative<Refusal>(answer)) {
     ++counters_.refused;
-    quota_.giveBack(active->original->tenant, active->token);
+    quota_.release(active->original->tenant, active->token);
   } else if (std::holds_alternative<Failure>(answer)) {
     ++counters_.failed;
   } else {
@@ -125,7 +125,7 @@
     counters_.hedges += event.decision == Decision::kHedge ? 1 : 0;
     const bool retry = event.decision == Decision::kRetry || event.decision == Decision::kRenew;
     counters_.retries += retry ? 1 : 0;
-    counters_.budgetEmpty += event.decision == Decision::kBudgetEmpty ? 1 : 0;
+    counters_.retryBudgetExhausted += event.decision == Decision::kBudgetEmpty ? 1 : 0;
   }
 }
 
--- a/src/programs/gateway/source_loop.cpp
+++ b/src/programs/gateway/source_synchronizer.cpp
@@ -1,4 +1,4 @@
-#include "programs/gateway/source_loop.h"
+#include "programs/gateway/source_synchronizer.h"
 
 #include <random>
 #include <utility>
@@ -41,10 +41,10 @@
 
 }  // namespace
 
-SourceLoop::SourceLoop(boost::asio::io_context& context, const Endpoint& source, const SourceDialect& dialect,
-                       const PeerLinkSettings& peers, const FollowerSettings& follower,
-                       Published<ServingView>& published, Published<ConfigurationProof>& publishedProof,
-                       Handlers handlers)
+SourceSynchronizer::SourceSynchronizer(boost::asio::io_context& context, const Endpoint& source,
+                                       const SourceDialect& dialect, const PeerMessengerSettings& peers,
+                                       const FollowerSettings& follower, Published<ServingView>& published,
+                                       Published<ConfigurationProof>& publishedProof, Handlers handlers)
     : dialect_(dialect),
       published_(published),
       publishedProof_(publishedProof),
@@ -55,48 +55,48 @@
           RandomEngine(std::random_device{}())),
       seeds_(peers.seeds),
       peers_(context, peers,
-             {[this](const Endpoint& sender, const SourceNews& news) { onNews(sender, news); },
+             {[this](const Endpoint& sender, const SourceNews& update) { onUpdate(sender, update); },
               [this](const Endpoint& sender, const SourceNewsRequest& request) {
-                onNewsRequest(sender, request);
+                onUpdateRequest(sender, request);
               },
               [this](const Endpoint& sender, const ConfigurationProofRequest& request) {
-                carryOut(follower_.onProofRequest(sender, request, steadyNow()));
+                apply(follower_.onProofRequest(sender, request, steadyNow()));
               },
               [this](const Endpoint& sender, const ConfigurationProofReply& reply) {
-                carryOut(follower_.onProofReply(sender, reply, steadyNow()));
+                apply(follower_.onProofReply(sender, reply, steadyNow()));
               },
               [this](const DaemonGroup& daemons) { onMembers(daemons); }, [this] { onPause(); },
-              handlers_.onShardFrame, handlers_.onShardFrameUndeliverable, handlers_.onSuspected}),
+              handlers_.onRequestFrame, handlers_.onRequestFrameUndeliverable, handlers_.onSuspected}),
       timer_(context) {}
 
-std::string SourceLoop::start() {
-  std::string problem = peers_.start();
-  if (problem.empty()) {
+std::string SourceSynchronizer::start() {
+  std::string error = peers_.start();
+  if (error.empty()) {
     follower_.start(seeds_, steadyNow());
     step();
   }
-  return problem;
+  return error;
 }
 
-void SourceLoop::onStateWanted() {
+void SourceSynchronizer::onConfigurationNeeded() {
   follower_.onStateWanted(steadyNow());
   step();
 }
 
-void SourceLoop::onPause() {
+void SourceSynchronizer::onPause() {
   log(LogLevel::kWarning, "process or machine was paused", {{"known_revision", follower_.known().revision}});
   step();
 }
 
-void SourceLoop::reload(const Endpoint& source, const std::vector<Endpoint>& seeds, unsigned capacity,
-                        const ProverSettings& prover) {
+void SourceSynchronizer::reload(const Endpoint& source, const std::vector<Endpoint>& seeds, unsigned capacity,
+                                const ProverSettings& prover) {
   follower_.setProver(prover);
   client_.setAddress(source);
   peers_.setSeeds(seeds);
   peers_.setCapacity(capacity);
 }
 
-void SourceLoop::schedule() {
+void SourceSynchronizer::schedule() {
   const Moment next = follower_.nextDueAt();
   if (next == kNever) {
     timer_.cancel();
@@ -110,9 +110,9 @@
   });
 }
 
-void SourceLoop::step() {
+void SourceSynchronizer::step() {
   const Moment now = steadyNow();
-  askAndSend(follower_.onTime(now));
+  sendMessages(follower_.onTime(now));
   if (const auto call = follower_.takeCall(now)) {
     client_.call(dialect_.requestFor(*call), call->wait + kCallTimeout,
                  [this, call = *call](std::optional<HttpReply> reply) {
@@ -124,7 +124,7 @@
   schedule();
 }
 
-void SourceLoop::onAnswer(const SourceCall& call, const SourceAnswer& answer) {
+void SourceSynchronizer::onAnswer(const SourceCall& call, const SourceAnswer& answer) {
   const bool wasLost = follower_.sourceLost();
   const FollowerActions actions = follower_.onAnswer(call, answer, steadyNow());
   if (follower_.sourceLost() && !wasLost) {
@@ -137,20 +137,20 @@
   if (actions.reconnect) {
     client_.closeConnection();
   }
-  carryOut(actions);
+  apply(actions);
 }
 
-void SourceLoop::onNews(const Endpoint& sender, const SourceNews& news) {
-  carryOut(follower_.onNews(sender, news, steadyNow()));
+void SourceSynchronizer::onUpdate(const Endpoint& sender, const SourceNews& update) {
+  apply(follower_.onNews(sender, update, steadyNow()));
 }
 
-void SourceLoop::onNewsRequest(const Endpoint& sender, const SourceNewsRequest& request) {
+void SourceSynchronizer::onUpdateRequest(const Endpoint& sender, const SourceNewsRequest& request) {
   if (const auto outgoing = follower_.onNewsRequest(sender, request, steadyNow())) {
-    peers_.sendNews(outgoing->to, outgoing->news);
+    peers_.sendUpdate(outgoing->to, outgoing->news);
   }
 }
 
-void SourceLoop::onMembers(const DaemonGroup& daemons) {
+void SourceSynchronizer::onMembers(const DaemonGroup& daemons) {
   follower_.setMembers(daemons.all);
   schedule();
   log(LogLevel::kInfo, "members changed",
@@ -163,34 +163,34 @@
   handlers_.onDaemons(daemons);
 }
 
-void SourceLoop::carryOut(const FollowerActions& actions) {
+void SourceSynchronizer::apply(const FollowerActions& actions) {
   for (const std::string& problem : actions.problems) {
     log(LogLevel::kError, "source record or configuration rejected", {{"problem", problem}});
   }
   for (const SourceNotice& notice : actions.notices) {
     logNotice(notice);
   }
-  askAndSend(actions);
+  sendMessages(actions);
   publish();
   schedule();
 }
 
-void SourceLoop::askAndSend(const FollowerActions& actions) {
+void SourceSynchronizer::sendMessages(const FollowerActions& actions) {
   for (const OutgoingNews& outgoing : actions.news) {
-    peers_.sendNews(outgoing.to, outgoing.news);
+    peers_.sendUpdate(outgoing.to, outgoing.news);
   }
   if (actions.ask) {
-    peers_.askForNews(*actions.ask, follower_.known());
+    peers_.requestUpdate(*actions.ask, follower_.known());
   }
   for (const OutgoingProofRequest& outgoing : actions.proofs.requests) {
-    peers_.askForProof(outgoing.to, outgoing.request);
+    peers_.requestProof(outgoing.to, outgoing.request);
   }
   for (const OutgoingProofReply& outgoing : actions.proofs.replies) {
     peers_.sendProof(outgoing.to, outgoing.reply);
   }
 }
 
-void SourceLoop::publish() {
+void SourceSynchronizer::publish() {
   if (auto view = follower_.takeChangedView()) {
     log(LogLevel::kInfo, "view published",
         {{"configuration_version", follower_.configurationVersion()},
@@ -206,17 +206,17 @@
   publishProof();
 }
 
-void SourceLoop::publishProof() {
+void SourceSynchronizer::publishProof() {
   const ConfigurationProof& proof = follower_.proof();
   if (proof.provenAt != provenAt_) {
     provenAt_ = proof.provenAt;
     publishedProof_.publish(std::make_shared<const ConfigurationProof>(proof));
     handlers_.onProof();
   }
-  if (follower_.proofHolds() != proofHeld_) {
-    proofHeld_ = !proofHeld_;
-    log(proofHeld_ ? LogLevel::kInfo : LogLevel::kWarning,
-        proofHeld_ ? "configuration proof is fresh" : "configuration proof is too old",
+  if (follower_.proofHolds() != proofFresh_) {
+    proofFresh_ = !proofFresh_;
+    log(proofFresh_ ? LogLevel::kInfo : LogLevel::kWarning,
+        proofFresh_ ? "configuration proof is fresh" : "configuration proof is too old",
         {{"configuration_version", follower_.configurationVersion()},
          {"proved_version", proof.version},
          {"age_ms", toMilliseconds(steadyNow() - proof.provenAt)}});
--- a/src/programs/gateway/source_loop.h
+++ b/src/programs/gateway/source_synchronizer.h
@@ -12,14 +12,14 @@
 #include <vector>
 
 #include "coordination/serving/source_follower.h"
-#include "programs/gateway/peer_link.h"
+#include "programs/gateway/peer_messenger.h"
 #include "protocol/serving/source_dialect.h"
 #include "state/published.h"
 #include "transport/serving/source_client.h"
 
 namespace oakpier::serving {
 
-class SourceLoop {
+class SourceSynchronizer {
  public:
   struct Handlers {
     /// Called after a view was published.
@@ -27,30 +27,28 @@
     /// Called after a newer freshness proof was published.
     std::function<void()> onProof;
     std::function<void(const DaemonGroup& daemons)> onDaemons;
-    /// The following are documented in `PeerLink::Handlers`.
-    std::function<void(const Endpoint& sender, PeerEnvelope envelope)> onShardFrame;
-    std::function<void(PeerEnvelope envelope)> onShardFrameUndeliverable;
+    /// The following are documented in `PeerMessenger::Handlers`.
+    std::function<void(const Endpoint& sender, PeerEnvelope envelope)> onRequestFrame;
+    std::function<void(PeerEnvelope envelope)> onRequestFrameUndeliverable;
     std::function<void(const std::vector<Endpoint>& suspected)> onSuspected;
   };
 
-  SourceLoop(boost::asio::io_context& context, const Endpoint& source, const SourceDialect& dialect,
-             const PeerLinkSettings& peers, const FollowerSettings& follower,
-             Published<ServingView>& published, Published<ConfigurationProof>& publishedProof,
-             Handlers handlers);
+  SourceSynchronizer(boost::asio::io_context& context, const Endpoint& source, const SourceDialect& dialect,
+                     const PeerMessengerSettings& peers, const FollowerSettings& follower,
+                     Published<ServingView>& published, Published<ConfigurationProof>& publishedProof,
+                     Handlers handlers);
 
   /// Returns an error message if the peer address cannot be bound, otherwise an empty string.
   std::string start();
   void stop() { peers_.stop(); }
   void leave() { peers_.leave(); }
   /// Call when a caller was refused because no configuration is known; fetches it as soon as possible.
-  void onStateWanted();
+  void onConfigurationNeeded();
   /// `capacity`: capacity of this daemon, in hundredths of a core; 0 reports none.
   void reload(const Endpoint& source, const std::vector<Endpoint>& seeds, unsigned capacity,
               const ProverSettings& prover);
   /// Thread-safe.
-  void sendShardFrame(const Endpoint& to, PeerEnvelope envelope) {
-    peers_.sendShardFrame(to, std::move(envelope));
-  }
+  void sendFrame(const Endpoint& to, PeerEnvelope envelope) { peers_.sendFrame(to, std::move(envelope)); }
   bool complete() const { return follower_.complete(); }
   /// Thread-safe.
   const PeerTransportCounters& peerCounters() const { return peers_.counters(); }
@@ -60,14 +58,14 @@
   void schedule();
   void step();
   void onAnswer(const SourceCall& call, const SourceAnswer& answer);
-  void onNews(const Endpoint& sender, const SourceNews& news);
-  void onNewsRequest(const Endpoint& sender, const SourceNewsRequest& request);
+  void onUpdate(const Endpoint& sender, const SourceNews& update);
+  void onUpdateRequest(const Endpoint& sender, const SourceNewsRequest& request);
   void onMembers(const DaemonGroup& daemons);
   /// Call after a pause of the process or its machine; runs overdue work now instead of waiting for the
   /// timer.
   void onPause();
-  void carryOut(const FollowerActions& actions);
-  void askAndSend(const FollowerActions& actions);
+  void apply(const FollowerActions& actions);
+  void sendMessages(const FollowerActions& actions);
   void publish();
   void publishProof();
 
@@ -78,10 +76,10 @@
   SourceClient client_;
   SourceFollower follower_;
   std::vector<Endpoint> seeds_;
-  PeerLink peers_;
+  PeerMessenger peers_;
   boost::asio::steady_timer timer_;
   Moment provenAt_{};
-  bool proofHeld_ = false;
+  bool proofFresh_ = false;
 };
 
 }  // namespace oakpier::serving
--- a/src/state/serving/serving_configuration.cpp
+++ b/src/state/serving/serving_configuration.cpp
@@ -125,7 +125,7 @@
 
 }  // namespace
 
-std::vector<std::string> problemsOf(const ServingConfiguration& configuration) {
+std::vector<std::string> validationErrors(const ServingConfiguration& configuration) {
   return ConfigurationCheck(configuration).run();
 }
 
--- a/src/state/serving/serving_configuration.h
+++ b/src/state/serving/serving_configuration.h
@@ -80,6 +80,6 @@
 };
 
 /// Every reason, in plain words, why the configuration cannot be used; empty when it can.
-std::vector<std::string> problemsOf(const ServingConfiguration& configuration);
+std::vector<std::string> validationErrors(const ServingConfiguration& configuration);
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/machine_limits_test.cpp
+++ b/tests/serving/coordination/machine_limits_test.cpp
@@ -33,10 +33,10 @@
 }
 
 TEST_CASE("limits that no machine has are refused", "[serving]") {
-  REQUIRE(problemsOf(machine(0.5, 200)).empty());
-  REQUIRE(problemsOf(MachineLimits{}).empty());
-  REQUIRE(problemsOf(machine(-1, -1)).size() == 2);
-  REQUIRE(problemsOf(machine(300, 1)).size() == 1);
+  REQUIRE(validationErrors(machine(0.5, 200)).empty());
+  REQUIRE(validationErrors(MachineLimits{}).empty());
+  REQUIRE(validationErrors(machine(-1, -1)).size() == 2);
+  REQUIRE(validationErrors(machine(300, 1)).size() == 1);
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/platform/platform_test.cpp
+++ b/tests/serving/platform/platform_test.cpp
@@ -44,7 +44,7 @@
   REQUIRE(settings.peerAddress.text() == "10.1.0.9:7380");
   REQUIRE(settings.seeds[1].text() == "10.2.0.21:7380");
   REQUIRE(settings.stopGrace == std::chrono::seconds(6));
-  REQUIRE(settings.extraSends.slack == 56);
+  REQUIRE(settings.retryLimit.slack == 56);
   REQUIRE(settings.warmup.factor == 1.5);
   REQUIRE(settings.warmup.slack == 5);
   REQUIRE(settings.quota.window == std::chrono::seconds(4));
@@ -169,7 +169,7 @@
   const auto configuration =
       std::get<ServingConfiguration>(dialect.interpret({"op/config", kConfiguration, 1, false}));
   REQUIRE(configuration.version == 7);
-  REQUIRE(problemsOf(configuration).empty());
+  REQUIRE(validationErrors(configuration).empty());
   const auto& gather = std::get<GatherTarget>(configuration.routes[0].target);
   REQUIRE(gather.shards.size() == 2);
   REQUIRE(gather.topRecords == 5);
@@ -207,7 +207,7 @@
     {"name": "amber", "api_keys": ["key-1", "key-2"], "priority": 1, "rate_per_s": 8, "burst": 4.5},
     {"name": "birch", "api_keys": [], "priority": null}, {"name": "cedar"}], )");
   const auto configuration = std::get<ServingConfiguration>(dialect.interpret({"op/config", text, 1, false}));
-  REQUIRE(problemsOf(configuration).empty());
+  REQUIRE(validationErrors(configuration).empty());
   REQUIRE_FALSE(configuration.routes[0].isPublic);
   REQUIRE(configuration.routes[1].isPublic);
   REQUIRE(configuration.tenants.size() == 3);
--- a/tests/serving/programs/causes_test.cpp
+++ b/tests/serving/programs/causes_test.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "programs/control/explain.h"
-#include "programs/gateway/loss_ledger.h"
+#include "programs/gateway/loss_logger.h"
 #include "serving/support/captured_log.h"
 #include "serving/support/serving_fixtures.h"
 #include "support/property.h"
@@ -34,7 +34,7 @@
 }
 
 /// Queries of a day with generated outcomes; returns what their callers lost.
-double playDay(LossLedger& ledger, int queries) {
+double playDay(LossLogger& ledger, int queries) {
   const bool gather = *rc::gen::arbitrary<bool>();
   const auto view = viewOf({gather ? gatherRoute(kShards, 0.5) : singleRoute("s0", true, 2)}, kShards, 2);
   const Route& route = view->configuration->routes[0];
@@ -84,7 +84,7 @@
     double lost = 0;
     const int queries = *rc::gen::inRange(1, 20);
     {
-      LossLedger ledger;
+      LossLogger ledger;
       lost = playDay(ledger, queries);
     }
     LossReport report;
@@ -101,7 +101,7 @@
 TEST_CASE("losses are few lines whatever the load", "[serving]") {
   const CapturedLog captured;
   {
-    LossLedger ledger;
+    LossLogger ledger;
     Loss loss;
     loss.add(LossCause::kOwnerLate, 0.25);
     for (int number = 0; number < 100'000; ++number) {
@@ -145,7 +145,7 @@
                                          LossCause::kKeyMaybeNew,     LossCause::kProofTooOld,
                                          LossCause::kTenantOverLimit, LossCause::kTenantNotCounted};
   {
-    LossLedger ledger;
+    LossLogger ledger;
     for (const LossCause cause : causes) {
       Loss loss;
       loss.add(cause, 1.0);
--- a/tests/serving/programs/gateway_log_test.cpp
+++ b/tests/serving/programs/gateway_log_test.cpp
@@ -11,9 +11,9 @@
   for (int number = 0; number < 20; ++number) {
     log.onRefused({"id", {}}, "page", LossCause::kLeafsTooBusy, 503, at(1000));
   }
-  REQUIRE(log.linesLeftOut() == 15);
+  REQUIRE(log.linesSuppressed() == 15);
   log.onRefused({"id", {}}, "page", LossCause::kLeafsTooBusy, 503, at(1400));
-  REQUIRE(log.linesLeftOut() == 15);
+  REQUIRE(log.linesSuppressed() == 15);
 }
 
 TEST_CASE("a query keeps a trace of its decisions", "[serving]") {
@@ -38,7 +38,7 @@
   RequestCounters requests;
   requests.received = 7;
   requests.rejectedKeys = 31;
-  requests.refusedUnproved = 32;
+  requests.refusedUnproven = 32;
   requests.refusedOverLimit = 33;
   requests.answerTimes["page"].record(std::chrono::milliseconds(3));
   requests.answerTimes["page"].record(std::chrono::minutes(5));
@@ -53,13 +53,13 @@
   FollowerCounters source;
   source.proofs.asked = 31;
   source.proofs.timedOut = 5;
-  QuotaFigures quota;
-  quota.holder.asks = 31;
-  quota.home.granted = 32;
+  QuotaMetrics quota;
+  quota.client.asks = 31;
+  quota.server.granted = 32;
   quota.buckets = 33;
   quota.waits.record(std::chrono::milliseconds(3));
   const std::string text =
-      metricsText(GatewayFigures{requests, pool, owners, 9, mergers, 22, peers, source, 12,  70,
+      metricsText(GatewayMetrics{requests, pool, owners, 9, mergers, 22, peers, source, 12,  70,
                                  8,        4,    true,   1, 2,       12, 1192,  34,     1.5, quota});
   for (const char* line : {"oakpier_gateway_requests_total 7",
                            "oakpier_gateway_configuration_version 12",
--- a/tests/serving/programs/merge_test.cpp
+++ b/tests/serving/programs/merge_test.cpp
@@ -19,8 +19,8 @@
 
 using Kind = LeafOutcome::Kind;
 
-const Endpoint kAsker(1, 9);
-const Endpoint kMerger(2, 9);
+const Endpoint kRequester(1, 9);
+const Endpoint kMergeServer(2, 9);
 const std::vector<std::string> kShards{"s0", "s1", "s2", "s3"};
 constexpr std::size_t kTopRecords = 3;
 
@@ -30,22 +30,23 @@
 struct MergeWorld : QueryWorld {
   MergeWorld()
       : QueryWorld(viewOf({gatherRoute(kShards, 0.5)}, kShards, 1)),
-        mergerSide(viewOf({gatherRoute(kShards, 0.5)}, kShards, 1)),
-        server(*mergerSide.context),
-        client(io, *context, mergers, [this](const Endpoint& to, PeerEnvelope envelope) {
-          REQUIRE(to == kMerger);
-          toMerger.push_back(std::move(envelope));
+        serverSide(viewOf({gatherRoute(kShards, 0.5)}, kShards, 1)),
+        server(*serverSide.context),
+        client(io, *context, mergeServers, [this](const Endpoint& to, PeerEnvelope envelope) {
+          REQUIRE(to == kMergeServer);
+          toMergeServer.push_back(std::move(envelope));
         }) {
-    order.request = std::make_shared<const HttpRequest>(HttpRequest{"GET", "/all/", {{"X-Id", "7"}}, "body"});
-    order.route = std::make_shared<const Route>(gatherRoute(kShards, 0.5));
+    parameters.request =
+        std::make_shared<const HttpRequest>(HttpRequest{"GET", "/all/", {{"X-Id", "7"}}, "body"});
+    parameters.route = std::make_shared<const Route>(gatherRoute(kShards, 0.5));
     const Moment now = steadyNow();
-    order.leafDeadline = now + std::chrono::seconds(60);
-    order.decidesAt = now + std::chrono::seconds(30);
-    order.listener =
+    parameters.leafDeadline = now + std::chrono::seconds(60);
+    parameters.decidesAt = now + std::chrono::seconds(30);
+    parameters.listener =
         std::make_shared<const MergeClient::Listener>([this](const std::vector<ExchangeOutcome>& outcomes) {
           ++calls;
           for (const ExchangeOutcome& each : outcomes) {
-            told[each.exchange] = each.outcome;
+            received[each.exchange] = each.outcome;
           }
         });
   }
@@ -56,49 +57,49 @@
     for (std::size_t number = 0; number < kShards.size(); ++number) {
       const auto leaf = registry.leafsOf(kShards[number]).front();
       leaf->onStarted(number + 1, std::chrono::milliseconds(20), steadyNow());
-      sends.push_back(SendAction{number + 1, leaf, kMerger});
+      sends.push_back(SendAction{number + 1, leaf, kMergeServer});
     }
-    client.send(sends, order);
+    client.send(sends, parameters);
   }
 
   /// Delivers the oldest frame to the merge server; returns what the server sends to leafs.
   std::vector<MergeSend> deliverWork() {
-    const PeerEnvelope frame = std::move(toMerger.front());
-    toMerger.pop_front();
-    MergeServerActions actions = server.onWork(kAsker, frame.merge_work(), at(0));
-    take(actions);
+    const PeerEnvelope frame = std::move(toMergeServer.front());
+    toMergeServer.pop_front();
+    MergeServerActions actions = server.onWork(kRequester, frame.merge_work(), at(0));
+    collectResults(actions);
     return std::move(actions.sends);
   }
 
-  void finishAtMerger(const MergeSend& send, const LeafOutcome& outcome, Moment now) {
+  void finishAtServer(const MergeSend& send, const LeafOutcome& outcome, Moment now) {
     MergeServerActions actions = server.onOutcome(send.action.exchange, outcome, now);
-    take(actions);
+    collectResults(actions);
   }
 
-  void take(MergeServerActions& actions) {
+  void collectResults(MergeServerActions& actions) {
     for (OutgoingMergeResults& outgoing : actions.results) {
-      REQUIRE(outgoing.to == kAsker);
-      toAsker.push_back(std::move(outgoing.results));
+      REQUIRE(outgoing.to == kRequester);
+      toRequester.push_back(std::move(outgoing.results));
     }
   }
 
   void deliverResults() {
-    while (!toAsker.empty()) {
-      client.onResults(kMerger, toAsker.front());
-      toAsker.pop_front();
+    while (!toRequester.empty()) {
+      client.onResults(kMergeServer, toRequester.front());
+      toRequester.pop_front();
     }
   }
 
-  QueryWorld mergerSide;
+  QueryWorld serverSide;
   MergeServer server;
   boost::asio::io_context io;
-  ZoneMergers mergers;
-  std::deque<PeerEnvelope> toMerger;
-  std::deque<MergeResults> toAsker;
-  std::map<ExchangeId, LeafOutcome> told;
+  ZoneMergers mergeServers;
+  std::deque<PeerEnvelope> toMergeServer;
+  std::deque<MergeResults> toRequester;
+  std::map<ExchangeId, LeafOutcome> received;
   unsigned calls = 0;
   MergeClient client;
-  MergeClient::Order order;
+  MergeClient::RequestParameters parameters;
 };
 
 constexpr int kWithinHold = 10;
@@ -108,21 +109,21 @@
 TEST_CASE("one frame carries all requests for a zone, and one returns the greatest records", "[serving]") {
   MergeWorld world;
   world.sendAll();
-  REQUIRE(world.toMerger.size() == 1);
+  REQUIRE(world.toMergeServer.size() == 1);
   const auto sends = world.deliverWork();
   REQUIRE(sends.size() == kShards.size());
   REQUIRE(sends[0].task->request.body == "body");
   char letter = 'a';
   for (const MergeSend& send : sends) {
-    REQUIRE(world.toAsker.empty());
-    world.finishAtMerger(send, outcomeOf(Kind::kAnswered, record(letter++)), at(kWithinHold));
+    REQUIRE(world.toRequester.empty());
+    world.finishAtServer(send, outcomeOf(Kind::kAnswered, record(letter++)), at(kWithinHold));
   }
-  REQUIRE(world.toAsker.size() == 1);
-  REQUIRE(world.toAsker.front().records() == record('d') + record('c') + record('b'));
+  REQUIRE(world.toRequester.size() == 1);
+  REQUIRE(world.toRequester.front().records() == record('d') + record('c') + record('b'));
   world.deliverResults();
   REQUIRE(world.calls == 1);
-  REQUIRE(world.told.size() == kShards.size());
-  for (const auto& [exchange, outcome] : world.told) {
+  REQUIRE(world.received.size() == kShards.size());
+  for (const auto& [exchange, outcome] : world.received) {
     REQUIRE(outcome.kind == Kind::kAnswered);
     REQUIRE(outcome.merged);
   }
@@ -130,10 +131,10 @@
 
 TEST_CASE("requests to leafs of another zone carry the caller's tenant and rank", "[serving]") {
   MergeWorld world;
-  HttpRequest request = *world.order.request;
+  HttpRequest request = *world.parameters.request;
   request.tenant = "amber";
-  world.order.request = std::make_shared<const HttpRequest>(std::move(request));
-  world.order.rank = 5;
+  world.parameters.request = std::make_shared<const HttpRequest>(std::move(request));
+  world.parameters.rank = 5;
   world.sendAll();
   const auto sends = world.deliverWork();
   REQUIRE(sends.at(0).task->request.tenant == "amber");
@@ -144,41 +145,41 @@
   MergeWorld world;
   world.sendAll();
   const auto sends = world.deliverWork();
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kAnswered, record('a')), at(1));
-  REQUIRE(world.toAsker.empty());
-  world.finishAtMerger(sends[1], outcomeOf(Kind::kNotSent), at(2));
-  REQUIRE(world.toAsker.size() == 1);
+  world.finishAtServer(sends[0], outcomeOf(Kind::kAnswered, record('a')), at(1));
+  REQUIRE(world.toRequester.empty());
+  world.finishAtServer(sends[1], outcomeOf(Kind::kNotSent), at(2));
+  REQUIRE(world.toRequester.size() == 1);
   world.deliverResults();
-  REQUIRE(world.told.at(1).kind == Kind::kAnswered);
-  REQUIRE(world.told.at(2).kind == Kind::kNotSent);
+  REQUIRE(world.received.at(1).kind == Kind::kAnswered);
+  REQUIRE(world.received.at(2).kind == Kind::kNotSent);
 }
 
 TEST_CASE("results are held only until the next decision of the query", "[serving]") {
   MergeWorld world;
-  world.order.decidesAt = steadyNow() + std::chrono::milliseconds(50);
+  world.parameters.decidesAt = steadyNow() + std::chrono::milliseconds(50);
   world.sendAll();
   const auto sends = world.deliverWork();
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kAnswered, record('a')), at(5));
+  world.finishAtServer(sends[0], outcomeOf(Kind::kAnswered, record('a')), at(5));
   const Moment due = world.server.nextDecisionAt();
   REQUIRE(due > at(5));
   REQUIRE(due < at(50));
   MergeServerActions actions = world.server.onTime(due);
   REQUIRE(actions.results.size() == 1);
-  world.finishAtMerger(sends[1], outcomeOf(Kind::kAnswered, record('b')), at(60));
-  REQUIRE(world.toAsker.size() == 1);
+  world.finishAtServer(sends[1], outcomeOf(Kind::kAnswered, record('b')), at(60));
+  REQUIRE(world.toRequester.size() == 1);
 }
 
 TEST_CASE("answers that depend on a lost frame are dropped", "[serving]") {
   MergeWorld world;
-  world.order.decidesAt = steadyNow();
+  world.parameters.decidesAt = steadyNow();
   world.sendAll();
   const auto sends = world.deliverWork();
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kAnswered, record('d')), at(5));
-  REQUIRE(world.toAsker.size() == 1);
-  world.toAsker.clear();
-  world.finishAtMerger(sends[1], outcomeOf(Kind::kAnswered, record('c')), at(6));
+  world.finishAtServer(sends[0], outcomeOf(Kind::kAnswered, record('d')), at(5));
+  REQUIRE(world.toRequester.size() == 1);
+  world.toRequester.clear();
+  world.finishAtServer(sends[1], outcomeOf(Kind::kAnswered, record('c')), at(6));
   world.deliverResults();
-  REQUIRE(world.told.at(2).kind == Kind::kNoAnswer);
+  REQUIRE(world.received.at(2).kind == Kind::kNoAnswer);
   REQUIRE(world.client.counters().incomplete == 1);
 }
 
@@ -188,60 +189,60 @@
   world.sendAll();
   const auto sends = world.deliverWork();
   world.client.cancel({1});
-  REQUIRE(world.toMerger.size() == 1);
-  const auto actions = world.server.onCancel(kAsker, world.toMerger.front().merge_cancel());
+  REQUIRE(world.toMergeServer.size() == 1);
+  const auto actions = world.server.onCancel(kRequester, world.toMergeServer.front().merge_cancel());
   REQUIRE(actions.abandons == std::vector<ExchangeId>{sends[0].action.exchange});
   const auto leaf = world.registry.leafsOf("s0").front();
   REQUIRE(leaf->inProgress() == 1);
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kWithdrawn), at(7));
+  world.finishAtServer(sends[0], outcomeOf(Kind::kWithdrawn), at(7));
   world.deliverResults();
   REQUIRE(leaf->inProgress() == 0);
-  REQUIRE(world.told.empty());
+  REQUIRE(world.received.empty());
 }
 
 TEST_CASE("undeliverable work is reported as not sent by the merge client", "[serving]") {
   MergeWorld world;
   world.sendAll();
-  world.client.onUndeliverable(world.toMerger.front().merge_work());
-  REQUIRE(world.told.size() == kShards.size());
-  REQUIRE(world.told.at(1).kind == Kind::kNotSent);
+  world.client.onUndeliverable(world.toMergeServer.front().merge_work());
+  REQUIRE(world.received.size() == kShards.size());
+  REQUIRE(world.received.at(1).kind == Kind::kNotSent);
   REQUIRE(world.registry.leafsOf("s0").front()->inProgress() == 0);
 }
 
 TEST_CASE("a request for a leaf unknown to the merge server is reported as not sent", "[serving]") {
   MergeWorld world;
-  world.mergerSide.registry.reconcile({}, at(0));
+  world.serverSide.registry.reconcile({}, at(0));
   world.sendAll();
   REQUIRE(world.deliverWork().empty());
   world.deliverResults();
-  REQUIRE(world.told.at(4).kind == Kind::kNotSent);
+  REQUIRE(world.received.at(4).kind == Kind::kNotSent);
   REQUIRE(world.server.inProgress() == 0);
 }
 
 TEST_CASE("a request for one incarnation of a leaf is not sent to another", "[serving][lives]") {
   MergeWorld world;
-  const auto relist = [](QueryWorld& side, std::uint64_t birth) {
+  const auto relist = [](QueryWorld& side, std::uint64_t bornAt) {
     LeafsByService directory = leafsOf(kShards, 1);
-    directory["s0"][0].bornAt = birth;
+    directory["s0"][0].bornAt = bornAt;
     side.registry.reconcile(directory, at(0));
   };
   relist(world, 1760000060000);
   SECTION("the merge server knows the earlier incarnation") {
-    relist(world.mergerSide, 1760000000000);
+    relist(world.serverSide, 1760000000000);
     world.sendAll();
     REQUIRE(world.deliverWork().size() == kShards.size() - 1);
     world.deliverResults();
-    REQUIRE(world.told.at(1).kind == Kind::kNotSent);
+    REQUIRE(world.received.at(1).kind == Kind::kNotSent);
   }
   SECTION("the merge server knows the same incarnation") {
-    relist(world.mergerSide, 1760000060000);
+    relist(world.serverSide, 1760000060000);
     world.sendAll();
     REQUIRE(world.deliverWork().size() == kShards.size());
   }
   SECTION("the request does not specify the incarnation") {
-    relist(world.mergerSide, 1760000000000);
+    relist(world.serverSide, 1760000000000);
     world.sendAll();
-    world.toMerger.front().mutable_merge_work()->mutable_parts(0)->clear_leaf_born();
+    world.toMergeServer.front().mutable_merge_work()->mutable_parts(0)->clear_leaf_born();
     REQUIRE(world.deliverWork().size() == kShards.size());
   }
 }
@@ -250,11 +251,11 @@
   MergeWorld world;
   world.sendAll();
   const auto sends = world.deliverWork();
-  world.finishAtMerger(sends[0], outcomeOf(Kind::kNotSent), at(5));
-  MergeResults results = world.toAsker.front();
+  world.finishAtServer(sends[0], outcomeOf(Kind::kNotSent), at(5));
+  MergeResults results = world.toRequester.front();
   results.set_receiver_run(results.receiver_run() + 1);
-  world.client.onResults(kMerger, results);
-  REQUIRE(world.told.empty());
+  world.client.onResults(kMergeServer, results);
+  REQUIRE(world.received.empty());
 }
 
 TEST_CASE("merged answers replace the answer of a hedge and are combined with direct answers", "[serving]") {
@@ -276,34 +277,34 @@
   REQUIRE(std::get<MergedAnswer>(*last.answer).records == record('m') + record('a') + record('a'));
 }
 
-TEST_CASE("merged in any order and over any frames, the greatest records are returned", "[serving]") {
+TEST_CASE("merged in any parameters and over any frames, the greatest records are returned", "[serving]") {
   OAKPIER_PROPERTY("merged records", [] {
     MergeWorld world;
     const bool hold = *rc::gen::arbitrary<bool>();
-    world.order.decidesAt = steadyNow() + std::chrono::seconds(hold ? 30 : 0);
+    world.parameters.decidesAt = steadyNow() + std::chrono::seconds(hold ? 30 : 0);
     world.sendAll();
     auto sends = world.deliverWork();
     std::vector<std::string> bodies;
     std::vector<std::size_t> open{0, 1, 2, 3};
     while (!open.empty()) {
-      const auto place = *rc::gen::inRange<std::size_t>(0, open.size());
+      const auto index = *rc::gen::inRange<std::size_t>(0, open.size());
       std::string body;
       const auto count = *rc::gen::inRange(0, 6);
       for (int number = 0; number < count; ++number) {
         body += record(*rc::gen::inRange('a', 'h'));
       }
       bodies.push_back(body);
-      world.finishAtMerger(sends[open[place]], outcomeOf(Kind::kAnswered, body), at(kWithinHold));
-      open.erase(open.begin() + static_cast<std::ptrdiff_t>(place));
+      world.finishAtServer(sends[open[index]], outcomeOf(Kind::kAnswered, body), at(kWithinHold));
+      open.erase(open.begin() + static_cast<std::ptrdiff_t>(index));
     }
     world.deliverResults();
     std::vector<std::string_view> merged;
-    std::vector<std::string_view> whole(bodies.begin(), bodies.end());
-    for (const auto& [exchange, outcome] : world.told) {
+    std::vector<std::string_view> all(bodies.begin(), bodies.end());
+    for (const auto& [exchange, outcome] : world.received) {
       RC_ASSERT(outcome.kind == Kind::kAnswered);
       merged.emplace_back(outcome.reply->body);
     }
-    RC_ASSERT(greatestRecords(merged, kTopRecords) == greatestRecords(whole, kTopRecords));
+    RC_ASSERT(greatestRecords(merged, kTopRecords) == greatestRecords(all, kTopRecords));
   });
 }
 
--- a/tests/serving/programs/owner_client_test.cpp
+++ b/tests/serving/programs/owner_client_test.cpp
@@ -23,18 +23,19 @@
         client(*context, owners, [this](const Endpoint& to, PeerEnvelope envelope) {
           frames.emplace_back(to, std::move(envelope));
         }) {
-    order.request = std::make_shared<const HttpRequest>(HttpRequest{"GET", "/all/", {{"X-Id", "7"}}, "body"});
-    order.route = std::make_shared<const Route>(gatherRoute({"s", "t", "u"}, 0.5));
-    order.leafDeadline = Moment::max();
-    order.usefulUntil = Moment::max();
-    order.listener =
-        std::make_shared<const OwnerClient::Listener>([this](const std::vector<ExchangeOutcome>& told) {
-          outcomes.insert(outcomes.end(), told.begin(), told.end());
+    parameters.request =
+        std::make_shared<const HttpRequest>(HttpRequest{"GET", "/all/", {{"X-Id", "7"}}, "body"});
+    parameters.route = std::make_shared<const Route>(gatherRoute({"s", "t", "u"}, 0.5));
+    parameters.leafDeadline = Moment::max();
+    parameters.usefulUntil = Moment::max();
+    parameters.listener =
+        std::make_shared<const OwnerClient::Listener>([this](const std::vector<ExchangeOutcome>& received) {
+          outcomes.insert(outcomes.end(), received.begin(), received.end());
         });
   }
 
   void sendThree() {
-    client.send({{1, kFirstOwner, "s", 2}, {2, kOtherOwner, "t", 2}, {3, kFirstOwner, "u", 2}}, order);
+    client.send({{1, kFirstOwner, "s", 2}, {2, kOtherOwner, "t", 2}, {3, kFirstOwner, "u", 2}}, parameters);
   }
 
   OwnerResults resultOf(ExchangeId exchange, std::uint64_t run) const {
@@ -52,7 +53,7 @@
   std::vector<std::pair<Endpoint, PeerEnvelope>> frames;
   std::vector<ExchangeOutcome> outcomes;
   OwnerClient client;
-  OwnerClient::Order order;
+  OwnerClient::RequestParameters parameters;
 };
 
 }  // namespace
@@ -96,7 +97,7 @@
     second.frames.emplace_back(to, std::move(envelope));
   });
   first.sendThree();
-  later.send({{1, kFirstOwner, "s", 2}}, second.order);
+  later.send({{1, kFirstOwner, "s", 2}}, second.parameters);
   REQUIRE(first.frames[0].second.owner_work().sender_run() !=
           second.frames[0].second.owner_work().sender_run());
 }
@@ -128,13 +129,13 @@
 
 TEST_CASE("peers of the zone are probed when they join and when they return", "[serving]") {
   ClientWorld world;
-  world.client.greet({kFirstOwner, kOtherOwner});
+  world.client.probeNewPeers({kFirstOwner, kOtherOwner});
   REQUIRE(world.frames.size() == 2);
   REQUIRE(world.frames[0].second.owner_work().parts_size() == 0);
-  world.client.greet({kFirstOwner, kOtherOwner});
+  world.client.probeNewPeers({kFirstOwner, kOtherOwner});
   REQUIRE(world.frames.size() == 2);
-  world.client.greet({kFirstOwner});
-  world.client.greet({kFirstOwner, kOtherOwner});
+  world.client.probeNewPeers({kFirstOwner});
+  world.client.probeNewPeers({kFirstOwner, kOtherOwner});
   REQUIRE(world.frames.size() == 3);
   REQUIRE(world.frames[2].first == kOtherOwner);
 }
@@ -143,24 +144,24 @@
   ClientWorld world;
   const Endpoint bystander(4, 9);
   world.owners.setDaemons({Endpoint(1, 9), kFirstOwner, kOtherOwner, bystander});
-  world.client.greet({kFirstOwner, kOtherOwner, bystander});
+  world.client.probeNewPeers({kFirstOwner, kOtherOwner, bystander});
   world.owners.onSent(kFirstOwner, steadyNow() - std::chrono::seconds(1));
   world.frames.clear();
-  world.client.tellOfSilence();
+  world.client.reportUnresponsivePeers();
   REQUIRE(world.frames.size() == 2);
   for (const auto& [to, frame] : world.frames) {
     REQUIRE(to != kFirstOwner);
     REQUIRE(frame.silent_daemons().addresses(0) == kFirstOwner.text());
   }
-  world.client.tellOfSilence();
+  world.client.reportUnresponsivePeers();
   REQUIRE(world.frames.size() == 2);
 
-  ClientWorld told;
-  told.client.onSilentDaemons(world.frames[0].second.silent_daemons());
-  REQUIRE(told.owners.silent(kFirstOwner, steadyNow()));
+  ClientWorld notified;
+  notified.client.onUnresponsivePeers(world.frames[0].second.silent_daemons());
+  REQUIRE(notified.owners.silent(kFirstOwner, steadyNow()));
   SilentDaemons unreadable;
   unreadable.add_addresses("nowhere");
-  told.client.onSilentDaemons(unreadable);
+  notified.client.onUnresponsivePeers(unreadable);
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/programs/quarantine_link_test.cpp
+++ b/tests/serving/programs/quarantine_gossip_test.cpp
@@ -1,7 +1,7 @@
 /// Gossip of quarantine records among many daemons in one process. The test delivers, drops and counts
 /// frames.
 
-#include "programs/gateway/quarantine_link.h"
+#include "programs/gateway/quarantine_gossip.h"
 
 #include <boost/asio/post.hpp>
 #include <catch2/catch.hpp>
@@ -30,22 +30,22 @@
     }
     for (const Endpoint& self : all) {
       auto daemon = std::make_unique<Daemon>();
-      daemon->link = std::make_unique<QuarantineLink>(
+      daemon->gossip = std::make_unique<QuarantineGossip>(
           context, daemon->quarantine, random, self,
-          [this](const Endpoint& to, PeerEnvelope frame) { carry(to, std::move(frame)); });
-      daemon->link->setDaemons(all);
+          [this](const Endpoint& to, PeerEnvelope frame) { deliver(to, std::move(frame)); });
+      daemon->gossip->setDaemons(all);
       daemons_.emplace(self, std::move(daemon));
     }
   }
 
   RequestQuarantine& quarantineOf(std::uint32_t number) { return daemonAt(number).quarantine; }
-  void tell(std::uint32_t number) { daemonAt(number).link->onChanged(); }
+  void notifyChanged(std::uint32_t number) { daemonAt(number).gossip->onChanged(); }
   /// Starts or stops dropping all frames to the daemon.
-  void cutOff(std::uint32_t number, bool cut) {
-    if (cut) {
-      cut_.insert(Endpoint(number, kPort));
+  void setUnreachable(std::uint32_t number, bool unreachable) {
+    if (unreachable) {
+      unreachable_.insert(Endpoint(number, kPort));
     } else {
-      cut_.erase(Endpoint(number, kPort));
+      unreachable_.erase(Endpoint(number, kPort));
     }
   }
   std::size_t countOf(Verdict verdict) const {
@@ -63,32 +63,32 @@
  private:
   struct Daemon {
     RequestQuarantine quarantine;
-    std::unique_ptr<QuarantineLink> link;
+    std::unique_ptr<QuarantineGossip> gossip;
   };
 
   Daemon& daemonAt(std::uint32_t number) { return *daemons_.at(Endpoint(number, kPort)); }
-  void carry(const Endpoint& to, PeerEnvelope frame) {
+  void deliver(const Endpoint& to, PeerEnvelope frame) {
     ++frames;
     boost::asio::post(context, [this, to, frame = std::move(frame)] {
-      if (cut_.count(to) == 0) {
-        daemons_.at(to)->link->onFrame(frame.ending_requests());
+      if (unreachable_.count(to) == 0) {
+        daemons_.at(to)->gossip->onFrame(frame.ending_requests());
       }
     });
   }
 
   std::map<Endpoint, std::unique_ptr<Daemon>> daemons_;
-  std::set<Endpoint> cut_;
+  std::set<Endpoint> unreachable_;
 };
 
 /// The request crashes leafs at one daemon, including the leaf of its trial.
-void condemn(Fleet& fleet, std::uint32_t number) {
+void quarantine(Fleet& fleet, std::uint32_t number) {
   RequestQuarantine& quarantine = fleet.quarantineOf(number);
   const Moment now = steadyNow();
   quarantine.onLeafEnded(kRequest, 1, now);
   quarantine.onLeafEnded(kRequest, 2, now);
   quarantine.onTrial(kRequest, now);
   quarantine.onLeafEnded(kRequest, 3, now);
-  fleet.tell(number);
+  fleet.notifyChanged(number);
 }
 
 }  // namespace
@@ -96,10 +96,10 @@
 TEST_CASE("all daemons learn of a request that crashes leafs, and of its answer", "[serving]") {
   constexpr std::uint32_t kDaemons = 300;
   Fleet fleet(kDaemons);
-  condemn(fleet, 1);
+  quarantine(fleet, 1);
   runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kDaemons; });
   fleet.quarantineOf(2).onAnswered(kRequest, steadyNow());
-  fleet.tell(2);
+  fleet.notifyChanged(2);
   runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kOrdinary) == kDaemons; });
 }
 
@@ -108,28 +108,28 @@
   Fleet fleet(kDaemons);
   for (std::uint32_t number = 1; number <= 3; ++number) {
     fleet.quarantineOf(number).onLeafEnded(kRequest, number, steadyNow());
-    fleet.tell(number);
+    fleet.notifyChanged(number);
   }
   runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kOrdinary) == 0; });
 }
 
 TEST_CASE("a daemon that was unreachable receives missed records without a request", "[serving]") {
-  constexpr std::size_t kOthers = 19;
-  Fleet fleet(kOthers + 1);
-  fleet.cutOff(5, true);
-  condemn(fleet, 1);
+  constexpr std::size_t kPeers = 19;
+  Fleet fleet(kPeers + 1);
+  fleet.setUnreachable(5, true);
+  quarantine(fleet, 1);
   // Each of the others has forwarded the record to eight peers; poll() then delivers all frames in transit.
-  runUntil(fleet.context, [&] { return fleet.frames >= kOthers * 8; });
+  runUntil(fleet.context, [&] { return fleet.frames >= kPeers * 8; });
   fleet.context.poll();
-  REQUIRE(fleet.countOf(Verdict::kCondemned) == kOthers);
-  fleet.cutOff(5, false);
-  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kOthers + 1; });
+  REQUIRE(fleet.countOf(Verdict::kCondemned) == kPeers);
+  fleet.setUnreachable(5, false);
+  runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kPeers + 1; });
 }
 
 TEST_CASE("a record that is already known is not forwarded again", "[serving]") {
   constexpr std::uint32_t kDaemons = 60;
   Fleet fleet(kDaemons);
-  condemn(fleet, 1);
+  quarantine(fleet, 1);
   runUntil(fleet.context, [&] { return fleet.countOf(Verdict::kCondemned) == kDaemons; });
   // Eight frames per daemon for the one change, plus the few anti-entropy frames that are due by now.
   REQUIRE(fleet.frames <= std::size_t{kDaemons} * 10);
--- a/tests/serving/programs/tenant_requests_test.cpp
+++ b/tests/serving/programs/tenant_requests_test.cpp
@@ -219,7 +219,7 @@
   const std::string early = world.refusalTo("/one/x", unknown);
   REQUIRE(contains(early, "HTTP/1.1 503"));
   REQUIRE(contains(early, "Retry-After: "));
-  REQUIRE(world.gateway.counters().refusedUnproved == 1);
+  REQUIRE(world.gateway.counters().refusedUnproven == 1);
   world.proveFresh();
   REQUIRE(contains(world.refusalTo("/one/x", unknown), "HTTP/1.1 401"));
   REQUIRE(world.gateway.counters().rejectedKeys == 1);
@@ -249,7 +249,7 @@
   RawClient& leaving = world.ask(world.head("/one/x", "leaving", kBirch));
   world.awaitAtLeaf("leaving");
   leaving.reset();
-  runUntil(world.context, [&] { return world.gateway.counters().callersGone == 1; });
+  runUntil(world.context, [&] { return world.gateway.counters().callersDisconnected == 1; });
   const std::string text = log.text();
   REQUIRE(contains(text, "no readable key"));
   REQUIRE(contains(text, "key unknown"));
--- a/tests/serving/state/route_table_test.cpp
+++ b/tests/serving/state/route_table_test.cpp
@@ -37,11 +37,11 @@
   configuration.services = {{"s", 10}, {"none", 0}};
   configuration.routes = {routeAt("a.example", "/x/"), routeAt("a.example", "/x/"), routeAt("", "x")};
   configuration.routes.push_back(gatherRoute({"s", "s", "unknown"}, 1.5));
-  const auto problems = problemsOf(configuration);
+  const auto problems = validationErrors(configuration);
   REQUIRE(problems.size() == 7);
   configuration.routes = {routeAt("a.example", "/x/"), gatherRoute({"s"}, 0.5)};
   configuration.services.pop_back();
-  REQUIRE(problemsOf(configuration).empty());
+  REQUIRE(validationErrors(configuration).empty());
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/state/tenant_table_test.cpp
+++ b/tests/serving/state/tenant_table_test.cpp
@@ -18,7 +18,7 @@
 /// The problems of a configuration with these tenants, as one text.
 std::string problemsWith(std::vector<Tenant> tenants) {
   std::string text;
-  for (const std::string& problem : problemsOf(configurationWith(std::move(tenants)))) {
+  for (const std::string& problem : validationErrors(configurationWith(std::move(tenants)))) {
     text += problem + "\n";
   }
   return text;
