--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -38,10 +38,10 @@
 /// window.
 constexpr std::size_t kDefaultOwners = 4;
 constexpr std::size_t kMaxReplacedOwners = 2;
-/// Plans for a fleet that grows by one daemon in this many.
+/// Shares are planned for growth of the fleet by one daemon per this many, which may happen at any time.
 constexpr std::size_t kGrowthDivisor = 3;
 
-/// An unknown key is rejected with 401 only under a proof that is younger than this fraction (1/n) of the
+/// An unknown key is answered with 401 only under a proof that is younger than this fraction (1/n) of the
 /// time within which new keys take effect everywhere.
 constexpr int kFinalRefusalDivisor = 2;
 
--- a/src/programs/gateway/merge_client.cpp
+++ b/src/programs/gateway/merge_client.cpp
@@ -13,7 +13,7 @@
 /// receipt.
 constexpr std::uint32_t kWorkLifetimeMilliseconds = 250;
 constexpr std::uint32_t kCancelLifetimeMilliseconds = 2000;
-/// A merge server reports the outcome of a request, also of a withdrawn one, within this time after the
+/// A merge server reports the outcome of a request, also of a cancelled one, within this time after the
 /// leafs' deadline.
 constexpr Duration kResultGrace = std::chrono::milliseconds(400);
 
--- a/src/programs/gateway/merge_client.h
+++ b/src/programs/gateway/merge_client.h
@@ -54,7 +54,7 @@
 
   /// `sends` belong to one query and each name a merge server.
   void send(const std::vector<SendAction>& sends, const RequestParameters& parameters);
-  /// Withdraws the exchanges that were sent to merge servers and ignores others. Their results still update
+  /// Cancels the exchanges that were sent to merge servers and ignores others. Their results still update
   /// the leaf status.
   void cancel(const std::vector<ExchangeId>& exchanges);
   void onResults(const Endpoint& mergeServer, const MergeResults& results);
@@ -73,7 +73,7 @@
     std::shared_ptr<LeafStatus> leaf;
     Moment startedAt{};
     Moment expiresAt{};
-    /// Null once the exchange has been withdrawn.
+    /// Null once the exchange has been cancelled.
     std::shared_ptr<const Listener> listener;
   };
 
--- a/src/programs/gateway/owner_client.h
+++ b/src/programs/gateway/owner_client.h
@@ -38,7 +38,8 @@
   /// What all delegated shards of one request share.
   struct RequestParameters {
     std::shared_ptr<const HttpRequest> request;
-    /// The request is a quarantine trial: it has crashed leafs, but owners must not refuse it.
+    /// The request is a quarantine trial: it has crashed leafs, but owners must not refuse it. Sent
+    /// as `vetted`.
     bool skipQuarantineCheck = false;
     /// Held until the last result.
     std::shared_ptr<const Route> route;
@@ -57,7 +58,7 @@
   /// `daemons`: all peers of the zone. Probes the new ones so that connections are established before work is
   /// sent.
   void probeNewPeers(const std::vector<Endpoint>& daemons);
-  /// Withdraws the exchanges that were delegated to owners and ignores others.
+  /// Cancels the exchanges that were delegated to owners and ignores others.
   void cancel(const std::vector<ExchangeId>& exchanges);
   void onResults(const Endpoint& owner, const OwnerResults& results);
   void onUndeliverable(const OwnerWork& work);
--- a/src/programs/gateway/peer_messenger.cpp
+++ b/src/programs/gateway/peer_messenger.cpp
@@ -20,8 +20,8 @@
 /// Frames that were in transit for longer are ignored.
 constexpr std::uint32_t kTimeToLiveMilliseconds = 1000;
 
-/// Probes compare complete member tables for this long after the start. In fleets of hundreds of daemons
-/// these would otherwise dominate the traffic between daemons.
+/// Probes compare complete member tables for this long after the start. With hundreds of daemons these
+/// comparisons are most of the traffic between daemons, so they are limited to this time.
 constexpr Duration kStabilizationTime = std::chrono::seconds(4);
 /// After a simultaneous start of all daemons, tables become complete in about six rounds.
 constexpr Duration kStabilizationProbePeriod = std::chrono::milliseconds(250);
--- a/src/programs/gateway/quota_enforcer.h
+++ b/src/programs/gateway/quota_enforcer.h
@@ -73,7 +73,7 @@
   /// Sets the limits that this daemon enforces as a quota server; null for none.
   void setTenants(std::shared_ptr<const TenantTable> tenants);
   /// `daemons`: all serving daemons including this one, sorted by address. `planned`: the number of daemons
-  /// to assume until membership is stable (`membershipStable`).
+  /// to assume until membership is stable.
   void setDaemons(const std::vector<ServingDaemon>& daemons, std::size_t planned, bool membershipStable);
   /// `suspected`: all daemons that the membership protocol suspects.
   void setSuspected(const std::vector<Endpoint>& suspected);
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -63,7 +63,7 @@
     onConfigurationNeeded_ = std::move(handler);
   }
   /// `planned`: the number of daemons assumed to share each leaf's connections. `membershipStable`:
-  /// membership is stable, so `planned` is reliable.
+  /// whether `planned` is reliable.
   void setDaemons(const DaemonGroup& daemons, std::size_t planned, bool membershipStable);
   /// `sender` may be this daemon itself.
   void onFrame(const Endpoint& sender, const PeerEnvelope& envelope);
@@ -112,11 +112,10 @@
   /// The deadline that the caller sent, limited by the route's timeout.
   Moment deadlineOf(const HttpRequest& request, const Route& route, Moment now) const;
 
-  // Carrying out the actions of a running query, in request_queries.cpp.
+  // Applies the actions of a running query, in request_queries.cpp.
   void apply(const ActivePointer& active, QueryActions actions);
   void send(const ActivePointer& active, const SendAction& action);
   void delegate(const ActivePointer& active, const std::vector<RelayAction>& delegations);
-  /// Sends attempts through merge servers.
   void sendToMergeServers(const ActivePointer& active, const std::vector<SendAction>& sends);
   void onOutcome(const ActivePointer& active, ExchangeId exchange, const LeafOutcome& outcome);
   void answer(const ActivePointer& active, const FinalAnswer& answer);
--- a/tests/serving/programs/merge_test.cpp
+++ b/tests/serving/programs/merge_test.cpp
@@ -183,7 +183,7 @@
   REQUIRE(world.client.counters().incomplete == 1);
 }
 
-TEST_CASE("a withdrawn request is abandoned at the leaf, and its outcome still updates the leaf status",
+TEST_CASE("a cancelled request is cancelled at the leaf, and its outcome still updates the leaf status",
           "[serving]") {
   MergeWorld world;
   world.sendAll();
@@ -200,7 +200,7 @@
   REQUIRE(world.received.empty());
 }
 
-TEST_CASE("undeliverable work is reported as not sent by the merge client", "[serving]") {
+TEST_CASE("undeliverable merge work is reported as not sent", "[serving]") {
   MergeWorld world;
   world.sendAll();
   world.client.onUndeliverable(world.toMergeServer.front().merge_work());
@@ -277,7 +277,7 @@
   REQUIRE(std::get<MergedAnswer>(*last.answer).records == record('m') + record('a') + record('a'));
 }
 
-TEST_CASE("merged in any parameters and over any frames, the greatest records are returned", "[serving]") {
+TEST_CASE("answers merged in any order and over any frames yield the greatest records", "[serving]") {
   OAKPIER_PROPERTY("merged records", [] {
     MergeWorld world;
     const bool hold = *rc::gen::arbitrary<bool>();
--- a/tests/serving/programs/owner_client_test.cpp
+++ b/tests/serving/programs/owner_client_test.cpp
@@ -102,7 +102,7 @@
           second.frames[0].second.owner_work().sender_run());
 }
 
-TEST_CASE("withdrawn shards are cancelled at their owners and their results ignored", "[serving]") {
+TEST_CASE("cancelled shards are cancelled at their owners and their results ignored", "[serving]") {
   ClientWorld world;
   world.sendThree();
   const std::uint64_t run = world.frames[0].second.owner_work().sender_run();
