--- a/src/programs/gateway/owner_client.h
+++ b/src/programs/gateway/owner_client.h
@@ -38,8 +38,8 @@
   /// What all delegated shards of one request share.
   struct RequestParameters {
     std::shared_ptr<const HttpRequest> request;
-    /// The request is a quarantine trial: it has crashed leafs, but owners must not refuse it. Sent
-    /// as `vetted`.
+    /// The requester has checked the request against its quarantine and runs it as a trial, so owners do not
+    /// refuse it although it has crashed leafs.
     bool skipQuarantineCheck = false;
     /// Held until the last result.
     std::shared_ptr<const Route> route;
--- a/src/programs/gateway/peer_messenger.cpp
+++ b/src/programs/gateway/peer_messenger.cpp
@@ -42,10 +42,10 @@
 }
 
 void insertSorted(const ServingDaemon& daemon, std::vector<ServingDaemon>& daemons) {
-  const auto place = std::lower_bound(
+  const auto position = std::lower_bound(
       daemons.begin(), daemons.end(), daemon.address,
       [](const ServingDaemon& other, const Endpoint& address) { return other.address < address; });
-  daemons.insert(place, daemon);
+  daemons.insert(position, daemon);
 }
 
 std::uint64_t newIncarnation() {
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -53,8 +53,8 @@
   pool_.setReachabilityListener(
       [this](const LeafEntry& leaf, bool reachable) { leafs_.onReachability(leaf, reachable, steadyNow()); });
   pool_.setLeafEndListener(
-      [this](const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under) {
-        onLeafCrash(leaf, under);
+      [this](const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& inProgress) {
+        onLeafCrash(leaf, inProgress);
       });
   pool_.setAnswerListener([this](const RequestRecord& request) {
     if (!quarantine_.empty()) {
@@ -67,10 +67,10 @@
 }
 
 void RequestGateway::onLeafCrash(const LeafEntry& leaf,
-                                 const std::vector<std::shared_ptr<RequestRecord>>& under) {
+                                 const std::vector<std::shared_ptr<RequestRecord>>& inProgress) {
   const Moment now = steadyNow();
-  log_.onLeafCrash(leaf, under, now);
-  for (const auto& request : under) {
+  log_.onLeafCrash(leaf, inProgress, now);
+  for (const auto& request : inProgress) {
     if (!request->answered) {
       quarantine_.onLeafEnded(request->fingerprint, stableHash(leaf.life()), now);
     }
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -123,7 +123,7 @@
   void armTimer(const ActivePointer& active);
 
   /// Records evidence against the requests that were in progress at a leaf that crashed.
-  void onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under);
+  void onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& inProgress);
   /// Finishes or closes connections to leafs that are no longer assigned to this daemon.
   void retainConnections(const LeafAssignment& assignment);
   /// Opens connections to assigned leafs before requests need them.
--- a/src/programs/gateway/request_intake.cpp
+++ b/src/programs/gateway/request_intake.cpp
@@ -201,11 +201,11 @@
 
 void RequestGateway::onCallerDisconnected(IncomingRequest& incoming) {
   incoming.callerDisconnected = true;
-  if (const ActivePointer gone = incoming.active.lock()) {
+  if (const ActivePointer active = incoming.active.lock()) {
     ++counters_.callersDisconnected;
-    log_.onCallerDisconnected(loggedAs(*gone->request), *gone->query, steadyNow());
-    countDecisions(gone->query->trace());
-    apply(gone, gone->query->onCallerGone());
+    log_.onCallerDisconnected(loggedAs(*active->request), *active->query, steadyNow());
+    countDecisions(active->query->trace());
+    apply(active, active->query->onCallerGone());
   }
 }
 
--- a/src/programs/gateway/request_log.cpp
+++ b/src/programs/gateway/request_log.cpp
@@ -189,14 +189,14 @@
   }
 }
 
-void RequestLog::onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under,
-                             Moment now) {
+void RequestLog::onLeafCrash(const LeafEntry& leaf,
+                             const std::vector<std::shared_ptr<RequestRecord>>& inProgress, Moment now) {
   if (!takeLogToken(now)) {
     return;
   }
   std::vector<std::string> fingerprints;
   std::vector<std::string> answeredElsewhere;
-  for (const auto& record : under) {
+  for (const auto& record : inProgress) {
     (record->answered ? answeredElsewhere : fingerprints).push_back(record->fingerprint.text());
   }
   log(LogLevel::kWarning, "leaf ended",
--- a/src/programs/gateway/request_log.h
+++ b/src/programs/gateway/request_log.h
@@ -46,8 +46,8 @@
   void onCallerDisconnected(const LoggedRequest& request, const Query& query, Moment now);
   /// A shard that was served for a peer and ended without an answer.
   void onUnanswered(const LoggedRequest& request, const UnansweredPart& part, Moment now);
-  /// A leaf crashed while the requests `under` were in progress there.
-  void onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under,
+  /// A leaf crashed. `inProgress`: the requests that it was working on.
+  void onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& inProgress,
                    Moment now);
   std::uint64_t linesSuppressed() const { return suppressed_; }
 
--- a/src/programs/gateway/request_queries.cpp
+++ b/src/programs/gateway/request_queries.cpp
@@ -53,9 +53,9 @@
     const std::weak_ptr<ActiveQuery> weak = active;
     active->ownerListener = std::make_shared<const OwnerClient::Listener>(
         [this, weak](const std::vector<ExchangeOutcome>& outcomes) {
-          const ActivePointer asking = weak.lock();
-          if (asking && !asking->query->finished()) {
-            apply(asking, asking->query->onOutcomes(outcomes, steadyNow()));
+          const ActivePointer stillActive = weak.lock();
+          if (stillActive && !stillActive->query->finished()) {
+            apply(stillActive, stillActive->query->onOutcomes(outcomes, steadyNow()));
           }
         });
   }
@@ -81,9 +81,9 @@
   const std::weak_ptr<ActiveQuery> weak = active;
   parameters.listener = std::make_shared<const MergeClient::Listener>(
       [this, weak](const std::vector<ExchangeOutcome>& outcomes) {
-        const ActivePointer asking = weak.lock();
-        if (asking && !asking->query->finished()) {
-          apply(asking, asking->query->onOutcomes(outcomes, steadyNow()));
+        const ActivePointer stillActive = weak.lock();
+        if (stillActive && !stillActive->query->finished()) {
+          apply(stillActive, stillActive->query->onOutcomes(outcomes, steadyNow()));
         }
       });
   for (const SendAction& send : sends) {
