--- a/src/programs/common/exit_codes.h
+++ b/src/programs/common/exit_codes.h
@@ -5,9 +5,9 @@
 namespace oakpier {
 
 inline constexpr int kExitOk = 0;
-/// The work was refused or failed.
+/// The operation failed, or a daemon refused it.
 inline constexpr int kExitFailure = 1;
-/// Flags, settings or a file given are wrong; nothing was begun.
+/// Invalid flags, settings or input file; nothing was done.
 inline constexpr int kExitUsage = 2;
 /// The peer, platform or daemon could not be reached.
 inline constexpr int kExitUnreachable = 3;
--- a/src/programs/common/flags.h
+++ b/src/programs/common/flags.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Checks and conversions that the command lines of all programs share.
+/// Command-line validators and conversions that all programs share.
 
 #include <CLI/CLI.hpp>
 #include <string>
@@ -9,18 +9,17 @@
 
 namespace oakpier {
 
-/// Accepts "IP:port" only; the message names the value and what is allowed.
+/// Accepts "IP:port" only; the error message quotes the value and shows the expected form.
 inline CLI::Validator endpointValidator() {
   return CLI::Validator(
       [](std::string& text) {
-        return Endpoint::parse(text)
-                   ? std::string()
-                   : "'" + text + "' is not allowed: give an IP number and a port, like 10.0.0.1:7001";
+        return Endpoint::parse(text) ? std::string()
+                                     : "'" + text + "' is not an IP number and port, such as 10.0.0.1:7001";
       },
       "IP:PORT", "endpoint");
 }
 
-/// For texts that `endpointValidator` has passed.
+/// For values that `endpointValidator` has accepted.
 inline Endpoint endpointOf(const std::string& text) { return Endpoint::parse(text).value_or(Endpoint()); }
 
 }  // namespace oakpier
--- a/src/programs/common/held_signals.h
+++ b/src/programs/common/held_signals.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Signals that come while a program starts. Before their handlers are installed the kernel would end the
-/// process: a notice that the settings have changed, sent to a process that has just started, did so.
+/// Blocks signals while a program starts: until their handlers are installed, the default action of a
+/// signal, such as the SIGHUP that reloads the settings, would terminate the process.
 
 #include <pthread.h>
 
@@ -19,13 +19,13 @@
   return signals;
 }
 
-/// From now on they wait. Threads that are started later inherit this.
+/// Blocks the handled signals in the calling thread; threads that it starts later inherit the mask.
 inline void holdSignals() {
   const sigset_t signals = handledSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-/// Delivers what has waited, and what comes, to the calling thread.
+/// Unblocks them in the calling thread, which receives pending and later signals.
 inline void deliverSignals() {
   const sigset_t signals = handledSignals();
   pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
--- a/src/programs/common/json_files.h
+++ b/src/programs/common/json_files.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Schema messages in JSON files.
+/// Reads and writes protobuf messages as JSON files.
 
 #include <google/protobuf/message.h>
 
@@ -12,7 +12,7 @@
 
 namespace oakpier {
 
-/// Fills `message` from the file. Returns a text that names the file when that fails, else an empty one.
+/// Fills `message` from the file. Returns an error that names the file, or an empty string on success.
 inline std::string readJsonFile(const std::string& path, google::protobuf::Message& message) {
   std::ifstream file(path);
   if (!file) {
@@ -24,7 +24,7 @@
   return error ? path + ": " + error->message() : std::string();
 }
 
-/// Empty when written, else what went wrong.
+/// Returns an error that names the file, or an empty string on success.
 inline std::string writeJsonFile(const std::string& path, const google::protobuf::Message& message) {
   std::ofstream file(path);
   file << encodeBody(message, BodyFormat::kJson);
--- a/src/programs/common/logging.cpp
+++ b/src/programs/common/logging.cpp
@@ -33,7 +33,7 @@
 constexpr std::chrono::milliseconds kLastLinesTime(200);
 std::atomic<std::uint64_t> droppedLines{0};
 
-/// What the queue does with a line for which it has no room.
+/// Overflow policy of the queue.
 struct DropAndCount {
   template <typename Lock>
   static bool on_overflow(const boost::log::record_view& /*line*/, Lock& /*lock*/) {
@@ -96,7 +96,7 @@
     }).detach();
     done.wait_for(kLastLinesTime);
   }
-  // No destructors: the writing thread may still wait for the reader.
+  // Without destructors: the writer thread may still be blocked on a stalled reader.
   std::_Exit(code);
 }
 
--- a/src/programs/common/logging.h
+++ b/src/programs/common/logging.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Structured logs: one JSON object a line on standard error, through Boost.Log.
+/// Structured logging through Boost.Log: one JSON object per line.
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -10,22 +10,23 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-/// One further key of a log line.
+/// An additional key of a log line.
 struct LogField {
   std::string name;
   nlohmann::json value;
 };
 
-/// Call once at the start. Lines below `level` are dropped. `program` is a key of every line.
+/// Logs to standard error. Call once at start-up. Lines below `level` are discarded; every line has the key
+/// `program`.
 void startLogging(LogLevel level, const std::string& program);
 
-/// The same to standard output, written by a thread of its own from a bounded queue: when the reader of the
-/// output stalls, lines are dropped and counted, and nothing waits.
+/// Like `startLogging`, but to standard output, from a bounded queue that a dedicated thread writes out: when
+/// the reader of the output stalls, lines are dropped and counted, and callers of `log` do not block.
 void startBoundedLogging(LogLevel level, const std::string& program);
-/// Lines that were dropped since the start.
+/// Lines dropped since start-up because the queue was full.
 std::uint64_t droppedLogLines();
-/// Writes what is queued and ends the process with the code. What a stalled reader has not taken after a
-/// short time is lost.
+/// Flushes the queue and exits with `code`. Lines that a stalled reader has not consumed within a short
+/// timeout are lost. Runs no destructors.
 [[noreturn]] void exitAfterLogging(int code);
 
 void log(LogLevel level, const std::string& message, const std::vector<LogField>& fields = {});
--- a/src/programs/control/causes.cpp
+++ b/src/programs/control/causes.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
 constexpr double kPercent = 100.0;
-/// Holds the longest cause.
+/// At least the length of the longest cause.
 constexpr int kCauseWidth = 44;
 
-/// As the gateway's ledger writes them.
+/// Messages that the gateway's loss ledger logs.
 constexpr const char* kTotalLine = "requests ended";
 constexpr const char* kCauseLine = "loss";
 constexpr const char* kOwnerLine = "loss at owner";
--- a/src/programs/control/commands.cpp
+++ b/src/programs/control/commands.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-/// An apply waits for the voters.
+/// An apply returns only after the voters have answered.
 constexpr Duration kCallTimeout = std::chrono::seconds(15);
 
 template <typename Request, typename Reply>
 using OperatorMethod = void (Operator_Stub::*)(google::protobuf::RpcController*, const Request*, Reply*,
                                                google::protobuf::Closure*);
 
-/// Empty, with a message for the user, when the daemon cannot be reached.
+/// Prints an error and returns nothing when the call fails.
 template <typename Request, typename Reply>
 std::optional<Reply> call(const ControlOptions& options, OperatorMethod<Request, Reply> method,
                           const Request& request) {
@@ -149,7 +149,7 @@
   if (!current) {
     return kExitUnreachable;
   }
-  // A file taken with `get` says which revision it was made from.
+  // A file written by `get` holds the revision that it was based on.
   const std::uint64_t made = request.configuration().revision();
   request.set_base_revision(made == 0 ? current->configuration().revision() : made);
   request.set_dry_run(true);
--- a/src/programs/control/commands.h
+++ b/src/programs/control/commands.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The commands of oakpierctl, each a call to one daemon and a report for people (table) or scripts (JSON).
+/// Commands of oakpierctl: each calls one daemon and prints the reply as a table or as JSON.
 
 #include <string>
 
@@ -13,10 +13,10 @@
   bool json = false;
 };
 
-/// Each returns the exit code of the program.
+// Each returns the program's exit code.
 int showConfiguration(const ControlOptions& options);
 int validateFile(const ControlOptions& options, const std::string& path);
-/// Shows the difference first; changes nothing when `dryRun`.
+/// Prints the difference, then applies it unless `dryRun` is set.
 int applyFile(const ControlOptions& options, const std::string& path, bool dryRun);
 int showStatus(const ControlOptions& options);
 int drainLeaf(const ControlOptions& options, const std::string& leaf, bool drained);
--- a/src/programs/control/explain.cpp
+++ b/src/programs/control/explain.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-/// Lines on beliefs that are shown before a request.
+/// Lines on the state of the process that are printed before a request.
 constexpr std::size_t kBeliefs = 4;
-/// Lines on leafs that ended under a request that are shown after it.
+/// Lines on crashed leafs that are printed after a request.
 constexpr std::size_t kEnds = 6;
 
-/// As the gateway writes them for a request that got no token, before the request's own line.
+/// Messages that the gateway logs, before the request's own line, for a request without a token.
 constexpr const char* kOverLimitLine = "tenant beyond its limit";
 constexpr const char* kNotCountedLine = "no daemon counted for the tenant";
 constexpr const char* kOverLimitOutcome = "refused: tenant over its limit";
 constexpr const char* kNotCountedOutcome = "refused: no daemon counted for the tenant";
 
-/// What a refusal of a caller means, by the outcome that the gateway writes.
+/// Explanation of a refusal, by the outcome that the gateway logs.
 struct RefusalMeaning {
   const char* outcome;
   const char* decidedBy;
@@ -35,19 +35,19 @@
      "what the caller, or a proxy before the gateway, sends"},
     {"refused: key unknown",
      "refused for good, by the configuration in force, proved fresh: no tenant holds the key",
-     "the tenant's keys in the source, and whether the caller has an earlier one"},
+     "the tenant's keys in the source, and whether the caller uses a former one"},
     {"refused: key unknown, configuration not proved fresh",
      "refused with a time, by the age of the proof: no tenant is known to hold the key, but it may be newer",
-     "configuration_proof_age_seconds of this daemon, its lines on the source and the members"},
+     "configuration_proof_age_seconds of this daemon, and its log lines on the source and the members"},
     {"refused: configuration not proved fresh",
      "refused with a time, by the age of the proof: the key is known, but may have been taken away since",
-     "configuration_proof_age_seconds of this daemon, its lines on the source and the members"},
+     "configuration_proof_age_seconds of this daemon, and its log lines on the source and the members"},
     {kOverLimitOutcome,
      "refused with a time, by the tenant's limit over all daemons: no token came for the request",
      "tenant_refusals_unanswered_total of this daemon, and the daemon that counts (home)"},
     {kNotCountedOutcome,
      "refused with a time, as none of the daemons that were asked to count for it answered",
-     "the home of the tenant, whether it lives, and the links to it: members changed"},
+     "the tenant's quota server (home), whether it is alive, and the network to it: members changed"},
 }};
 
 std::string textField(const LogLine& line, const std::string& name) {
@@ -67,7 +67,7 @@
   out << "\n";
 }
 
-/// Keeps the last lines that tell of leafs that ended, by the fingerprint of what ran there.
+/// Keeps the last lines on crashed leafs, by the fingerprint of the requests that ran there.
 class EndedLeafs {
  public:
   void add(const LogLine& line) {
@@ -105,10 +105,11 @@
   std::map<std::string, std::deque<LogLine>> lines_;
 };
 
-/// Explains requests that were refused for their key or their tenant's limit.
+/// Explains refusals for a request's key or its tenant's limit.
 class CallerRefusals {
  public:
-  /// Whether the line tells of a tenant's limit. Such lines are many, and no belief of the daemon.
+  /// Returns true for a line on a tenant's limit. Such lines are frequent and would displace the lines on the
+  /// state of the process.
   bool add(const LogLine& line) {
     if (line.message() != kOverLimitLine && line.message() != kNotCountedLine) {
       return false;
--- a/src/programs/control/explain.h
+++ b/src/programs/control/explain.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Tells from gateways' log lines what was decided for one request and why it ended as it did.
+/// Explains the outcome of a request from the log lines of the gateways.
 
 #include <istream>
 #include <ostream>
@@ -8,10 +8,10 @@
 
 namespace oakpier {
 
-/// Reads log lines, whatever stands before each line's JSON; that text is taken for the process's name.
-/// Writes each line of the request in order, after the last lines on what its process believed by then; at
-/// the end, from all processes, the last lines on leafs that ended under requests for the same. Returns false
-/// when no line names the id.
+/// Prints the lines of the request in order, preceded by the last lines that its process logged on its state
+/// before that, and followed by the last lines of all processes on leafs that crashed while they ran a
+/// request with the same fingerprint. `lines` may have prefixes as `parseLogLine` accepts them. Returns false
+/// when no line has the id.
 bool explainRequest(const std::string& id, std::istream& lines, std::ostream& out);
 
 }  // namespace oakpier
--- a/src/programs/control/log_lines.cpp
+++ b/src/programs/control/log_lines.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Without the simulated or real time that some collectors put first.
+/// The last word of the prefix: some collectors write a time before the name.
 std::string processOf(const std::string& prefix) {
   const std::size_t end = prefix.find_last_not_of(' ');
   if (end == std::string::npos) {
--- a/src/programs/control/log_lines.h
+++ b/src/programs/control/log_lines.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reads the log lines of oakpier's programs back, whatever a collector put before each line's JSON.
+/// Parses log lines of oakpier's programs, with any prefix that a log collector has added.
 
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -9,14 +9,14 @@
 namespace oakpier {
 
 struct LogLine {
-  /// What stood last before the JSON, taken for the process's name; may be empty.
+  /// The last word before the JSON, used as the process's name; may be empty.
   std::string process;
   nlohmann::ordered_json fields;
 
   std::string message() const { return fields.value("message", ""); }
 };
 
-/// Empty for lines that are no log lines.
+/// Returns nothing for other lines.
 std::optional<LogLine> parseLogLine(const std::string& text);
 
 }  // namespace oakpier
--- a/src/programs/control/main.cpp
+++ b/src/programs/control/main.cpp
@@ -1,4 +1,4 @@
-/// oakpierctl: the command line of operators.
+/// oakpierctl: the operators' command-line tool.
 
 #include <CLI/CLI.hpp>
 #include <fstream>
@@ -28,7 +28,7 @@
     oakpier::addLosses(lines, report);
   }
   if (report.routes.empty()) {
-    std::cerr << "no line tells of requests; are these logs of oakpier-gateway?\n";
+    std::cerr << "no request lines found; are these logs of oakpier-gateway?\n";
     return oakpier::kExitFailure;
   }
   if (json) {
@@ -42,8 +42,9 @@
 }  // namespace
 
 int main(int argumentCount, char** arguments) {
-  CLI::App app("Reads and changes the configuration of a running oakpier, through any of its daemons.",
-               "oakpierctl");
+  CLI::App app(
+      "Reads and changes the configuration of a running oakpier deployment through any of its daemons.",
+      "oakpierctl");
   app.set_version_flag("--version", std::string("oakpierctl ") + OAKPIER_VERSION);
   app.require_subcommand(1);
   std::string daemon;
@@ -58,21 +59,21 @@
   CLI::App* get = app.add_subcommand("get", "Print the configuration in force, as JSON");
   CLI::App* validate = app.add_subcommand("validate", "Check a configuration file");
   validate->add_option("file", file, "JSON of a Configuration")->required();
-  CLI::App* apply = app.add_subcommand(
-      "apply", "Show the difference to the configuration in force, then put the file in force");
+  CLI::App* apply =
+      app.add_subcommand("apply", "Show the difference to the configuration in force, then apply the file");
   apply->add_option("file", file, "JSON of a Configuration")->required();
   apply->add_flag("--dry-run", dryRun, "Show the difference, change nothing");
-  CLI::App* status = app.add_subcommand("status", "Members, revisions in force, leafs");
-  CLI::App* drain = app.add_subcommand("drain", "Give a leaf no new work");
+  CLI::App* status = app.add_subcommand("status", "Show members, revisions in force and leafs");
+  CLI::App* drain = app.add_subcommand("drain", "Stop sending new requests to a leaf");
   drain->add_option("leaf", leaf, "Name of the leaf")->required();
-  CLI::App* undrain = app.add_subcommand("undrain", "Give a drained leaf work again");
+  CLI::App* undrain = app.add_subcommand("undrain", "Send requests to a drained leaf again");
   undrain->add_option("leaf", leaf, "Name of the leaf")->required();
   CLI::App* explain = app.add_subcommand(
-      "explain", "Tell from gateways' log lines on standard input why a request ended as it did");
+      "explain", "Explain the outcome of a request from gateways' log lines on standard input");
   std::string id;
   explain->add_option("id", id, "The request's id")->required();
-  CLI::App* causes = app.add_subcommand(
-      "causes", "Add up from gateways' log lines what requests lost and why, by route and cause");
+  CLI::App* causes =
+      app.add_subcommand("causes", "Sum up the losses in gateways' log lines, by route and cause");
   std::vector<std::string> logs;
   bool bySecond = false;
   causes->add_option("log", logs, "Log files; standard input when none is given")->check(CLI::ExistingFile);
@@ -91,7 +92,7 @@
   }
   if (explain->parsed()) {
     if (!oakpier::explainRequest(id, std::cin, std::cout)) {
-      std::cerr << "no line names request " << id << "; ordinary requests are logged one in many\n";
+      std::cerr << "no log line has request id " << id << "; only a sample of ordinary requests is logged\n";
       return oakpier::kExitFailure;
     }
     return oakpier::kExitOk;
--- a/tests/platform_model/deployment.h
+++ b/tests/platform_model/deployment.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The shapes of the two users' deployments, for a day on stand-ins.
+/// The two users' deployments as the platform model simulates them.
 
 #include <string>
 #include <vector>
@@ -10,8 +10,8 @@
 namespace oakpier::serving::model {
 
 struct RequestClass {
+  /// Also the route's name and its path prefix.
   std::string name;
-  /// Path prefix and route name follow from the class's name.
   bool gather = true;
   bool repeatable = true;
   Duration target{};
@@ -28,7 +28,7 @@
   std::size_t gateways = 0;
   std::size_t shards = 0;
   std::size_t replicas = 2;
-  /// Connections that a shard's leaf accepts from all gateways together.
+  /// Connections that a shard's leaf accepts in total from all gateways.
   unsigned shardConnections = 26;
   std::size_t singleLeafs = 0;
   std::vector<RequestClass> classes;
@@ -36,7 +36,7 @@
 
 Deployment tavua();
 Deployment fundPrices();
-/// The operator's configuration. `extraRoute`: with a further route that was not there at the start.
+/// The operator's configuration as JSON. `extraRoute` adds a route that the first version does not have.
 std::string configurationText(const Deployment& deployment, std::uint64_t version, bool extraRoute);
 std::string shardName(std::size_t number);
 inline const char* const kHost = "shop.example";
--- a/tests/platform_model/fault_schedule.cpp
+++ b/tests/platform_model/fault_schedule.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Between faults on average. Many last longer, so that some five overlap.
+/// Mean time between faults. Most last longer, so that they overlap.
 constexpr double kMeanGapSeconds = 0.35;
-/// The share of faults that follow the one before at once, at the same target.
+/// Probability that a fault follows shortly after the previous one, on the same target.
 constexpr double kSeriesShare = 0.2;
 constexpr Duration kShortest = std::chrono::milliseconds(200);
 constexpr Duration kLongest = std::chrono::milliseconds(2500);
-/// Calm before the day ends, so that it can be seen whether all is served again: a stop's grace and the time
-/// in which a daemon that has started learns what the others know.
+/// Time without new faults at the end, so that recovery can be checked: the grace period of a stop, and the
+/// time in which a restarted daemon receives the state of its peers.
 constexpr Duration kCalmAtEnd = std::chrono::seconds(9);
 constexpr std::size_t kMostTargets = 1000;
 
@@ -27,12 +27,13 @@
 
 Duration drawDuration(RandomEngine& random) { return drawBetween(kShortest, kLongest, random); }
 
-/// Between restorations on average, and of the second of a quick pair after the first.
+/// Mean time between restorations, and the maximum between two in quick succession.
 constexpr Duration kRestorationGap = std::chrono::seconds(4);
 constexpr Duration kQuickRestoration = std::chrono::milliseconds(900);
 constexpr double kQuickShare = 0.3;
 constexpr Duration kOldestCopy = std::chrono::seconds(9);
-/// Writers write again, and daemons learn of it, before the calm begins.
+/// Writers have rewritten lost records, and daemons have received them, before the time without faults
+/// begins.
 constexpr Duration kLastRestoration = std::chrono::seconds(3);
 
 }  // namespace
@@ -83,7 +84,6 @@
 }
 
 std::vector<Restoration> drawRestorations(Duration length, std::uint64_t seed) {
-  // Another engine than that of the faults.
   RandomEngine random(~seed);
   std::vector<Restoration> restorations;
   Duration at = drawBetween(kShortest, kRestorationGap, random);
@@ -100,8 +100,8 @@
 void printRestorations(const std::vector<Restoration>& restorations, std::ostream& out) {
   for (const Restoration& restoration : restorations) {
     out << "  " << std::fixed << std::setprecision(3) << std::chrono::duration<double>(restoration.at).count()
-        << " s  store goes away for " << std::chrono::duration<double>(restoration.down).count()
-        << " s and comes back from a copy " << std::chrono::duration<double>(restoration.age).count()
+        << " s  store unavailable for " << std::chrono::duration<double>(restoration.down).count()
+        << " s and restored from a backup " << std::chrono::duration<double>(restoration.age).count()
         << " s old\n";
   }
 }
--- a/tests/platform_model/fault_schedule.h
+++ b/tests/platform_model/fault_schedule.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A random series of faults for a day: drawn from a seed, so that a day can be played again.
+/// Random fault schedules. The same seed gives the same schedule, so that a run can be repeated.
 
 #include <cstdint>
 #include <ostream>
@@ -11,27 +11,27 @@
 namespace oakpier::serving::model {
 
 enum class FaultKind {
-  /// SIGTERM; started again once it has ended.
+  /// SIGTERM; restarted after it has exited.
   kStopGateway,
-  /// SIGKILL; started again after the duration.
+  /// SIGKILL; restarted after the duration.
   kKillGateway,
   /// SIGSTOP, and SIGCONT after the duration.
   kPauseGateway,
-  /// SIGHUP, with the settings as they were.
+  /// SIGHUP with unchanged settings.
   kReloadGateway,
-  /// The leaf's process ends; it is back as a new instance.
+  /// The leaf's process crashes and restarts as a new instance.
   kEndLeaf,
-  /// The leaf answers nothing and keeps its connections; back as a new instance after the duration.
+  /// The leaf stops answering and keeps its connections; it restarts as a new instance after the duration.
   kSilenceLeaf,
   /// The store answers 503 for the duration.
   kStoreDown,
-  /// The store forgets its history.
+  /// The store compacts its history: changes so far can no longer be watched.
   kStoreForgets,
   /// The operator writes a new version of the configuration.
   kNewConfiguration,
-  /// A request comes that ends each leaf that runs it; the same one as before, or a new one.
+  /// A client sends a request that crashes each leaf that runs it, either a repeated or a new one.
   kEndingRequest,
-  /// A number, not a kind.
+  /// The number of kinds.
   kCount,
 };
 
@@ -41,26 +41,26 @@
   /// Since the start of the traffic.
   Duration at{};
   FaultKind kind = FaultKind::kStopGateway;
-  /// Which gateway, leaf or request, modulo how many there are.
+  /// Index of the gateway, leaf or request, modulo their number.
   std::size_t target = 0;
   Duration duration{};
 };
 
-/// In rising order; they come in series and overlap. The last part of the day is left calm.
+/// Ordered by time; faults come in series and may overlap. None begins in the last seconds of the run.
 std::vector<Fault> drawFaults(Duration length, std::uint64_t seed);
 
-/// The store goes away and comes back from an older copy of its records.
+/// The store becomes unavailable and is restored from a backup.
 struct Restoration {
   /// Since the start of the traffic.
   Duration at{};
-  /// Between its end and its return.
+  /// Time until it is restored.
   Duration down{};
-  /// Of the copy.
+  /// Age of the backup.
   Duration age{};
 };
 
-/// In rising order, some in quick succession; drawn apart from the faults, so that a seed's faults are the
-/// same with and without them. The last part of the day is left calm.
+/// Ordered by time, some in quick succession. Drawn from another random engine than the faults, so that a
+/// seed's faults are the same with and without them. None begins in the last seconds of the run.
 std::vector<Restoration> drawRestorations(Duration length, std::uint64_t seed);
 
 void printFaults(const std::vector<Fault>& faults, std::ostream& out);
--- a/tests/platform_model/leaf_standin.cpp
+++ b/tests/platform_model/leaf_standin.cpp
@@ -102,7 +102,7 @@
   running_ = 0;
   ++life_;
   if (!settings_.keepsId) {
-    settings_.id = firstId_ + "-life-" + std::to_string(life_);
+    settings_.id = firstId_ + "-incarnation-" + std::to_string(life_);
   }
   onEnded_(endedId);
   restartTimer_.expires_after(restartAfter);
@@ -120,7 +120,7 @@
   service_ = std::make_unique<HttpService>(context_, *this);
   const std::string problem = listen();
   if (!problem.empty()) {
-    observations_.addViolation("a leaf could not come back: " + problem);
+    observations_.addViolation("a leaf could not restart: " + problem);
   }
   onBack_(endedId);
 }
--- a/tests/platform_model/leaf_standin.h
+++ b/tests/platform_model/leaf_standin.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Stand-in for one leaf on the platform: slots and a queue, signed answers, told load, leaving in order.
+/// Stand-in for a leaf on the platform: slots and a queue, signed answers, load reports, draining.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -23,16 +23,16 @@
   unsigned slots = 2;
   Duration meanWork = std::chrono::milliseconds(5);
   std::size_t bodyBytes = 200;
-  /// Share of requests that are answered late by as much as a pause.
+  /// Fraction of requests whose answer is delayed by `pause`.
   double pauseShare = 0.01;
   Duration pause = std::chrono::milliseconds(60);
-  /// How long the leaf is down after a request has ended its process.
+  /// Time until the leaf restarts after a crash.
   Duration restartAfter = std::chrono::milliseconds(500);
-  /// The leaf starts again under the id that it had, not under a new one.
+  /// Restarts under the same id instead of a new one.
   bool keepsId = false;
 };
 
-/// A request whose path holds this ends the process of each leaf that runs it.
+/// A request whose path contains this crashes each leaf that runs it.
 inline const char* const kEndingMark = "ends-leafs";
 
 class LeafStandin : public RequestHandler {
@@ -42,16 +42,16 @@
 
   std::string listen();
   const LeafSettings& settings() const { return settings_; }
-  /// The entry that the leaf keeps in the store.
+  /// The leaf's entry in the store, as JSON.
   std::string entry() const;
   void drain() { draining_ = true; }
-  /// Stops working without a word, and accepts nothing more.
+  /// Stops answering and accepting connections; does not restart.
   void crash();
-  /// The process ends without a word and is back later as a new instance.
+  /// Crashes, and restarts later as a new instance. No effect while the leaf is down.
   void end();
-  /// Answers nothing and keeps its connections, until it is back as a new instance after `duration`.
+  /// Stops answering but keeps its connections; restarts as a new instance after `duration`.
   void fallSilent(Duration duration);
-  /// Called when the process has ended, with the id that it had, and when it is back as a new instance.
+  /// Called when the process has terminated and when it has restarted, both with the id from before.
   using LifeListener = std::function<void(const std::string& endedId)>;
   void setLifeListeners(LifeListener onEnded, LifeListener onBack);
 
@@ -68,7 +68,7 @@
   };
 
   void startNext();
-  /// The process ends: connections break, nothing listens, and what it held is lost. It is back later.
+  /// Closes all connections and the listener, drops queued requests, and schedules the restart.
   void endProcess(Duration restartAfter);
   void restart(const std::string& endedId);
   void finish(const std::shared_ptr<Work>& work);
@@ -82,9 +82,9 @@
   std::deque<std::shared_ptr<Work>> queue_;
   unsigned running_ = 0;
   std::uint64_t answers_ = 0;
-  /// Rises with each start of the process.
+  /// Incremented when the process terminates or hangs, so that its pending work is ignored.
   unsigned life_ = 1;
-  /// When the process began, in milliseconds since 1970.
+  /// When the process started, in milliseconds since 1970.
   std::uint64_t bornAt_;
   std::string firstId_;
   boost::asio::steady_timer restartTimer_;
@@ -92,7 +92,7 @@
   LifeListener onBack_;
   bool draining_ = false;
   bool crashed_ = false;
-  /// Ended or silent, and not back yet.
+  /// Terminated or hanging, and not restarted yet.
   bool away_ = false;
   boost::asio::steady_timer silenceTimer_;
 };
--- a/tests/platform_model/main.cpp
+++ b/tests/platform_model/main.cpp
@@ -1,4 +1,4 @@
-/// oakpier-platform-day: a deployment in the platform's shape on loopback, with stand-ins for all around it.
+/// oakpier-platform-day: simulates a deployment on loopback, with stand-ins for its clients, leafs and store.
 
 #include <unistd.h>
 
@@ -15,29 +15,29 @@
 
 int main(int argumentCount, char** arguments) {
   using oakpier::serving::model::DaySettings;
-  CLI::App app{"Plays a day of a deployment on loopback and checks what clients and leafs see."};
+  CLI::App app{"Simulates a deployment on loopback and checks what its clients and leafs observe."};
   std::string name = "tavua";
   DaySettings settings;
   settings.folder = "/tmp/oakpier-platform-day-" + std::to_string(getpid());
   double seconds = 6;
   bool hold = false;
   app.add_option("deployment", name, "tavua or fund-prices")->check(CLI::IsMember({"tavua", "fund-prices"}));
-  app.add_option("--gateway", settings.gatewayProgram, "the gateway program")
+  app.add_option("--gateway", settings.gatewayProgram, "path of the gateway program")
       ->required()
       ->check(CLI::ExistingFile);
-  app.add_option("--folder", settings.folder, "for settings files and logs");
-  app.add_option("--seconds", seconds, "length of the traffic")->check(CLI::Range(1.0, 600.0));
-  app.add_option("--seed", settings.seed, "of arrivals, work and answers");
-  app.add_flag("!--calm", settings.troubles, "leave out the troubles");
+  app.add_option("--folder", settings.folder, "directory for settings files and logs");
+  app.add_option("--seconds", seconds, "duration of the traffic")->check(CLI::Range(1.0, 600.0));
+  app.add_option("--seed", settings.seed, "random seed of arrivals, service times, answers and faults");
+  app.add_flag("!--calm", settings.troubles, "without the fixed sequence of disturbances");
   app.add_flag("--ending-requests", settings.endingRequests,
-               "requests come, again and again, that end each leaf that runs them");
-  app.add_flag("--faults", settings.faults, "random faults, of which those that a seed draws are printed");
-  app.add_flag("--restorations", settings.restorations,
-               "with --faults: the store comes back from older copies of its records");
-  app.add_flag("--stalled-output", settings.stalledOutput, "nobody reads the gateways' output");
-  app.add_flag("--few-connections", settings.expectOwners,
-               "leafs accept fewer connections than there are gateways, so that shards have owners");
-  app.add_flag("--hold", hold, "start, print addresses and serve without traffic until stopped");
+               "send requests repeatedly that crash each leaf that runs them");
+  app.add_flag("--faults", settings.faults, "random faults drawn from the seed; the schedule is printed");
+  app.add_flag("--restorations", settings.restorations, "with --faults: restore the store from backups");
+  app.add_flag("--stalled-output", settings.stalledOutput, "leave the gateways' output unread");
+  app.add_flag(
+      "--few-connections", settings.expectOwners,
+      "limit leafs to fewer connections than there are gateways, so that shards are delegated to owners");
+  app.add_flag("--hold", hold, "start, print addresses and serve without generated traffic until stopped");
   CLI11_PARSE(app, argumentCount, arguments);
   settings.length = oakpier::Duration(static_cast<std::int64_t>(seconds * 1e6));
   auto deployment =
@@ -48,7 +48,7 @@
   oakpier::serving::model::PlatformDay day(deployment, settings);
   const std::string problem = day.start();
   if (!problem.empty()) {
-    std::cerr << "not started: " << problem << "\n";
+    std::cerr << "start failed: " << problem << "\n";
     return EXIT_FAILURE;
   }
   day.printAddresses(std::cout);
--- a/tests/platform_model/observations.cpp
+++ b/tests/platform_model/observations.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// A leaf that said it leaves gets nothing later than this.
+/// A draining leaf receives no requests after this time.
 constexpr Duration kDrainBound = std::chrono::seconds(3);
 constexpr std::size_t kRecord = 16;
-/// The end of a third leaf under a request is known everywhere after this.
+/// After this time all gateways know of a third crash.
 constexpr Duration kKnownAfter = std::chrono::seconds(1);
-/// Sends of such a request after that: to find out whether leafs still end under it.
+/// Later sends that are allowed, as trials.
 constexpr std::size_t kMostLaterSends = 3;
 constexpr std::size_t kEndingsThatCount = 3;
 
@@ -53,14 +53,15 @@
   const auto draining = drainingSince_.find(leaf);
   if (leaving && draining != drainingSince_.end() && now - draining->second > kDrainBound) {
     std::string text = "request ";
-    text.append(requestId).append(" reached leaf ").append(leaf).append(" long after it said it leaves");
+    text.append(requestId).append(" reached leaf ").append(leaf).append(" too long after it began draining");
     violations_.push_back(text);
   }
 }
 
 void Observations::checkBrokenOff(const std::string& requestId) {
   if (runs_.count(requestId) != 0) {
-    violations_.push_back("request " + requestId + " ran at a leaf and was broken off without an answer");
+    violations_.push_back("request " + requestId +
+                          " ran at a leaf and its connection was closed without an answer");
   }
 }
 
@@ -89,9 +90,9 @@
 void Observations::checkEndingRequests() {
   for (const auto& [target, request] : endingRequests_) {
     if (request.sentLater > kMostLaterSends) {
-      violations_.push_back("a request under which leafs had ended went to leafs " +
-                            std::to_string(request.sentLater) + " times more; " +
-                            std::to_string(request.ended) + " ended in all");
+      violations_.push_back("a request that had crashed leafs was sent to leafs " +
+                            std::to_string(request.sentLater) + " more times; " +
+                            std::to_string(request.ended) + " crashes in total");
     }
   }
 }
@@ -105,20 +106,21 @@
     const auto part = signed_.find(signature);
     if (part == signed_.end() || part->second.requestId != requestId) {
       std::string text = "answer to ";
-      text.append(requestId).append(" names a part of another request: ").append(signature);
+      text.append(requestId).append(" names an unknown part or one of another request: ").append(signature);
       violations_.push_back(text);
       return;
     }
     if (shards.count(part->second.service) == 0 || !services.insert(part->second.service).second) {
-      violations_.push_back("answer to " + requestId + " names a shard twice or one that is not asked");
+      violations_.push_back("answer to " + requestId + " names a shard twice or a shard outside the request");
     }
     bodies.push_back(part->second.body);
   }
   if (services.size() + missing != shards.size()) {
-    violations_.push_back("answer to " + requestId + " miscounts its missing shards");
+    violations_.push_back("answer to " + requestId + " has a wrong count of missing shards");
   }
   if (body != sortedRecords(bodies, topRecords)) {
-    violations_.push_back("answer to " + requestId + " is not the merge of the parts that it names");
+    violations_.push_back("answer to " + requestId +
+                          " is not the merge of the parts that its signatures name");
   }
 }
 
@@ -127,13 +129,13 @@
   const auto part = signed_.find(signature);
   const bool own = part != signed_.end() && part->second.requestId == requestId && part->second.body == body;
   if (!own) {
-    violations_.push_back("answer to " + requestId + " is not what a leaf gave for it");
+    violations_.push_back("answer to " + requestId + " is not the answer that a leaf gave to it");
   }
 }
 
 void Observations::checkRefusedOnce(const std::string& requestId) {
   if (runs_.count(requestId) != 0) {
-    violations_.push_back("request " + requestId + " was refused as not run, and ran");
+    violations_.push_back("request " + requestId + " was refused as not executed but ran at a leaf");
   }
 }
 
@@ -141,8 +143,8 @@
   for (const std::string& id : requestIds) {
     const auto runs = runs_.find(id);
     if (runs != runs_.end() && runs->second > 1) {
-      violations_.push_back("request " + id + ", not to be repeated, ran " + std::to_string(runs->second) +
-                            " times");
+      violations_.push_back("request " + id + ", which must run at most once, ran " +
+                            std::to_string(runs->second) + " times");
     }
   }
 }
--- a/tests/platform_model/observations.h
+++ b/tests/platform_model/observations.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the model's leafs and clients have seen, and the promises checked on it.
+/// Records what the model's leafs and clients observe, and checks the gateways' guarantees on it.
 
 #include <map>
 #include <set>
@@ -11,7 +11,7 @@
 
 namespace oakpier::serving::model {
 
-/// One signed answer that a leaf gave.
+/// A signed answer of a leaf.
 struct SignedPart {
   std::string requestId;
   std::string service;
@@ -22,40 +22,40 @@
  public:
   void onArrival(const std::string& requestId, const std::string& leaf, bool leaving, Moment now);
   void onSigned(const std::string& signature, SignedPart part) { signed_[signature] = std::move(part); }
-  /// A request that ends leafs has reached a leaf, whatever becomes of it there.
+  /// A crashing request has reached a leaf, whether the leaf runs it or not.
   void onEndingSend(const std::string& target, const std::string& requestId, Moment now);
-  /// The gateway that gets the request was disturbed lately, so that it may not know what the others do.
+  /// The request goes to a gateway that a fault has hit recently and that may lack its peers' state.
   void onAskedOutOfTouch(const std::string& requestId) { outOfTouch_.insert(requestId); }
-  /// A request got no answer, and its gateway had no reason to break it off.
+  /// A request got no answer although no fault has hit its gateway.
   void checkBrokenOff(const std::string& requestId);
-  /// A leaf's process has ended under the request.
+  /// A leaf has crashed while it ran the request.
   void onEndedUnder(const std::string& target, Moment now);
   void onDraining(const std::string& leaf, Moment now) { drainingSince_[leaf] = now; }
 
-  /// A success to a request for all `shards`.
+  /// For a successful answer merged from all `shards`.
   void checkMerged(const std::string& requestId, const std::set<std::string>& shards, std::size_t topRecords,
                    const std::string& signatures, std::size_t missing, const std::string& body);
-  /// A success to a request for one leaf.
+  /// For a successful answer of a single leaf.
   void checkForwarded(const std::string& requestId, const std::string& signature, const std::string& body);
-  /// A refusal of a request that may run only once.
+  /// For a refused request that must run at most once.
   void checkRefusedOnce(const std::string& requestId);
-  /// After the day: requests that may run only once.
+  /// At the end of the run: these requests ran at most once.
   void checkOnce(const std::set<std::string>& requestIds);
 
-  /// Something else that must not happen.
+  /// Reports another violation.
   void addViolation(const std::string& text) { violations_.push_back(text); }
   const std::vector<std::string>& violations() const { return violations_; }
   std::size_t arrivals() const { return arrivals_; }
-  /// Leafs that requests have ended.
+  /// Number of leaf crashes caused by requests.
   std::size_t leafsEnded() const;
-  /// After the day: requests that end leafs are no longer sent once all gateways must know them.
+  /// At the end of the run: crashing requests reached only few leafs after all gateways must have known them.
   void checkEndingRequests();
 
  private:
-  /// What became of a request that ends leafs.
+  /// Crashes caused by one request, identified by its target.
   struct EndingRequest {
     std::size_t ended = 0;
-    /// When the third leaf ended under it.
+    /// When it caused its third crash.
     Moment thirdAt = kNever;
     std::size_t sentLater = 0;
   };
--- a/tests/platform_model/platform_day.cpp
+++ b/tests/platform_model/platform_day.cpp
@@ -22,22 +22,22 @@
 constexpr Duration kReadyBound = std::chrono::seconds(30);
 constexpr Duration kClientPatience = std::chrono::seconds(12);
 constexpr std::size_t kSeeds = 3;
-/// A gateway that ran undisturbed for this long knows what the others know.
+/// A gateway that no fault has hit for this long has the state of its peers.
 constexpr Duration kContact = std::chrono::seconds(4);
-/// Writers write again within this time what a store that comes back from a copy has lost.
+/// Writers rewrite the records that a restored store has lost within this time.
 constexpr Duration kWrittenAgain = std::chrono::seconds(2);
 constexpr Duration kEndedCheck = std::chrono::milliseconds(50);
-/// The last part of a day with faults, in which all is to be served again.
+/// End of a run with faults, after recovery, in which service is checked.
 constexpr Duration kCalmJudged = std::chrono::seconds(2);
-/// Of the requests in the calm part at least this share is answered.
+/// Minimum fraction of requests answered in that time.
 constexpr double kServedInCalm = 0.9;
-/// Different requests that end leafs, for each class.
+/// Number of different crashing requests for each class.
 constexpr std::size_t kEndingTargets = 4;
-/// Between two requests for the same. Longer than a leaf is down.
+/// Interval of repeated crashing requests; longer than a leaf's restart time.
 constexpr Duration kAskAgain = std::chrono::milliseconds(900);
-/// What a request gets that is rejected since leafs have ended under it.
+/// Status of requests refused because they crash leafs.
 constexpr unsigned kRejected = 500;
-/// Daemons have addresses 127.0.1.1, 127.0.1.2 and so on, with the same ports, as on separate machines.
+/// Gateways use 127.0.1.1, 127.0.1.2 and so on with the same ports, as on separate machines.
 constexpr std::uint32_t kFirstGatewayIp = 0x7f000101;
 
 std::string textOf(const HttpReply& reply, const std::string& name) {
@@ -51,7 +51,7 @@
   return place != std::string::npos && metrics[place + name.size()] != '0';
 }
 
-/// As the metrics tell it; empty when they don't.
+/// The configuration version in the metrics; empty when they lack it.
 std::string versionInForce(const std::string& metrics) {
   const std::string name = "\noakpier_gateway_configuration_version ";
   const std::size_t place = metrics.find(name);
@@ -71,14 +71,14 @@
   Endpoint readiness;
   std::string settingsFile;
   std::unique_ptr<Process> process;
-  /// It was told to end, or is paused.
+  /// It was stopped or killed, or has exited, and is not restarted yet.
   bool stopping = false;
   bool paused = false;
-  /// The process has answered a request, so that it handles signals.
+  /// The process has answered a request, so its signal handlers are installed.
   bool answered = false;
-  /// When it was last killed, stopped, started, paused or woken.
+  /// When it was last stopped, killed, restarted or resumed.
   Moment disturbedAt{};
-  /// When it was last killed or woken: requests from before may be broken off.
+  /// When it was last killed or resumed: requests sent before may remain unanswered.
   Moment harmedAt{};
   std::vector<std::shared_ptr<Client>> idle;
 };
@@ -153,7 +153,7 @@
   leaf.service = service;
   leaf.zone = zone;
   leaf.address = Endpoint(INADDR_LOOPBACK, freePorts(1)[0]);
-  // Some leafs start again under a new id, some under the one that they had.
+  // Every second leaf restarts under the same id, the others under a new one.
   leaf.keepsId = leafs_.size() % 2 == 1;
   leafs_.push_back(
       std::make_unique<LeafStandin>(context_, leaf, observations_, settings_.seed + leafs_.size()));
@@ -290,14 +290,14 @@
   }
   const auto client = clientOf(gateway);
   ++waiting_;
-  client->connection.call(request, kClientPatience,
-                          [this, client, &gateway](const std::optional<HttpReply>& reply) {
-                            gateway.idle.push_back(client);
-                            --waiting_;
-                            if (reply && reply->status == 200) {
-                              observations_.addViolation("a request that ends leafs was answered");
-                            }
-                          });
+  client->connection.call(
+      request, kClientPatience, [this, client, &gateway](const std::optional<HttpReply>& reply) {
+        gateway.idle.push_back(client);
+        --waiting_;
+        if (reply && reply->status == 200) {
+          observations_.addViolation("a request that crashes leafs was answered with success");
+        }
+      });
 }
 
 bool PlatformDay::inTouch(const Gateway& gateway) const {
@@ -344,9 +344,9 @@
                               const std::string used = reply ? versionInForce(reply->body) : "";
                               if (used != std::to_string(configurationVersion_)) {
                                 std::string violation = name;
-                                violation.append(" uses configuration ")
+                                violation.append(" uses configuration version ")
                                     .append(used)
-                                    .append(" in place of ")
+                                    .append(" instead of ")
                                     .append(std::to_string(configurationVersion_));
                                 observations_.addViolation(violation);
                               }
@@ -369,7 +369,7 @@
       pauseGateway(gateway, fault.duration);
       break;
     case FaultKind::kReloadGateway:
-      // Before its first instruction no process can keep a signal from ending it.
+      // SIGHUP would terminate a new process that has not blocked it yet.
       if (gateway.answered) {
         gateway.process->signal(SIGHUP);
       }
@@ -452,7 +452,7 @@
   }
   for (const auto& gateway : gateways_) {
     if (!gateway->stopping && !gateway->process->running()) {
-      observations_.addViolation(gateway->name + " ended by itself");
+      observations_.addViolation(gateway->name + " exited unexpectedly");
       gateway->stopping = true;
     }
   }
@@ -490,7 +490,7 @@
   });
   after(part * 9, [this] {
     if (!gateways_[2]->process->running()) {
-      observations_.addViolation("a gateway ended when its settings could not be used");
+      observations_.addViolation("a gateway exited on a reload of invalid settings");
     }
   });
   after(part * 5, [this] { gateways_[1]->process->signal(SIGTERM); });
@@ -572,7 +572,7 @@
   } else {
     ++result.failed;
     if (status == kRejected) {
-      observations_.addViolation("an ordinary request was rejected as one that ends leafs");
+      observations_.addViolation("an ordinary request was refused as one that crashes leafs");
     }
   }
 }
@@ -591,7 +591,8 @@
 bool PlatformDay::passed() const {
   const bool served = std::all_of(results_.begin(), results_.end(),
                                   [](const ClassResult& result) { return result.answered > 0; });
-  // After a restart the front gateway may not have left anything to owners yet when it is asked.
+  // With faults, the first gateway may have restarted and not delegated any shard before its metrics are
+  // read.
   const bool asExpected = settings_.faults || ownersUsed_ == settings_.expectOwners;
   const bool recovered =
       static_cast<double>(answeredInCalm_) >= kServedInCalm * static_cast<double>(askedInCalm_);
--- a/tests/platform_model/platform_day.h
+++ b/tests/platform_model/platform_day.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A day of one deployment on loopback: real gateway processes between the model's clients, leafs and store.
+/// Simulates a deployment on loopback: real gateway processes between simulated clients, leafs and store.
 
 #include <memory>
 #include <ostream>
@@ -20,22 +20,22 @@
 
 struct DaySettings {
   std::string gatewayProgram;
-  /// For settings files and logs.
+  /// Directory for settings files and logs.
   std::string folder;
   Duration length = std::chrono::seconds(6);
   std::uint64_t seed = 1;
-  /// With a leaf that leaves, one that falls silent, a store that is down for a while and forgets its
-  /// history, a new configuration, and a gateway that is stopped and started again.
+  /// A fixed sequence of disturbances: a leaf drains, another stops answering, the store is down and compacts
+  /// its history, the configuration changes, one gateway receives invalid settings, another is restarted.
   bool troubles = true;
-  /// Nobody reads the gateways' output, and its pipe is full from the start.
+  /// The gateways' standard output is a full pipe without a reader.
   bool stalledOutput = false;
-  /// Now and then come requests that end each leaf that runs them, again and again, at any gateway.
+  /// Clients repeatedly send requests that crash each leaf that runs them, to random gateways.
   bool endingRequests = false;
-  /// Random faults, of gateways, leafs, the store and requests, in series that overlap.
+  /// Random faults as drawn from `seed`, see fault_schedule.h.
   bool faults = false;
-  /// The store goes away and comes back from older copies of its records; goes with `faults`.
+  /// The store is restored from backups; requires `faults`.
   bool restorations = false;
-  /// The shards' connections do not suffice for all gateways, so that shards must be left to owners.
+  /// The leafs' connection limits are too low for all gateways, so that shards must be delegated to owners.
   bool expectOwners = false;
 };
 
@@ -53,16 +53,16 @@
   PlatformDay(Deployment deployment, DaySettings settings);
   ~PlatformDay();
 
-  /// Starts everything and waits until every gateway is ready; a text when that does not come about.
+  /// Starts all processes and waits until every gateway is ready. Returns an error, or an empty string.
   std::string start();
-  /// Plays the traffic and the troubles.
+  /// Runs the traffic with its disturbances and faults, then stops the gateways and makes the final checks.
   void play();
   void report(std::ostream& out) const;
-  /// No promise was broken and every class of request was served.
+  /// No violation was observed, every request class was answered, and service recovered after the last fault.
   bool passed() const;
-  /// Addresses for a person to try.
+  /// Prints the gateways' addresses and an example request.
   void printAddresses(std::ostream& out) const;
-  /// Serves on without traffic of its own until the process is stopped.
+  /// Serves without generated traffic until the process is terminated.
   void hold() { context_.run(); }
 
  private:
@@ -72,7 +72,7 @@
   void addLeaf(const std::string& service, const std::string& zone);
   void publish(const LeafStandin& leaf);
   void startGateway(Gateway& gateway);
-  /// A full pipe that nobody reads; returns its path.
+  /// Creates a full pipe without a reader and returns its path.
   std::string stalledPipe(const Gateway& gateway);
   void fetchMetrics();
   bool allReady();
@@ -85,21 +85,21 @@
   std::shared_ptr<Client> clientOf(Gateway& gateway);
   void after(Duration delay, std::function<void()> action);
   void planTroubles();
-  /// Asks for the same again and again, under new ids.
+  /// Sends the request periodically, each time under a new id.
   void askEndingAgain(const std::string& target);
   void askEnding(const std::string& target, Gateway& gateway);
   void planFaults();
   void planRestorations();
-  /// Every gateway uses the operator's newest configuration.
+  /// Checks that every gateway that had time to recover uses the newest configuration.
   void checkConfigurations();
   void apply(const Fault& fault);
   void stopGateway(Gateway& gateway);
   void killGateway(Gateway& gateway, Duration downFor);
   void pauseGateway(Gateway& gateway, Duration duration);
-  /// Starts a gateway that has ended as it was told to.
+  /// Polls until the gateway has exited, then restarts it.
   void startWhenEnded(Gateway& gateway);
   void checkGateways();
-  /// Its process ran undisturbed for long enough to know what the others know.
+  /// No fault has hit it for long enough that it has the state of its peers.
   bool inTouch(const Gateway& gateway) const;
 
   Deployment deployment_;
@@ -118,13 +118,13 @@
   std::uint64_t nextRequest_ = 1;
   std::size_t waiting_ = 0;
   std::size_t metricsFetched_ = 0;
-  /// The front gateway has left shards to their owners.
+  /// The first gateway has delegated shards to their owners.
   bool ownersUsed_ = false;
   std::vector<int> pipes_;
   bool playing_ = false;
   std::uint64_t configurationVersion_ = 1;
   unsigned storeOutages_ = 0;
-  /// Asked and answered in the calm part at the end.
+  /// Requests sent, and those of them answered, in the time at the end in which recovery is checked.
   std::size_t askedInCalm_ = 0;
   std::size_t answeredInCalm_ = 0;
   Moment calmFrom_ = kNever;
--- a/tests/platform_model/store_standin.h
+++ b/tests/platform_model/store_standin.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Stand-in for the platform's metadata store: the published calls over HTTP, kept in memory.
+/// Stand-in for the platform's metadata store: its published HTTP calls on records in memory.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -22,12 +22,13 @@
   std::string listen(const Endpoint& address) { return service_.listen(address); }
   void put(const std::string& key, const std::string& value);
   void remove(const std::string& key);
-  /// While it is down every call gets 503.
+  /// While the store is down, every call is answered with 503.
   void setDown(bool down) { down_ = down; }
-  /// Forgets the changes so far; watches that need them get 410.
+  /// Discards the changes up to now; watches from an earlier revision are answered with 410.
   void forgetHistory();
-  /// Goes on from a copy of its records that is that old, in a new epoch: revisions go back, and watches of
-  /// later ones get 410. Writers write what it has lost again, each at a moment of its own within the time.
+  /// Restores a backup of this age and begins a new epoch: revisions go back, and watches from later
+  /// revisions are answered with 410. Each writer rewrites its lost record after a random delay of at most
+  /// `rewriteWithin`.
   void restore(Duration age, Duration writtenAgainWithin);
   std::size_t calls() const { return calls_; }
 
@@ -51,13 +52,13 @@
   };
 
   void apply(Change change);
-  /// The record's writer sees to it that the store holds what it wrote last.
+  /// Writes the record's last written value again unless the store has it.
   void writeAgain(const std::string& key);
-  /// Every answer tells the epoch, refusals too.
+  /// Adds the epoch header, which every answer has, also errors.
   HttpReply told(HttpReply reply) const;
   HttpReply range(const std::map<std::string, std::string>& query) const;
   void watch(const std::map<std::string, std::string>& query, ResponseWriter writer);
-  /// Answers the watch if there is something to tell or `must` is set.
+  /// Answers the watch and returns true if it has changes or `must` is set.
   bool answer(Watch& watch, bool must) const;
 
   boost::asio::io_context& context_;
@@ -68,7 +69,7 @@
   std::uint64_t revision_ = kFirstRevision;
   std::uint64_t forgottenRevision_ = 0;
   std::uint64_t epoch_ = 1;
-  /// What each writer wrote last, by key, whatever the store has lost of it.
+  /// The last write of each key, also those that a restored backup lacks.
   std::map<std::string, Change> written_;
   RandomEngine random_;
   std::vector<std::unique_ptr<boost::asio::steady_timer>> timers_;
--- a/tests/serving/platform/leaf_entries_test.cpp
+++ b/tests/serving/platform/leaf_entries_test.cpp
@@ -1,4 +1,5 @@
-/// Entries of the store that other writers made: each names no leaf, and the leafs beside it hold.
+/// Invalid store entries, written by something else than a leaf, must not become leafs or affect valid
+/// entries.
 
 #include <algorithm>
 #include <boost/beast/core/detail/base64.hpp>
@@ -62,7 +63,7 @@
 const SourceCall kList{SourceCall::Kind::kList, "", 0, {}};
 const SourceCall kChanges{SourceCall::Kind::kChanges, "", 4, {}};
 
-/// A daemon that hears of entries by way of the platform's dialect.
+/// A follower that receives entries through the platform's dialect.
 class Believer {
  public:
   Believer()
@@ -97,7 +98,7 @@
     RC_ASSERT(received.ParseFromString(news.SerializeAsString()));
     follower_.onNews(Endpoint(2, 1), received, now_);
   }
-  /// Ids of all leafs that may be used.
+  /// Ids of all usable leafs.
   std::set<std::string> leafs() {
     if (auto view = follower_.takeChangedView()) {
       view_ = std::move(view);
@@ -141,13 +142,13 @@
   return items;
 }
 
-/// Of another type than any field of an entry has.
+/// Invalid for every field of an entry.
 json wrongValue() {
   return *rc::gen::element(json(nullptr), json(true), json::array(), json::array({1}), json::object(),
                            json(-1), json("\x7f"), json(-0.5), json(1e300));
 }
 
-/// What another writer may have put under a leaf's key; none of it is an entry of a leaf.
+/// A value under a leaf's key that is not a valid leaf entry.
 std::string forgedValue() {
   json entry = kEntry;
   const std::string field = *rc::gen::elementOf(kFields);
@@ -169,14 +170,14 @@
     case 4:
       return wrongValue().dump();
     default: {
-      // No byte of it can begin an object.
+      // Contains no byte that can begin an object.
       auto bytes = *rc::gen::container<std::string>(rc::gen::suchThat<char>([](char c) { return c != '{'; }));
       return bytes;
     }
   }
 }
 
-/// With some of its bytes changed; it may or may not be valid still.
+/// The value with random bytes changed, removed or inserted; it may still be valid.
 std::string damaged(std::string value) {
   const auto changes = *rc::gen::inRange(1, 6);
   for (int change = 0; change < changes && !value.empty(); ++change) {
@@ -205,7 +206,7 @@
   RC_ASSERT(leafs == std::set<std::string>(kOthers.begin(), kOthers.end()));
 }
 
-/// Tells the value by each of the ways, over a usable entry of the same leaf and without one.
+/// Delivers the value by listing, watch and peer update, with and without a valid earlier entry of the leaf.
 void tellEveryWay(const std::string& value, bool mayBeUsed) {
   const SourceRecord record{"servers/" + kForged, value, 9, false};
   json page = goodItems();
@@ -231,14 +232,14 @@
 
 }  // namespace
 
-TEST_CASE("a leaf's entry tells when its process began, where leafs tell that", "[platform][lives]") {
+TEST_CASE("the start time of a leaf's process is read from its entry, and is optional", "[platform][lives]") {
   REQUIRE(std::get<LeafEntry>(statementOf(kEntry.dump())).bornAt == 1760000000000);
   json without = kEntry;
   without.erase("born");
   REQUIRE(std::get<LeafEntry>(statementOf(without.dump())).bornAt == 0);
 }
 
-TEST_CASE("an entry with a field missing or of another type names no leaf", "[platform][lives]") {
+TEST_CASE("an entry with a missing or invalid field is no leaf", "[platform][lives]") {
   for (const std::string& field : kFields) {
     json entry = kEntry;
     entry.erase(field);
@@ -269,7 +270,7 @@
   }
 }
 
-TEST_CASE("bytes that are no entry name no leaf", "[platform][lives]") {
+TEST_CASE("truncated or malformed JSON is no leaf", "[platform][lives]") {
   const std::string whole = kEntry.dump();
   for (std::size_t length = 0; length < whole.size(); ++length) {
     REQUIRE(namesNoLeaf(whole.substr(0, length)));
@@ -286,13 +287,13 @@
   REQUIRE(std::get<UnusableLeaf>(statement).problem.size() <= 300);
 }
 
-TEST_CASE("a key that no header can carry names no leaf", "[platform][lives]") {
+TEST_CASE("an id that is not valid in a header is no leaf", "[platform][lives]") {
   for (const char* id : {"", "i 1", "i\r\nX: 1", "i\x7f", "\xc3\xa9"}) {
     REQUIRE(namesNoLeaf(kEntry.dump(), id));
   }
 }
 
-TEST_CASE("one item that cannot be read loses no other item of the answer", "[platform][lives]") {
+TEST_CASE("a malformed item does not affect the other items of an answer", "[platform][lives]") {
   const StoreDialect dialect;
   const json good = itemOf("i-1", kEntry.dump(), 4);
   const auto pageOf = [&](const json& item, const char* list, const SourceCall& call) {
@@ -311,7 +312,7 @@
       REQUIRE(page.records[0].key == "servers/i-1");
     }
   }
-  // With key and revision a record replaces the one before it, whatever its value is.
+  // A record with key and revision replaces the one before it, even if its value is invalid.
   for (const json& value :
        {json(nullptr), json(7), json("a"), json("ab=c"), json("a==="), json("YWI*"), json("=")}) {
     const auto page =
@@ -326,7 +327,7 @@
   REQUIRE(std::holds_alternative<UnusableLeaf>(dialect.interpret(notGone.records[0])));
 }
 
-TEST_CASE("a value with bytes after its base64 is not read in part", "[platform][lives]") {
+TEST_CASE("a value with bytes after its base64 is invalid", "[platform][lives]") {
   const StoreDialect dialect;
   for (const char* tail : {"!", "!!!!", "====", "\n"}) {
     json item = itemOf("i-1", kEntry.dump(), 4);
@@ -342,7 +343,8 @@
   REQUIRE(std::holds_alternative<LeafEntry>(dialect.interpret(page.records[0])));
 }
 
-TEST_CASE("an answer from which nothing can be concluded is no answer", "[platform][lives]") {
+TEST_CASE("an answer without a valid revision, list or flag for further pages is a failure",
+          "[platform][lives]") {
   const StoreDialect dialect;
   const json good = itemOf("i-1", kEntry.dump(), 4);
   const json items = json::array({good});
@@ -356,7 +358,8 @@
   }
 }
 
-TEST_CASE("entries for services that no configuration names are in no route's way", "[platform][lives]") {
+TEST_CASE("entries of services outside the configuration are accepted and do not affect other leafs",
+          "[platform][lives]") {
   Believer believer;
   believer.list(goodItems(), 5);
   const auto before = believer.leafs();
@@ -366,7 +369,7 @@
   REQUIRE(believer.leafs() == before);
 }
 
-TEST_CASE("of many unusable records some are told, and all are counted", "[platform][lives]") {
+TEST_CASE("of many unusable records only the first are reported, and all are counted", "[platform][lives]") {
   Believer believer;
   json items = goodItems();
   for (std::uint64_t number = 0; number < 400; ++number) {
@@ -379,7 +382,7 @@
   REQUIRE(believer.lastActions().problems.size() == 9);
 }
 
-TEST_CASE("what another writer put under a leaf's key is not used, and all other leafs hold",
+TEST_CASE("an invalid value under a leaf's key is not used and does not affect other leafs",
           "[platform][lives]") {
   OAKPIER_PROPERTY("forged entries", [] {
     const std::string value = forgedValue();
@@ -388,7 +391,8 @@
   });
 }
 
-TEST_CASE("an answer of the store that was damaged in any way is read or is none", "[platform][lives]") {
+TEST_CASE("a randomly damaged answer of the store is parsed or rejected without other errors",
+          "[platform][lives]") {
   OAKPIER_PROPERTY("damaged answers", [] {
     json page = goodItems();
     page.push_back({{"tls_key", "servers/gone"}, {"revision", 8}, {"gone", true}});
@@ -408,7 +412,7 @@
   });
 }
 
-TEST_CASE("a leaf's entry that was damaged in any way harms no other leaf", "[platform][lives]") {
+TEST_CASE("a randomly damaged leaf entry does not affect other leafs", "[platform][lives]") {
   OAKPIER_PROPERTY("damaged entries", [] { tellEveryWay(damaged(kEntry.dump()), true); });
 }
 
--- a/tests/serving/platform/observations_test.cpp
+++ b/tests/serving/platform/observations_test.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a right merged answer passes, every wrong one is refused", "[platform]") {
+TEST_CASE("a correct merged answer passes, incorrect ones are violations", "[platform]") {
   Observations seen = withTwoParts();
   seen.checkMerged("request", kShards, 2, "one, two", 1, kHigh + kHigh);
   REQUIRE(seen.violations().empty());
@@ -39,7 +39,7 @@
   REQUIRE(refuses("one, unknown", 1, kHigh + kHigh));
 }
 
-TEST_CASE("a forwarded answer must be the leaf's own for the request", "[platform]") {
+TEST_CASE("a forwarded answer must be the one that a leaf gave to the request", "[platform]") {
   Observations seen = withTwoParts();
   seen.checkForwarded("request", "two", kHigh + "rest");
   REQUIRE(seen.violations().empty());
@@ -48,7 +48,8 @@
   REQUIRE(seen.violations().size() == 2);
 }
 
-TEST_CASE("runs of requests not to be repeated, refusals and late arrivals are counted", "[platform]") {
+TEST_CASE("repeated runs, runs of refused requests and late arrivals at draining leafs are violations",
+          "[platform]") {
   Observations seen;
   seen.onArrival("once", "leaf", false, at(0));
   seen.checkOnce({"once"});
@@ -65,7 +66,7 @@
   REQUIRE(seen.violations().size() == 3);
 }
 
-TEST_CASE("a request that ends leafs may go to a few more, not to many, once it must be known",
+TEST_CASE("a crashing request that all gateways must know may reach leafs only a few more times",
           "[platform]") {
   Observations seen;
   const auto later = GENERATE(3, 4);
@@ -85,7 +86,7 @@
   REQUIRE(seen.violations().empty() == (later == 3));
 }
 
-TEST_CASE("a request that ran may not be broken off without an answer", "[platform]") {
+TEST_CASE("a request that ran must not be closed without an answer", "[platform]") {
   Observations seen;
   seen.checkBrokenOff("one");
   REQUIRE(seen.violations().empty());
--- a/tests/serving/platform/platform_test.cpp
+++ b/tests/serving/platform/platform_test.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-TEST_CASE("settings are read, fields that are not known passed over", "[platform]") {
+TEST_CASE("settings are parsed and unknown fields ignored", "[platform]") {
   const auto settings = std::get<GatewaySettings>(parseSettings(kSettings));
   REQUIRE(settings.callerAddress.text() == "10.1.0.9:8104");
   REQUIRE(settings.peerAddress.text() == "10.1.0.9:7380");
@@ -54,7 +54,7 @@
   REQUIRE_FALSE(settings.keyRevocationBound);
 }
 
-TEST_CASE("settings that cannot be used say why", "[platform]") {
+TEST_CASE("invalid settings are refused with a reason", "[platform]") {
   REQUIRE(std::get<SettingsError>(parseSettings("{")).text == "the settings are not a JSON object");
   REQUIRE(std::get<SettingsError>(readSettings("")).text.find("--settings") != std::string::npos);
   REQUIRE(std::get<SettingsError>(parseSettings(R"({"node_name": 5})")).text ==
@@ -79,7 +79,8 @@
   REQUIRE(std::get<SettingsError>(parseSettings(wrong)).text.find("store.example:1") != std::string::npos);
 }
 
-TEST_CASE("settings out of bounds are refused, and used ones are told with their units", "[platform]") {
+TEST_CASE("settings out of range are refused, and those in effect are printed with their units",
+          "[platform]") {
   std::string wrong = kSettings;
   wrong.replace(wrong.find("\"retry_budget_ratio\": 0.2"), 25, "\"retry_budget_ratio\": 7.0");
   REQUIRE(std::get<SettingsError>(parseSettings(wrong)).text ==
@@ -88,7 +89,7 @@
   negative.replace(negative.find("\"quota_tolerance\": 0.25"), 23, "\"quota_tolerance\": -0.5");
   REQUIRE(std::get<SettingsError>(parseSettings(negative)).text ==
           "the tolerance of tenants' limits is negative");
-  // Without them no excess is allowed.
+  // Without these settings no excess over the limit is allowed.
   std::string without = kSettings;
   for (const std::string name : {"quota_window_s", "quota_tolerance", "quota_burst"}) {
     without.replace(without.find(name), name.size(), std::string(name.size(), 'x'));
@@ -103,7 +104,7 @@
           std::string::npos);
 }
 
-TEST_CASE("what the machine allows is read where it is told", "[platform]") {
+TEST_CASE("machine limits are optional settings", "[platform]") {
   const auto withLimits = [](const std::string& limits) {
     std::string text = kSettings;
     return text.replace(text.find("\"unknown\": [1]"), 14, "\"limits\": " + limits);
@@ -119,7 +120,7 @@
   REQUIRE(described.find("machine_link_mbit_per_s = 24\n") != std::string::npos);
   REQUIRE(described.find("capacity_core_hundredths = 24\n") != std::string::npos);
 
-  // Without them, or with some of them, the daemon starts all the same.
+  // Some or all of them may be missing.
   const auto untold = std::get<GatewaySettings>(parseSettings(kSettings));
   REQUIRE(capacityOf(untold.machine) == 0);
   REQUIRE(describe(untold).find("capacity_core_hundredths = not told\n") != std::string::npos);
@@ -142,7 +143,7 @@
   REQUIRE(problemOf(R"({"cpu_share": "much"})") == "setting \"limits.cpu_share\" cannot be \"much\"");
 }
 
-TEST_CASE("the use of removed keys is bounded where the operator asks for it", "[platform]") {
+TEST_CASE("the use of removed keys is bounded only when the settings require it", "[platform]") {
   const auto with = [](const std::string& bounds) {
     std::string text = kSettings;
     text.insert(text.find("\"grace_s\""), bounds);
@@ -164,7 +165,7 @@
           "setting \"bounds.revoke_strict\" cannot be \"yes\"");
 }
 
-TEST_CASE("configurations and leaf entries are understood", "[platform]") {
+TEST_CASE("configurations, leaf entries and evacuations are parsed", "[platform]") {
   const StoreDialect dialect;
   const auto configuration =
       std::get<ServingConfiguration>(dialect.interpret({"op/config", kConfiguration, 1, false}));
@@ -199,7 +200,7 @@
   REQUIRE(std::holds_alternative<UnusableLeaf>(dialect.interpret({"servers/i", "{}", 1, false})));
 }
 
-TEST_CASE("tenants and public routes of a configuration are understood", "[platform]") {
+TEST_CASE("tenants and public routes of a configuration are parsed", "[platform]") {
   const StoreDialect dialect;
   std::string text = kConfiguration;
   text.replace(text.find("\"service\": \"s\", \"attempts\""), 14, "\"public\": true, \"service\": \"s\"");
@@ -224,7 +225,7 @@
   REQUIRE(configuration.tenants[2].name == "cedar");
 }
 
-TEST_CASE("a configuration that cannot be read is told without quoting it", "[platform]") {
+TEST_CASE("errors of an invalid configuration do not quote it", "[platform]") {
   const StoreDialect dialect;
   const std::string whole = kConfiguration;
   const std::string head = whole.substr(0, whole.find("\"services\""));
@@ -247,13 +248,13 @@
     REQUIRE(problem.size() > 20);
     REQUIRE(problem.find("secret") == std::string::npos);
   }
-  // A number beyond all bounds in a key's place: the library's text would repeat it.
+  // For a number out of range in place of a key, the library's message would quote the number.
   REQUIRE(problemWith(R"([{"name": "amber", "api_keys": [99123e9999]}])").find("99123") == std::string::npos);
   REQUIRE(problemWith(R"([{"name": "amber", "api_keys": ["secret-1"], "priority": -1}])") ==
-          "op/config: tenant amber: the priority is not a whole number from 0 on");
+          "op/config: tenant amber: the priority is not an integer of at least 0");
 }
 
-TEST_CASE("calls and answers of the store are spelt as it publishes them", "[platform]") {
+TEST_CASE("calls and answers follow the store's published format", "[platform]") {
   const StoreDialect dialect;
   const SourceCall list{SourceCall::Kind::kList, "a b/c", 0, {}};
   const SourceCall changes{SourceCall::Kind::kChanges, "", 411, std::chrono::milliseconds(1500)};
@@ -287,7 +288,7 @@
           SourceFailure::kNoAnswer);
 }
 
-TEST_CASE("every answer of the store tells its epoch, refusals too", "[platform]") {
+TEST_CASE("the epoch is read from every answer of the store, also from errors", "[platform]") {
   const StoreDialect dialect;
   const SourceCall changes{SourceCall::Kind::kChanges, "", 411, std::chrono::milliseconds(1500)};
   const auto told = [&](unsigned status, const HeaderList& headers) {
--- a/tests/serving/programs/causes_test.cpp
+++ b/tests/serving/programs/causes_test.cpp
@@ -1,4 +1,5 @@
-/// What the gateway writes of losses, and what `oakpierctl causes` makes of it, beside what callers lost.
+/// Compares the losses that `oakpierctl causes` reads from the gateway's log with the losses that callers
+/// see.
 
 #include "programs/control/causes.h"
 
@@ -19,7 +20,7 @@
 
 const std::vector<std::string> kShards{"s0", "s1", "s2", "s3"};
 
-/// What a caller reckons that it lost, from the answer and its time alone.
+/// Loss as a caller computes it from the answer and its latency.
 double lostByCaller(const FinalAnswer& answer, Duration taken, Duration target) {
   if (const auto* forwarded = std::get_if<ForwardedAnswer>(&answer)) {
     return forwarded->reply->status == 200 && taken <= target ? 0.0 : 1.0;
@@ -33,7 +34,7 @@
   return 1.0 - share * share;
 }
 
-/// Queries of a day with generated outcomes; returns what their callers lost.
+/// Runs queries with generated outcomes; returns the sum of their callers' losses.
 double playDay(LossLedger& ledger, int queries) {
   const bool gather = *rc::gen::arbitrary<bool>();
   const auto view = viewOf({gather ? gatherRoute(kShards, 0.5) : singleRoute("s0", true, 2)}, kShards, 2);
@@ -78,7 +79,7 @@
 
 }  // namespace
 
-TEST_CASE("the causes that logs tell sum to what callers lost", "[serving]") {
+TEST_CASE("logged causes sum up to the losses of callers", "[serving]") {
   OAKPIER_PROPERTY("losses", [] {
     const CapturedLog captured;
     double lost = 0;
@@ -98,7 +99,7 @@
   });
 }
 
-TEST_CASE("losses are few lines whatever the load", "[serving]") {
+TEST_CASE("the number of loss lines does not grow with the load", "[serving]") {
   const CapturedLog captured;
   {
     LossLedger ledger;
@@ -118,7 +119,7 @@
   REQUIRE(report.routes.at("page").atOwners.at("every leaf asked slow") == Approx(100'000));
 }
 
-TEST_CASE("losses are shown by route and cause, the largest first", "[serving]") {
+TEST_CASE("losses are printed by route and cause, largest first", "[serving]") {
   std::istringstream lines(
       "1.0 gateway-1 {\"time_us\":7000001,\"message\":\"requests ended\",\"route\":\"page\",\"requests\":10,"
       "\"lost\":4.0}\n"
@@ -139,7 +140,7 @@
   REQUIRE(text.find("lost by second from 7 on") != std::string::npos);
 }
 
-TEST_CASE("refusals for keys, proofs and limits are losses with causes of their own", "[serving]") {
+TEST_CASE("refusals for keys, proofs and limits have their own causes", "[serving]") {
   const CapturedLog captured;
   const std::vector<LossCause> causes = {LossCause::kKeyMissing,      LossCause::kKeyUnknown,
                                          LossCause::kKeyMaybeNew,     LossCause::kProofTooOld,
@@ -160,7 +161,7 @@
   CAPTURE(out.str());
   REQUIRE(report.unreadable == 0);
   REQUIRE(report.routes.at("page").causes.size() == causes.size());
-  // Every figure stands in one column, also that of the longest cause.
+  // The figures are aligned, also after the longest cause.
   const std::string share = "      1.00   16.67 %\n";
   for (const LossCause cause : causes) {
     std::string line = std::string("    ") + textOf(cause);
--- a/tests/serving/programs/explain_test.cpp
+++ b/tests/serving/programs/explain_test.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a request is explained with what its own process believed", "[serving]") {
+TEST_CASE("a request is explained with the earlier state of its own process", "[serving]") {
   std::istringstream lines(kLines);
   std::ostringstream out;
   REQUIRE(explainRequest("a", lines, out));
@@ -37,14 +37,13 @@
           "  decision  decision=no usable leaf\n");
 }
 
-TEST_CASE("an id that no line names is said to be unknown", "[serving]") {
+TEST_CASE("an id that no line has is not found", "[serving]") {
   std::istringstream lines(kLines);
   std::ostringstream out;
   REQUIRE_FALSE(explainRequest("c", lines, out));
 }
 
-TEST_CASE("a rejected request is explained by the leafs that ended under requests for the same",
-          "[serving]") {
+TEST_CASE("a refused request is explained by leaf crashes under the same fingerprint", "[serving]") {
   std::istringstream lines(
       "1.0 gateway-2 {\"message\":\"leaf ended\",\"leaf\":\"x\",\"under\":[\"f1\",\"f2\"]}\n"
       "1.1 gateway-2 {\"message\":\"leaf ended\",\"leaf\":\"y\",\"under\":[\"f2\"]}\n"
@@ -61,8 +60,9 @@
           "  gateway-3 leafs end under a request  fingerprint=f1  trials=1\n");
 }
 
-TEST_CASE("a refusal beyond a limit is explained by the tenant, its home and what to look at", "[serving]") {
-  // More of these lines than beliefs are shown: they must not hide the view.
+TEST_CASE("a refusal over a limit is explained with the tenant, its quota server and what to check",
+          "[serving]") {
+  // More lines on the limit than state lines are printed: they must not displace the view.
   std::string lines = "1.0 gateway-1 {\"message\":\"view published\",\"configuration_version\":7}\n";
   for (int number = 0; number < 6; ++number) {
     lines +=
@@ -90,7 +90,7 @@
       "  look next at: tenant_refusals_unanswered_total of this daemon, and the daemon that counts (home)\n");
 }
 
-TEST_CASE("each refusal of a caller is explained as the gateway writes it", "[serving]") {
+TEST_CASE("each outcome that the gateway logs for a refused caller is explained", "[serving]") {
   using serving::LossCause;
   const std::vector<std::tuple<LossCause, unsigned, std::string>> refusals = {
       {LossCause::kKeyMissing, 401, "by the request alone"},
@@ -120,7 +120,7 @@
   }
 }
 
-TEST_CASE("other refusals and answers get no such sentence", "[serving]") {
+TEST_CASE("other refusals get no such explanation", "[serving]") {
   const serving::CapturedLog captured;
   {
     serving::RequestLog log(serving::RequestLogSettings{});
