--- a/bench/load/main.cpp
+++ b/bench/load/main.cpp
@@ -37,7 +37,7 @@
 double processorSeconds(const std::vector<std::string>& operators) {
   double total = 0;
   for (const auto& address : operators) {
-    cxxtools::http::Client client(endpointOf(address).ip(), endpointOf(address).port());
+    cxxtools::http::Client client(parsedEndpoint(address).ip(), parsedEndpoint(address).port());
     std::istringstream lines(client.get("/metrics", cxxtools::Milliseconds(5000)).body());
     for (std::string line; std::getline(lines, line);) {
       const std::string name = "process_cpu_seconds_total ";
@@ -77,7 +77,7 @@
 
 /// Leafs that do not answer count as zero.
 ExecutionLog readLog(const Machine& leaf, bool totalsOnly) {
-  HttpChannel channel(endpointOf(leaf.address()), kCallTimeout);
+  HttpChannel channel(parsedEndpoint(leaf.address()), kCallTimeout);
   LeafStandIn_Stub stub(&channel);
   CallController call;
   ExecutionLogRequest request;
@@ -126,9 +126,9 @@
   options.connections = settings.connections;
   options.seed = settings.seed;
   for (const auto& caller : settings.callers) {
-    options.callers.push_back(endpointOf(caller));
+    options.callers.push_back(parsedEndpoint(caller));
   }
-  const Endpoint platform = endpointOf(settings.platform);
+  const Endpoint platform = parsedEndpoint(settings.platform);
   const std::vector<Machine> leaves =
       platform == Endpoint() ? std::vector<Machine>() : leafMachines(platform);
   const LeafWork before = totalWork(leaves);
--- a/bench/standin/main.cpp
+++ b/bench/standin/main.cpp
@@ -103,12 +103,12 @@
     return app.exit(problem) == 0 ? oakpier::kExitOk : oakpier::kExitUsage;
   }
   if (leafCommand->parsed()) {
-    leaf.address = oakpier::endpointOf(address);
+    leaf.address = oakpier::parsedEndpoint(address);
     leaf.faults.set_service_time_us(serviceTimeUs);
     leaf.faults.set_oldest_snapshot(newestSnapshot);
     leaf.faults.set_newest_snapshot(newestSnapshot);
     leaf.faults.set_rows_per_shard(rows);
     return oakpier::runLeaf(leaf);
   }
-  return oakpier::runPlatform(oakpier::endpointOf(address), configurationFile, machinesFile);
+  return oakpier::runPlatform(oakpier::parsedEndpoint(address), configurationFile, machinesFile);
 }
--- a/src/programs/common/held_signals.h
+++ b/src/programs/common/blocked_signals.h
@@ -20,13 +20,13 @@
 }
 
 /// Blocks the handled signals in the calling thread; threads that it starts later inherit the mask.
-inline void holdSignals() {
+inline void blockSignals() {
   const sigset_t signals = handledSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
 /// Unblocks them in the calling thread, which receives pending and later signals.
-inline void deliverSignals() {
+inline void unblockSignals() {
   const sigset_t signals = handledSignals();
   pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
 }
--- a/src/programs/common/flags.h
+++ b/src/programs/common/flags.h
@@ -20,6 +20,6 @@
 }
 
 /// For values that `endpointValidator` has accepted.
-inline Endpoint endpointOf(const std::string& text) { return Endpoint::parse(text).value_or(Endpoint()); }
+inline Endpoint parsedEndpoint(const std::string& text) { return Endpoint::parse(text).value_or(Endpoint()); }
 
 }  // namespace oakpier
--- a/src/programs/common/logging.cpp
+++ b/src/programs/common/logging.cpp
@@ -29,8 +29,8 @@
 
 std::string programName;
 
-constexpr std::size_t kMostQueuedLines = 4096;
-constexpr std::chrono::milliseconds kLastLinesTime(200);
+constexpr std::size_t kMaxQueuedLines = 4096;
+constexpr std::chrono::milliseconds kFlushTimeout(200);
 std::atomic<std::uint64_t> droppedLines{0};
 
 /// Overflow policy of the queue.
@@ -46,7 +46,7 @@
 
 using BoundedSink = boost::log::sinks::asynchronous_sink<
     boost::log::sinks::text_ostream_backend,
-    boost::log::sinks::bounded_fifo_queue<kMostQueuedLines, DropAndCount>>;
+    boost::log::sinks::bounded_fifo_queue<kMaxQueuedLines, DropAndCount>>;
 boost::shared_ptr<BoundedSink> boundedSink;
 
 trivial::severity_level severityOf(LogLevel level) {
@@ -86,15 +86,15 @@
 
 std::uint64_t droppedLogLines() { return droppedLines; }
 
-void exitAfterLogging(int code) {
+void flushLogsAndExit(int code) {
   if (boundedSink) {
-    auto written = std::make_shared<std::promise<void>>();
-    std::future<void> done = written->get_future();
-    std::thread([written] {
+    auto flushed = std::make_shared<std::promise<void>>();
+    std::future<void> done = flushed->get_future();
+    std::thread([flushed] {
       boundedSink->flush();
-      written->set_value();
+      flushed->set_value();
     }).detach();
-    done.wait_for(kLastLinesTime);
+    done.wait_for(kFlushTimeout);
   }
   // Without destructors: the writer thread may still be blocked on a stalled reader.
   std::_Exit(code);
--- a/src/programs/common/logging.h
+++ b/src/programs/common/logging.h
@@ -27,7 +27,7 @@
 std::uint64_t droppedLogLines();
 /// Flushes the queue and exits with `code`. Lines that a stalled reader has not consumed within a short
 /// timeout are lost. Runs no destructors.
-[[noreturn]] void exitAfterLogging(int code);
+[[noreturn]] void flushLogsAndExit(int code);
 
 void log(LogLevel level, const std::string& message, const std::vector<LogField>& fields = {});
 
--- a/src/programs/control/causes.cpp
+++ b/src/programs/control/causes.cpp
@@ -20,7 +20,7 @@
 /// Messages that the gateway's loss ledger logs.
 constexpr const char* kTotalLine = "requests ended";
 constexpr const char* kCauseLine = "loss";
-constexpr const char* kOwnerLine = "loss at owner";
+constexpr const char* kDelegatedLine = "loss at owner";
 
 void addLine(const LogLine& line, LossReport& report) {
   const std::string message = line.message();
@@ -34,7 +34,7 @@
   } else if (message == kCauseLine) {
     route.causes[fields.at("cause").get<std::string>()] += lost;
   } else {
-    route.atOwners[fields.at("cause").get<std::string>()] += lost;
+    route.delegatedCauses[fields.at("cause").get<std::string>()] += lost;
   }
 }
 
@@ -45,10 +45,10 @@
   return sorted;
 }
 
-void printCauses(const std::map<std::string, double>& causes, double whole, std::ostream& out) {
+void printCauses(const std::map<std::string, double>& causes, double total, std::ostream& out) {
   for (const auto& [cause, lost] : largestFirst(causes)) {
     out << "    " << std::left << std::setw(kCauseWidth) << cause << std::right << std::setw(10) << lost
-        << std::setw(8) << (whole > 0 ? kPercent * lost / whole : 0.0) << " %\n";
+        << std::setw(8) << (total > 0 ? kPercent * lost / total : 0.0) << " %\n";
   }
 }
 
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-void addLosses(std::istream& lines, LossReport& report) {
+void readLosses(std::istream& lines, LossReport& report) {
   std::string text;
   while (std::getline(lines, text)) {
     const auto line = parseLogLine(text);
@@ -76,13 +76,13 @@
       continue;
     }
     const std::string message = line->message();
-    if (message != kTotalLine && message != kCauseLine && message != kOwnerLine) {
+    if (message != kTotalLine && message != kCauseLine && message != kDelegatedLine) {
       continue;
     }
     try {
       addLine(*line, report);
     } catch (const nlohmann::json::exception&) {
-      ++report.unreadable;
+      ++report.malformedLines;
     }
   }
 }
@@ -93,20 +93,20 @@
     out << (name.empty() ? "(no route known)" : name) << ": " << route.requests << " requests, lost "
         << route.lost << "\n";
     printCauses(route.causes, route.lost, out);
-    if (!route.atOwners.empty()) {
+    if (!route.delegatedCauses.empty()) {
       out << "  shards without an answer in time at their owners\n";
-      double whole = 0;
-      for (const auto& [cause, lost] : route.atOwners) {
-        whole += lost;
+      double total = 0;
+      for (const auto& [cause, lost] : route.delegatedCauses) {
+        total += lost;
       }
-      printCauses(route.atOwners, whole, out);
+      printCauses(route.delegatedCauses, total, out);
     }
     if (bySecond) {
       printSeconds(route, out);
     }
   }
-  if (report.unreadable > 0) {
-    out << report.unreadable << " lines on losses could not be read\n";
+  if (report.malformedLines > 0) {
+    out << report.malformedLines << " lines on losses could not be read\n";
   }
 }
 
@@ -120,10 +120,10 @@
     routes[name] = {{"requests", route.requests},
                     {"lost", route.lost},
                     {"causes", route.causes},
-                    {"at_owners", route.atOwners},
+                    {"at_owners", route.delegatedCauses},
                     {"seconds", seconds}};
   }
-  out << nlohmann::ordered_json{{"routes", routes}, {"unreadable", report.unreadable}}.dump(2) << "\n";
+  out << nlohmann::ordered_json{{"routes", routes}, {"unreadable", report.malformedLines}}.dump(2) << "\n";
 }
 
 }  // namespace oakpier
--- a/src/programs/control/causes.h
+++ b/src/programs/control/causes.h
@@ -19,17 +19,17 @@
     /// By cause.
     std::map<std::string, double> causes;
     /// Losses that owners log for shards delegated to them, by cause; each shard counts 1.
-    std::map<std::string, double> atOwners;
+    std::map<std::string, double> delegatedCauses;
     /// By second since the epoch, on the clocks of the gateways.
     std::map<std::int64_t, double> seconds;
   };
   std::map<std::string, Route> routes;
   /// Loss lines with missing or invalid fields.
-  std::uint64_t unreadable = 0;
+  std::uint64_t malformedLines = 0;
 };
 
 /// Reads log lines up to the end of the stream and adds their losses to the report.
-void addLosses(std::istream& lines, LossReport& report);
+void readLosses(std::istream& lines, LossReport& report);
 void printLosses(const LossReport& report, bool bySecond, std::ostream& out);
 void printLossesAsJson(const LossReport& report, std::ostream& out);
 
--- a/src/programs/control/commands.cpp
+++ b/src/programs/control/commands.cpp
@@ -150,8 +150,8 @@
     return kExitUnreachable;
   }
   // A file written by `get` holds the revision that it was based on.
-  const std::uint64_t made = request.configuration().revision();
-  request.set_base_revision(made == 0 ? current->configuration().revision() : made);
+  const std::uint64_t baseRevision = request.configuration().revision();
+  request.set_base_revision(baseRevision == 0 ? current->configuration().revision() : baseRevision);
   request.set_dry_run(true);
   auto reply = call(options, &Operator_Stub::Apply, request);
   if (!reply) {
--- a/src/programs/control/explain.cpp
+++ b/src/programs/control/explain.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// Lines on the state of the process that are printed before a request.
-constexpr std::size_t kBeliefs = 4;
+constexpr std::size_t kMaxStateLines = 4;
 /// Lines on crashed leafs that are printed after a request.
-constexpr std::size_t kEnds = 6;
+constexpr std::size_t kMaxCrashLines = 6;
 
 /// Messages that the gateway logs, before the request's own line, for a request without a token.
 constexpr const char* kOverLimitLine = "tenant beyond its limit";
@@ -68,16 +68,16 @@
 }
 
 /// Keeps the last lines on crashed leafs, by the fingerprint of the requests that ran there.
-class EndedLeafs {
+class CrashedLeafs {
  public:
   void add(const LogLine& line) {
     if (line.fields.contains("fingerprint") && line.fields["fingerprint"].is_string()) {
-      keep(line.fields["fingerprint"].get<std::string>(), line);
+      store(line.fields["fingerprint"].get<std::string>(), line);
     }
     if (line.fields.contains("under") && line.fields["under"].is_array()) {
       for (const auto& fingerprint : line.fields["under"]) {
         if (fingerprint.is_string()) {
-          keep(fingerprint.get<std::string>(), line);
+          store(fingerprint.get<std::string>(), line);
         }
       }
     }
@@ -94,10 +94,10 @@
   }
 
  private:
-  void keep(const std::string& fingerprint, const LogLine& line) {
+  void store(const std::string& fingerprint, const LogLine& line) {
     auto& recent = lines_[fingerprint];
     recent.push_back(line);
-    if (recent.size() > kEnds) {
+    if (recent.size() > kMaxCrashLines) {
       recent.pop_front();
     }
   }
@@ -147,8 +147,8 @@
 }  // namespace
 
 bool explainRequest(const std::string& id, std::istream& lines, std::ostream& out) {
-  std::map<std::string, std::deque<LogLine>> beliefs;
-  EndedLeafs endedLeafs;
+  std::map<std::string, std::deque<LogLine>> stateLines;
+  CrashedLeafs crashedLeafs;
   CallerRefusals callerRefusals;
   std::string shownProcess;
   std::string fingerprint;
@@ -164,10 +164,10 @@
       continue;
     }
     if (!line.fields.contains("id")) {
-      endedLeafs.add(line);
-      auto& recent = beliefs[line.process];
+      crashedLeafs.add(line);
+      auto& recent = stateLines[line.process];
       recent.push_back(line);
-      if (recent.size() > kBeliefs) {
+      if (recent.size() > kMaxStateLines) {
         recent.pop_front();
       }
       continue;
@@ -178,8 +178,8 @@
     if (!found || shownProcess != line.process) {
       shownProcess = line.process;
       out << "at " << (line.process.empty() ? "the gateway" : line.process) << ", which by then had told:\n";
-      for (const LogLine& belief : beliefs[line.process]) {
-        print(belief, "    ", out);
+      for (const LogLine& stateLine : stateLines[line.process]) {
+        print(stateLine, "    ", out);
       }
       out << "request " << id << ":\n";
     }
@@ -190,7 +190,7 @@
     print(line, "  ", out);
     callerRefusals.print(line, out);
   }
-  endedLeafs.print(fingerprint, out);
+  crashedLeafs.print(fingerprint, out);
   return found;
 }
 
--- a/src/programs/control/main.cpp
+++ b/src/programs/control/main.cpp
@@ -17,7 +17,7 @@
 int showCauses(const std::vector<std::string>& logs, bool bySecond, bool json) {
   oakpier::LossReport report;
   if (logs.empty()) {
-    oakpier::addLosses(std::cin, report);
+    oakpier::readLosses(std::cin, report);
   }
   for (const std::string& log : logs) {
     std::ifstream lines(log);
@@ -25,7 +25,7 @@
       std::cerr << "cannot read " << log << "\n";
       return oakpier::kExitFailure;
     }
-    oakpier::addLosses(lines, report);
+    oakpier::readLosses(lines, report);
   }
   if (report.routes.empty()) {
     std::cerr << "no request lines found; are these logs of oakpier-gateway?\n";
@@ -104,7 +104,7 @@
     std::cerr << "--daemon is required\n";
     return oakpier::kExitUsage;
   }
-  const oakpier::ControlOptions options{oakpier::endpointOf(daemon), output == "json"};
+  const oakpier::ControlOptions options{oakpier::parsedEndpoint(daemon), output == "json"};
   if (get->parsed()) {
     return oakpier::showConfiguration(options);
   }
--- a/src/programs/daemon/daemon_settings.cpp
+++ b/src/programs/daemon/daemon_settings.cpp
@@ -105,14 +105,14 @@
 
 DaemonSettings convert(const RawSettings& raw) {
   DaemonSettings settings;
-  settings.callerAddress = endpointOf(raw.callerAddress);
-  settings.operatorAddress = endpointOf(raw.operatorAddress);
-  settings.peerAddress = endpointOf(raw.peerAddress);
+  settings.callerAddress = parsedEndpoint(raw.callerAddress);
+  settings.operatorAddress = parsedEndpoint(raw.operatorAddress);
+  settings.peerAddress = parsedEndpoint(raw.peerAddress);
   settings.zone = raw.zone;
   for (const auto& peer : raw.peers) {
-    settings.peers.push_back(endpointOf(peer));
+    settings.peers.push_back(parsedEndpoint(peer));
   }
-  settings.platform = endpointOf(raw.platform);
+  settings.platform = parsedEndpoint(raw.platform);
   settings.platformPeriod = fromMilliseconds(raw.platformPeriodMs);
   settings.maxQueries = raw.maxQueries;
   settings.ownerThreads = raw.ownerThreads;
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -11,7 +11,7 @@
 #include <thread>
 
 #include "coordination/serving/fleet_settling.h"
-#include "programs/common/held_signals.h"
+#include "programs/common/blocked_signals.h"
 #include "programs/common/logging.h"
 #include "programs/gateway/request_gateway.h"
 #include "programs/gateway/source_loop.h"
@@ -161,7 +161,7 @@
     requests_.setOnStateWanted(
         [this] { boost::asio::post(controlContext_, [this] { source_.onStateWanted(); }); });
     awaitSignal();
-    deliverSignals();
+    unblockSignals();
     scheduleReload();
     scheduleSettled();
     const auto keepRunning = boost::asio::make_work_guard(controlContext_);
--- a/tests/platform_model/deployment.cpp
+++ b/tests/platform_model/deployment.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr unsigned kSingleConnections = 110;
+constexpr unsigned kSingleServiceConnections = 110;
 
 nlohmann::json routeOf(const Deployment& deployment, const RequestClass& requestClass) {
   nlohmann::json route = {{"name", requestClass.name},
@@ -16,7 +16,7 @@
                           {"path_prefix", pathOf(requestClass)},
                           {"route_type", requestClass.repeatable ? "idempotent" : "non_idempotent"},
                           {"timeout_ms", toMilliseconds(requestClass.deadline)},
-                          {"target_latency_ms", toMilliseconds(requestClass.target)},
+                          {"target_latency_ms", toMilliseconds(requestClass.targetLatency)},
                           {"priority", requestClass.rank},
                           {"attempts", 2}};
   if (!requestClass.gather) {
@@ -88,8 +88,9 @@
                         {"health_check_path", "/health"},
                         {"max_connections", deployment.shardConnections}});
   }
-  services.push_back(
-      {{"name", kSingleService}, {"health_check_path", "/health"}, {"max_connections", kSingleConnections}});
+  services.push_back({{"name", kSingleService},
+                      {"health_check_path", "/health"},
+                      {"max_connections", kSingleServiceConnections}});
   const nlohmann::json body = {{"version", version},
                                {"routes", routes},
                                {"services", services},
--- a/tests/platform_model/deployment.h
+++ b/tests/platform_model/deployment.h
@@ -14,7 +14,7 @@
   std::string name;
   bool gather = true;
   bool repeatable = true;
-  Duration target{};
+  Duration targetLatency{};
   Duration deadline{};
   std::size_t topRecords = 0;
   double minimumShare = 1.0;
--- a/tests/platform_model/fault_schedule.cpp
+++ b/tests/platform_model/fault_schedule.cpp
@@ -12,29 +12,29 @@
 /// Mean time between faults. Most last longer, so that they overlap.
 constexpr double kMeanGapSeconds = 0.35;
 /// Probability that a fault follows shortly after the previous one, on the same target.
-constexpr double kSeriesShare = 0.2;
-constexpr Duration kShortest = std::chrono::milliseconds(200);
-constexpr Duration kLongest = std::chrono::milliseconds(2500);
+constexpr double kSeriesProbability = 0.2;
+constexpr Duration kMinDuration = std::chrono::milliseconds(200);
+constexpr Duration kMaxDuration = std::chrono::milliseconds(2500);
 /// Time without new faults at the end, so that recovery can be checked: the grace period of a stop, and the
 /// time in which a restarted daemon receives the state of its peers.
-constexpr Duration kCalmAtEnd = std::chrono::seconds(9);
-constexpr std::size_t kMostTargets = 1000;
+constexpr Duration kRecoveryTime = std::chrono::seconds(9);
+constexpr std::size_t kMaxTargets = 1000;
 
-Duration drawBetween(Duration shortest, Duration longest, RandomEngine& random) {
-  std::uniform_int_distribution<std::int64_t> draw(shortest.count(), longest.count());
+Duration drawBetween(Duration minimum, Duration maximum, RandomEngine& random) {
+  std::uniform_int_distribution<std::int64_t> draw(minimum.count(), maximum.count());
   return Duration(draw(random));
 }
 
-Duration drawDuration(RandomEngine& random) { return drawBetween(kShortest, kLongest, random); }
+Duration drawDuration(RandomEngine& random) { return drawBetween(kMinDuration, kMaxDuration, random); }
 
 /// Mean time between restorations, and the maximum between two in quick succession.
-constexpr Duration kRestorationGap = std::chrono::seconds(4);
-constexpr Duration kQuickRestoration = std::chrono::milliseconds(900);
-constexpr double kQuickShare = 0.3;
-constexpr Duration kOldestCopy = std::chrono::seconds(9);
+constexpr Duration kMeanRestorationGap = std::chrono::seconds(4);
+constexpr Duration kMaxQuickGap = std::chrono::milliseconds(900);
+constexpr double kQuickProbability = 0.3;
+constexpr Duration kMaxBackupAge = std::chrono::seconds(9);
 /// Writers have rewritten lost records, and daemons have received them, before the time without faults
 /// begins.
-constexpr Duration kLastRestoration = std::chrono::seconds(3);
+constexpr Duration kRewriteTime = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -48,13 +48,13 @@
       return "pause gateway";
     case FaultKind::kReloadGateway:
       return "reload gateway";
-    case FaultKind::kEndLeaf:
+    case FaultKind::kCrashLeaf:
       return "end leaf";
-    case FaultKind::kSilenceLeaf:
+    case FaultKind::kHangLeaf:
       return "silence leaf";
     case FaultKind::kStoreDown:
       return "store down";
-    case FaultKind::kStoreForgets:
+    case FaultKind::kStoreCompactsHistory:
       return "store forgets";
     case FaultKind::kNewConfiguration:
       return "new configuration";
@@ -63,36 +63,36 @@
   }
 }
 
-std::vector<Fault> drawFaults(Duration length, std::uint64_t seed) {
+std::vector<Fault> generateFaults(Duration length, std::uint64_t seed) {
   RandomEngine random(seed);
   std::exponential_distribution<double> gap(1.0 / kMeanGapSeconds);
   std::vector<Fault> faults;
   Duration at{};
   while (true) {
     Fault fault;
-    const bool inSeries = !faults.empty() && std::bernoulli_distribution(kSeriesShare)(random);
-    at += inSeries ? kShortest : Duration(static_cast<std::int64_t>(gap(random) * 1e6));
-    if (at >= length - kCalmAtEnd) {
+    const bool inSeries = !faults.empty() && std::bernoulli_distribution(kSeriesProbability)(random);
+    at += inSeries ? kMinDuration : Duration(static_cast<std::int64_t>(gap(random) * 1e6));
+    if (at >= length - kRecoveryTime) {
       return faults;
     }
     fault.at = at;
     fault.kind = static_cast<FaultKind>(drawBelow(static_cast<std::size_t>(FaultKind::kCount), random));
-    fault.target = inSeries ? faults.back().target : drawBelow(kMostTargets, random);
+    fault.target = inSeries ? faults.back().target : drawBelow(kMaxTargets, random);
     fault.duration = drawDuration(random);
     faults.push_back(fault);
   }
 }
 
-std::vector<Restoration> drawRestorations(Duration length, std::uint64_t seed) {
+std::vector<Restoration> generateRestorations(Duration length, std::uint64_t seed) {
   RandomEngine random(~seed);
   std::vector<Restoration> restorations;
-  Duration at = drawBetween(kShortest, kRestorationGap, random);
-  while (at < length - kCalmAtEnd - kLastRestoration) {
-    restorations.push_back(
-        {at, drawBetween(Duration(0), kLongest, random), drawBetween(kShortest, kOldestCopy, random)});
-    const bool quick = std::bernoulli_distribution(kQuickShare)(random);
+  Duration at = drawBetween(kMinDuration, kMeanRestorationGap, random);
+  while (at < length - kRecoveryTime - kRewriteTime) {
+    restorations.push_back({at, drawBetween(Duration(0), kMaxDuration, random),
+                            drawBetween(kMinDuration, kMaxBackupAge, random)});
+    const bool quick = std::bernoulli_distribution(kQuickProbability)(random);
     at += restorations.back().down +
-          drawBetween(kShortest, quick ? kQuickRestoration : 2 * kRestorationGap, random);
+          drawBetween(kMinDuration, quick ? kMaxQuickGap : 2 * kMeanRestorationGap, random);
   }
   return restorations;
 }
@@ -101,7 +101,7 @@
   for (const Restoration& restoration : restorations) {
     out << "  " << std::fixed << std::setprecision(3) << std::chrono::duration<double>(restoration.at).count()
         << " s  store unavailable for " << std::chrono::duration<double>(restoration.down).count()
-        << " s and restored from a backup " << std::chrono::duration<double>(restoration.age).count()
+        << " s and restored from a backup " << std::chrono::duration<double>(restoration.backupAge).count()
         << " s old\n";
   }
 }
--- a/tests/platform_model/fault_schedule.h
+++ b/tests/platform_model/fault_schedule.h
@@ -20,17 +20,17 @@
   /// SIGHUP with unchanged settings.
   kReloadGateway,
   /// The leaf's process crashes and restarts as a new instance.
-  kEndLeaf,
+  kCrashLeaf,
   /// The leaf stops answering and keeps its connections; it restarts as a new instance after the duration.
-  kSilenceLeaf,
+  kHangLeaf,
   /// The store answers 503 for the duration.
   kStoreDown,
   /// The store compacts its history: changes so far can no longer be watched.
-  kStoreForgets,
+  kStoreCompactsHistory,
   /// The operator writes a new version of the configuration.
   kNewConfiguration,
   /// A client sends a request that crashes each leaf that runs it, either a repeated or a new one.
-  kEndingRequest,
+  kCrashingRequest,
   /// The number of kinds.
   kCount,
 };
@@ -47,7 +47,7 @@
 };
 
 /// Ordered by time; faults come in series and may overlap. None begins in the last seconds of the run.
-std::vector<Fault> drawFaults(Duration length, std::uint64_t seed);
+std::vector<Fault> generateFaults(Duration length, std::uint64_t seed);
 
 /// The store becomes unavailable and is restored from a backup.
 struct Restoration {
@@ -56,12 +56,12 @@
   /// Time until it is restored.
   Duration down{};
   /// Age of the backup.
-  Duration age{};
+  Duration backupAge{};
 };
 
 /// Ordered by time, some in quick succession. Drawn from another random engine than the faults, so that a
 /// seed's faults are the same with and without them. None begins in the last seconds of the run.
-std::vector<Restoration> drawRestorations(Duration length, std::uint64_t seed);
+std::vector<Restoration> generateRestorations(Duration length, std::uint64_t seed);
 
 void printFaults(const std::vector<Fault>& faults, std::ostream& out);
 void printRestorations(const std::vector<Restoration>& restorations, std::ostream& out);
--- a/tests/platform_model/leaf_standin.cpp
+++ b/tests/platform_model/leaf_standin.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kQueue = 12;
+constexpr std::size_t kMaxQueuedRequests = 12;
 
 const HeaderNames& names() {
   static const HeaderNames kNames = platform::headerNames();
@@ -42,103 +42,99 @@
       observations_(observations),
       random_(seed),
       service_(std::make_unique<HttpService>(context, *this)),
-      bornAt_(millisecondsSince1970()),
-      firstId_(settings.id),
+      processStartedAt_(millisecondsSince1970()),
+      baseId_(settings.id),
       restartTimer_(context),
-      silenceTimer_(context) {}
+      hangTimer_(context) {}
 
 std::string LeafStandin::listen() { return service_->listen(settings_.address); }
 
-void LeafStandin::setLifeListeners(LifeListener onEnded, LifeListener onBack) {
-  onEnded_ = std::move(onEnded);
-  onBack_ = std::move(onBack);
+void LeafStandin::setLifecycleListeners(LifecycleListener onTerminated, LifecycleListener onRestarted) {
+  onTerminated_ = std::move(onTerminated);
+  onRestarted_ = std::move(onRestarted);
 }
 
 std::string LeafStandin::entry() const {
-  const nlohmann::json body = {{"service", settings_.service},
-                               {"address", settings_.address.text()},
-                               {"zone", settings_.zone},
-                               {"version", "v1"},
-                               {"capacity", settings_.slots},
-                               {"state", draining_ ? "draining" : "ready"},
-                               {"warmup_left_ms", 0},
-                               {"sequence", 1},
-                               {"born", bornAt_}};
+  const nlohmann::json body = {{"service", settings_.service}, {"address", settings_.address.text()},
+                               {"zone", settings_.zone},       {"version", "v1"},
+                               {"capacity", settings_.slots},  {"state", draining_ ? "draining" : "ready"},
+                               {"warmup_left_ms", 0},          {"sequence", 1},
+                               {"born", processStartedAt_}};
   return body.dump();
 }
 
-void LeafStandin::crash() {
-  crashed_ = true;
+void LeafStandin::stopForGood() {
+  unresponsive_ = true;
   service_->startClosing();
   service_->stopAccepting();
 }
 
-void LeafStandin::end() {
-  if (!away_) {
-    endProcess(settings_.restartAfter);
+void LeafStandin::crashAndRestart() {
+  if (!unavailable_) {
+    terminate(settings_.restartAfter);
   }
 }
 
-void LeafStandin::fallSilent(Duration duration) {
-  if (away_) {
+void LeafStandin::hang(Duration duration) {
+  if (unavailable_) {
     return;
   }
-  away_ = true;
-  crashed_ = true;
-  ++life_;
-  silenceTimer_.expires_after(duration);
-  silenceTimer_.async_wait([this](const boost::system::error_code& error) {
+  unavailable_ = true;
+  unresponsive_ = true;
+  ++incarnation_;
+  hangTimer_.expires_after(duration);
+  hangTimer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
-      endProcess(Duration(0));
+      terminate(Duration(0));
     }
   });
 }
 
-void LeafStandin::endProcess(Duration restartAfter) {
-  away_ = true;
-  const std::string endedId = settings_.id;
+void LeafStandin::terminate(Duration restartAfter) {
+  unavailable_ = true;
+  const std::string previousId = settings_.id;
   service_.reset();
   queue_.clear();
   running_ = 0;
-  ++life_;
-  if (!settings_.keepsId) {
-    settings_.id = firstId_ + "-incarnation-" + std::to_string(life_);
+  ++incarnation_;
+  if (!settings_.keepsIdOnRestart) {
+    settings_.id = baseId_ + "-incarnation-" + std::to_string(incarnation_);
   }
-  onEnded_(endedId);
+  onTerminated_(previousId);
   restartTimer_.expires_after(restartAfter);
-  restartTimer_.async_wait([this, endedId](const boost::system::error_code& error) {
+  restartTimer_.async_wait([this, previousId](const boost::system::error_code& error) {
     if (!error) {
-      restart(endedId);
+      restart(previousId);
     }
   });
 }
 
-void LeafStandin::restart(const std::string& endedId) {
-  away_ = false;
-  crashed_ = false;
-  bornAt_ = millisecondsSince1970();
+void LeafStandin::restart(const std::string& previousId) {
+  unavailable_ = false;
+  unresponsive_ = false;
+  processStartedAt_ = millisecondsSince1970();
   service_ = std::make_unique<HttpService>(context_, *this);
   const std::string problem = listen();
   if (!problem.empty()) {
     observations_.addViolation("a leaf could not restart: " + problem);
   }
-  onBack_(endedId);
+  onRestarted_(previousId);
 }
 
 std::function<void()> LeafStandin::onRequest(HttpRequest request, ResponseWriter writer) {
   const std::string id = textOf(request, names().requestId);
-  const bool ending = request.target.find(kEndingMark) != std::string::npos;
-  if (ending) {
-    observations_.onEndingSend(request.target, id, steadyNow());
+  const bool crashing = request.target.find(kCrashingPathMark) != std::string::npos;
+  if (crashing) {
+    observations_.onCrashingSend(request.target, id, steadyNow());
   }
-  if (crashed_) {
+  if (unresponsive_) {
     return nullptr;
   }
   if (textOf(request, names().expectedInstance) != settings_.id) {
     writer.write(withId(ownReply(421, "another leaf"), id));
     return nullptr;
   }
-  if (queue_.size() >= kQueue) {
+  if (queue_.size() >= kMaxQueuedRequests) {
     HttpReply full = withId(ownReply(503, "full"), id);
     full.headers.push_back({names().notExecuted, "1"});
     writer.write(full);
@@ -150,14 +146,14 @@
   return [work] { work->cancelled = true; };
 }
 
-Duration LeafStandin::drawWork() {
-  const double mean = static_cast<double>(settings_.meanWork.count());
+Duration LeafStandin::drawServiceTime() {
+  const double mean = static_cast<double>(settings_.meanServiceTime.count());
   const double drawn = std::normal_distribution<double>(mean, mean * 0.3)(random_);
-  auto work = Duration(static_cast<std::int64_t>(std::clamp(drawn, mean * 0.2, mean * 3.0)));
-  if (std::bernoulli_distribution(settings_.pauseShare)(random_)) {
-    work += settings_.pause;
+  auto serviceTime = Duration(static_cast<std::int64_t>(std::clamp(drawn, mean * 0.2, mean * 3.0)));
+  if (std::bernoulli_distribution(settings_.pauseProbability)(random_)) {
+    serviceTime += settings_.pause;
   }
-  return work;
+  return serviceTime;
 }
 
 void LeafStandin::startNext() {
@@ -169,9 +165,9 @@
     }
     ++running_;
     observations_.onArrival(textOf(work->request, names().requestId), settings_.id, draining_, steadyNow());
-    work->timer.expires_after(drawWork());
-    work->timer.async_wait([this, work, life = life_](const boost::system::error_code&) {
-      if (life == life_) {
+    work->timer.expires_after(drawServiceTime());
+    work->timer.async_wait([this, work, incarnation = incarnation_](const boost::system::error_code&) {
+      if (incarnation == incarnation_) {
         finish(work);
       }
     });
@@ -179,9 +175,9 @@
 }
 
 void LeafStandin::finish(const std::shared_ptr<Work>& work) {
-  if (work->request.target.find(kEndingMark) != std::string::npos) {
-    observations_.onEndedUnder(work->request.target, steadyNow());
-    end();
+  if (work->request.target.find(kCrashingPathMark) != std::string::npos) {
+    observations_.onLeafCrash(work->request.target, steadyNow());
+    crashAndRestart();
     return;
   }
   --running_;
--- a/tests/platform_model/leaf_standin.h
+++ b/tests/platform_model/leaf_standin.h
@@ -21,19 +21,19 @@
   std::string zone;
   Endpoint address;
   unsigned slots = 2;
-  Duration meanWork = std::chrono::milliseconds(5);
+  Duration meanServiceTime = std::chrono::milliseconds(5);
   std::size_t bodyBytes = 200;
   /// Fraction of requests whose answer is delayed by `pause`.
-  double pauseShare = 0.01;
+  double pauseProbability = 0.01;
   Duration pause = std::chrono::milliseconds(60);
   /// Time until the leaf restarts after a crash.
   Duration restartAfter = std::chrono::milliseconds(500);
   /// Restarts under the same id instead of a new one.
-  bool keepsId = false;
+  bool keepsIdOnRestart = false;
 };
 
 /// A request whose path contains this crashes each leaf that runs it.
-inline const char* const kEndingMark = "ends-leafs";
+inline const char* const kCrashingPathMark = "ends-leafs";
 
 class LeafStandin : public RequestHandler {
  public:
@@ -46,14 +46,14 @@
   std::string entry() const;
   void drain() { draining_ = true; }
   /// Stops answering and accepting connections; does not restart.
-  void crash();
+  void stopForGood();
   /// Crashes, and restarts later as a new instance. No effect while the leaf is down.
-  void end();
+  void crashAndRestart();
   /// Stops answering but keeps its connections; restarts as a new instance after `duration`.
-  void fallSilent(Duration duration);
+  void hang(Duration duration);
   /// Called when the process has terminated and when it has restarted, both with the id from before.
-  using LifeListener = std::function<void(const std::string& endedId)>;
-  void setLifeListeners(LifeListener onEnded, LifeListener onBack);
+  using LifecycleListener = std::function<void(const std::string& previousId)>;
+  void setLifecycleListeners(LifecycleListener onTerminated, LifecycleListener onRestarted);
 
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override;
 
@@ -69,10 +69,10 @@
 
   void startNext();
   /// Closes all connections and the listener, drops queued requests, and schedules the restart.
-  void endProcess(Duration restartAfter);
-  void restart(const std::string& endedId);
+  void terminate(Duration restartAfter);
+  void restart(const std::string& previousId);
   void finish(const std::shared_ptr<Work>& work);
-  Duration drawWork();
+  Duration drawServiceTime();
 
   boost::asio::io_context& context_;
   LeafSettings settings_;
@@ -83,18 +83,18 @@
   unsigned running_ = 0;
   std::uint64_t answers_ = 0;
   /// Incremented when the process terminates or hangs, so that its pending work is ignored.
-  unsigned life_ = 1;
+  unsigned incarnation_ = 1;
   /// When the process started, in milliseconds since 1970.
-  std::uint64_t bornAt_;
-  std::string firstId_;
+  std::uint64_t processStartedAt_;
+  std::string baseId_;
   boost::asio::steady_timer restartTimer_;
-  LifeListener onEnded_;
-  LifeListener onBack_;
+  LifecycleListener onTerminated_;
+  LifecycleListener onRestarted_;
   bool draining_ = false;
-  bool crashed_ = false;
+  bool unresponsive_ = false;
   /// Terminated or hanging, and not restarted yet.
-  bool away_ = false;
-  boost::asio::steady_timer silenceTimer_;
+  bool unavailable_ = false;
+  boost::asio::steady_timer hangTimer_;
 };
 
 }  // namespace oakpier::serving::model
--- a/tests/platform_model/main.cpp
+++ b/tests/platform_model/main.cpp
@@ -28,21 +28,21 @@
   app.add_option("--folder", settings.folder, "directory for settings files and logs");
   app.add_option("--seconds", seconds, "duration of the traffic")->check(CLI::Range(1.0, 600.0));
   app.add_option("--seed", settings.seed, "random seed of arrivals, service times, answers and faults");
-  app.add_flag("!--calm", settings.troubles, "without the fixed sequence of disturbances");
-  app.add_flag("--ending-requests", settings.endingRequests,
+  app.add_flag("!--calm", settings.disturbances, "without the fixed sequence of disturbances");
+  app.add_flag("--ending-requests", settings.crashingRequests,
                "send requests repeatedly that crash each leaf that runs them");
   app.add_flag("--faults", settings.faults, "random faults drawn from the seed; the schedule is printed");
   app.add_flag("--restorations", settings.restorations, "with --faults: restore the store from backups");
   app.add_flag("--stalled-output", settings.stalledOutput, "leave the gateways' output unread");
   app.add_flag(
-      "--few-connections", settings.expectOwners,
+      "--few-connections", settings.expectDelegation,
       "limit leafs to fewer connections than there are gateways, so that shards are delegated to owners");
   app.add_flag("--hold", hold, "start, print addresses and serve without generated traffic until stopped");
   CLI11_PARSE(app, argumentCount, arguments);
   settings.length = oakpier::Duration(static_cast<std::int64_t>(seconds * 1e6));
   auto deployment =
       name == "tavua" ? oakpier::serving::model::tavua() : oakpier::serving::model::fundPrices();
-  if (settings.expectOwners) {
+  if (settings.expectDelegation) {
     deployment.shardConnections = kFewConnections;
   }
   oakpier::serving::model::PlatformDay day(deployment, settings);
@@ -53,18 +53,18 @@
   }
   day.printAddresses(std::cout);
   if (hold) {
-    day.hold();
+    day.serveForever();
     return EXIT_SUCCESS;
   }
   if (settings.faults) {
-    oakpier::serving::model::printFaults(oakpier::serving::model::drawFaults(settings.length, settings.seed),
-                                         std::cout);
+    oakpier::serving::model::printFaults(
+        oakpier::serving::model::generateFaults(settings.length, settings.seed), std::cout);
   }
   if (settings.faults && settings.restorations) {
     oakpier::serving::model::printRestorations(
-        oakpier::serving::model::drawRestorations(settings.length, settings.seed), std::cout);
+        oakpier::serving::model::generateRestorations(settings.length, settings.seed), std::cout);
   }
-  day.play();
+  day.run();
   day.report(std::cout);
   return day.passed() ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tests/platform_model/observations.cpp
+++ b/tests/platform_model/observations.cpp
@@ -9,12 +9,12 @@
 
 /// A draining leaf receives no requests after this time.
 constexpr Duration kDrainBound = std::chrono::seconds(3);
-constexpr std::size_t kRecord = 16;
+constexpr std::size_t kRecordBytes = 16;
 /// After this time all gateways know of a third crash.
-constexpr Duration kKnownAfter = std::chrono::seconds(1);
+constexpr Duration kPropagationTime = std::chrono::seconds(1);
 /// Later sends that are allowed, as trials.
-constexpr std::size_t kMostLaterSends = 3;
-constexpr std::size_t kEndingsThatCount = 3;
+constexpr std::size_t kMaxLateSends = 3;
+constexpr std::size_t kCrashesBeforeQuarantine = 3;
 
 std::vector<std::string> splitAtCommas(const std::string& text) {
   std::vector<std::string> parts;
@@ -32,67 +32,68 @@
 std::string sortedRecords(const std::vector<std::string>& bodies, std::size_t count) {
   std::vector<std::string> records;
   for (const std::string& body : bodies) {
-    for (std::size_t begin = 0; begin + kRecord <= body.size(); begin += kRecord) {
-      records.push_back(body.substr(begin, kRecord));
+    for (std::size_t begin = 0; begin + kRecordBytes <= body.size(); begin += kRecordBytes) {
+      records.push_back(body.substr(begin, kRecordBytes));
     }
   }
   std::sort(records.begin(), records.end(), std::greater<>());
   std::string all;
-  for (std::size_t place = 0; place < std::min(count, records.size()); ++place) {
-    all += records[place];
+  for (std::size_t index = 0; index < std::min(count, records.size()); ++index) {
+    all += records[index];
   }
   return all;
 }
 
 }  // namespace
 
-void Observations::onArrival(const std::string& requestId, const std::string& leaf, bool leaving,
+void Observations::onArrival(const std::string& requestId, const std::string& leaf, bool isDraining,
                              Moment now) {
   ++arrivals_;
   ++runs_[requestId];
   const auto draining = drainingSince_.find(leaf);
-  if (leaving && draining != drainingSince_.end() && now - draining->second > kDrainBound) {
+  if (isDraining && draining != drainingSince_.end() && now - draining->second > kDrainBound) {
     std::string text = "request ";
     text.append(requestId).append(" reached leaf ").append(leaf).append(" too long after it began draining");
     violations_.push_back(text);
   }
 }
 
-void Observations::checkBrokenOff(const std::string& requestId) {
+void Observations::checkAborted(const std::string& requestId) {
   if (runs_.count(requestId) != 0) {
     violations_.push_back("request " + requestId +
                           " ran at a leaf and its connection was closed without an answer");
   }
 }
 
-void Observations::onEndingSend(const std::string& target, const std::string& requestId, Moment now) {
-  EndingRequest& request = endingRequests_[target];
-  if (outOfTouch_.count(requestId) == 0 && request.thirdAt != kNever && now - request.thirdAt > kKnownAfter) {
-    ++request.sentLater;
+void Observations::onCrashingSend(const std::string& target, const std::string& requestId, Moment now) {
+  CrashingRequest& request = crashingRequests_[target];
+  if (laggingRequests_.count(requestId) == 0 && request.thirdCrashAt != kNever &&
+      now - request.thirdCrashAt > kPropagationTime) {
+    ++request.lateSends;
   }
 }
 
-void Observations::onEndedUnder(const std::string& target, Moment now) {
-  EndingRequest& request = endingRequests_[target];
-  if (++request.ended == kEndingsThatCount) {
-    request.thirdAt = now;
+void Observations::onLeafCrash(const std::string& target, Moment now) {
+  CrashingRequest& request = crashingRequests_[target];
+  if (++request.crashes == kCrashesBeforeQuarantine) {
+    request.thirdCrashAt = now;
   }
 }
 
-std::size_t Observations::leafsEnded() const {
-  std::size_t ended = 0;
-  for (const auto& [target, request] : endingRequests_) {
-    ended += request.ended;
+std::size_t Observations::leafsCrashed() const {
+  std::size_t crashes = 0;
+  for (const auto& [target, request] : crashingRequests_) {
+    crashes += request.crashes;
   }
-  return ended;
+  return crashes;
 }
 
-void Observations::checkEndingRequests() {
-  for (const auto& [target, request] : endingRequests_) {
-    if (request.sentLater > kMostLaterSends) {
+void Observations::checkCrashingRequests() {
+  for (const auto& [target, request] : crashingRequests_) {
+    if (request.lateSends > kMaxLateSends) {
       violations_.push_back("a request that had crashed leafs was sent to leafs " +
-                            std::to_string(request.sentLater) + " more times; " +
-                            std::to_string(request.ended) + " crashes in total");
+                            std::to_string(request.lateSends) + " more times; " +
+                            std::to_string(request.crashes) + " crashes in total");
     }
   }
 }
@@ -127,19 +128,20 @@
 void Observations::checkForwarded(const std::string& requestId, const std::string& signature,
                                   const std::string& body) {
   const auto part = signed_.find(signature);
-  const bool own = part != signed_.end() && part->second.requestId == requestId && part->second.body == body;
-  if (!own) {
+  const bool matches =
+      part != signed_.end() && part->second.requestId == requestId && part->second.body == body;
+  if (!matches) {
     violations_.push_back("answer to " + requestId + " is not the answer that a leaf gave to it");
   }
 }
 
-void Observations::checkRefusedOnce(const std::string& requestId) {
+void Observations::checkRefusedNotExecuted(const std::string& requestId) {
   if (runs_.count(requestId) != 0) {
     violations_.push_back("request " + requestId + " was refused as not executed but ran at a leaf");
   }
 }
 
-void Observations::checkOnce(const std::set<std::string>& requestIds) {
+void Observations::checkExecutedAtMostOnce(const std::set<std::string>& requestIds) {
   for (const std::string& id : requestIds) {
     const auto runs = runs_.find(id);
     if (runs != runs_.end() && runs->second > 1) {
--- a/tests/platform_model/observations.h
+++ b/tests/platform_model/observations.h
@@ -20,16 +20,16 @@
 
 class Observations {
  public:
-  void onArrival(const std::string& requestId, const std::string& leaf, bool leaving, Moment now);
+  void onArrival(const std::string& requestId, const std::string& leaf, bool isDraining, Moment now);
   void onSigned(const std::string& signature, SignedPart part) { signed_[signature] = std::move(part); }
   /// A crashing request has reached a leaf, whether the leaf runs it or not.
-  void onEndingSend(const std::string& target, const std::string& requestId, Moment now);
+  void onCrashingSend(const std::string& target, const std::string& requestId, Moment now);
   /// The request goes to a gateway that a fault has hit recently and that may lack its peers' state.
-  void onAskedOutOfTouch(const std::string& requestId) { outOfTouch_.insert(requestId); }
+  void onSentToLaggingGateway(const std::string& requestId) { laggingRequests_.insert(requestId); }
   /// A request got no answer although no fault has hit its gateway.
-  void checkBrokenOff(const std::string& requestId);
+  void checkAborted(const std::string& requestId);
   /// A leaf has crashed while it ran the request.
-  void onEndedUnder(const std::string& target, Moment now);
+  void onLeafCrash(const std::string& target, Moment now);
   void onDraining(const std::string& leaf, Moment now) { drainingSince_[leaf] = now; }
 
   /// For a successful answer merged from all `shards`.
@@ -38,30 +38,30 @@
   /// For a successful answer of a single leaf.
   void checkForwarded(const std::string& requestId, const std::string& signature, const std::string& body);
   /// For a refused request that must run at most once.
-  void checkRefusedOnce(const std::string& requestId);
+  void checkRefusedNotExecuted(const std::string& requestId);
   /// At the end of the run: these requests ran at most once.
-  void checkOnce(const std::set<std::string>& requestIds);
+  void checkExecutedAtMostOnce(const std::set<std::string>& requestIds);
 
   /// Reports another violation.
   void addViolation(const std::string& text) { violations_.push_back(text); }
   const std::vector<std::string>& violations() const { return violations_; }
   std::size_t arrivals() const { return arrivals_; }
   /// Number of leaf crashes caused by requests.
-  std::size_t leafsEnded() const;
+  std::size_t leafsCrashed() const;
   /// At the end of the run: crashing requests reached only few leafs after all gateways must have known them.
-  void checkEndingRequests();
+  void checkCrashingRequests();
 
  private:
   /// Crashes caused by one request, identified by its target.
-  struct EndingRequest {
-    std::size_t ended = 0;
+  struct CrashingRequest {
+    std::size_t crashes = 0;
     /// When it caused its third crash.
-    Moment thirdAt = kNever;
-    std::size_t sentLater = 0;
+    Moment thirdCrashAt = kNever;
+    std::size_t lateSends = 0;
   };
 
-  std::map<std::string, EndingRequest> endingRequests_;
-  std::set<std::string> outOfTouch_;
+  std::map<std::string, CrashingRequest> crashingRequests_;
+  std::set<std::string> laggingRequests_;
   std::map<std::string, SignedPart> signed_;
   std::map<std::string, std::size_t> runs_;
   std::map<std::string, Moment> drainingSince_;
--- a/tests/platform_model/platform_day.cpp
+++ b/tests/platform_model/platform_day.cpp
@@ -19,24 +19,24 @@
 
 namespace {
 
-constexpr Duration kReadyBound = std::chrono::seconds(30);
-constexpr Duration kClientPatience = std::chrono::seconds(12);
+constexpr Duration kReadyTimeout = std::chrono::seconds(30);
+constexpr Duration kClientTimeout = std::chrono::seconds(12);
 constexpr std::size_t kSeeds = 3;
 /// A gateway that no fault has hit for this long has the state of its peers.
-constexpr Duration kContact = std::chrono::seconds(4);
+constexpr Duration kCatchUpTime = std::chrono::seconds(4);
 /// Writers rewrite the records that a restored store has lost within this time.
-constexpr Duration kWrittenAgain = std::chrono::seconds(2);
-constexpr Duration kEndedCheck = std::chrono::milliseconds(50);
+constexpr Duration kRewriteWindow = std::chrono::seconds(2);
+constexpr Duration kExitPollInterval = std::chrono::milliseconds(50);
 /// End of a run with faults, after recovery, in which service is checked.
-constexpr Duration kCalmJudged = std::chrono::seconds(2);
+constexpr Duration kServiceCheckTime = std::chrono::seconds(2);
 /// Minimum fraction of requests answered in that time.
-constexpr double kServedInCalm = 0.9;
+constexpr double kMinAnsweredFraction = 0.9;
 /// Number of different crashing requests for each class.
-constexpr std::size_t kEndingTargets = 4;
+constexpr std::size_t kCrashingTargets = 4;
 /// Interval of repeated crashing requests; longer than a leaf's restart time.
-constexpr Duration kAskAgain = std::chrono::milliseconds(900);
+constexpr Duration kCrashingRequestInterval = std::chrono::milliseconds(900);
 /// Status of requests refused because they crash leafs.
-constexpr unsigned kRejected = 500;
+constexpr unsigned kCrashingRequestStatus = 500;
 /// Gateways use 127.0.1.1, 127.0.1.2 and so on with the same ports, as on separate machines.
 constexpr std::uint32_t kFirstGatewayIp = 0x7f000101;
 
@@ -45,20 +45,20 @@
   return value == nullptr ? "" : *value;
 }
 
-bool leftToOwners(const std::string& metrics) {
+bool anyPartDelegated(const std::string& metrics) {
   const std::string name = "\noakpier_gateway_parts_left_to_owners_total ";
-  const std::size_t place = metrics.find(name);
-  return place != std::string::npos && metrics[place + name.size()] != '0';
+  const std::size_t position = metrics.find(name);
+  return position != std::string::npos && metrics[position + name.size()] != '0';
 }
 
 /// The configuration version in the metrics; empty when they lack it.
 std::string versionInForce(const std::string& metrics) {
   const std::string name = "\noakpier_gateway_configuration_version ";
-  const std::size_t place = metrics.find(name);
-  if (place == std::string::npos) {
+  const std::size_t position = metrics.find(name);
+  if (position == std::string::npos) {
     return "";
   }
-  const std::size_t begin = place + name.size();
+  const std::size_t begin = position + name.size();
   return metrics.substr(begin, metrics.find_first_of(" \n", begin) - begin);
 }
 
@@ -67,8 +67,8 @@
 struct PlatformDay::Gateway {
   std::string name;
   std::string zone;
-  Endpoint callers;
-  Endpoint readiness;
+  Endpoint callerAddress;
+  Endpoint readinessAddress;
   std::string settingsFile;
   std::unique_ptr<Process> process;
   /// It was stopped or killed, or has exited, and is not restarted yet.
@@ -77,10 +77,10 @@
   /// The process has answered a request, so its signal handlers are installed.
   bool answered = false;
   /// When it was last stopped, killed, restarted or resumed.
-  Moment disturbedAt{};
+  Moment lastFaultAt{};
   /// When it was last killed or resumed: requests sent before may remain unanswered.
-  Moment harmedAt{};
-  std::vector<std::shared_ptr<Client>> idle;
+  Moment connectionsLostAt{};
+  std::vector<std::shared_ptr<Client>> idleClients;
 };
 
 struct PlatformDay::Client {
@@ -123,8 +123,8 @@
     auto gateway = std::make_unique<Gateway>();
     gateway->name = "gateway-" + std::to_string(number + 1);
     gateway->zone = deployment_.zones[number % deployment_.zones.size()];
-    gateway->callers = Endpoint(kFirstGatewayIp + number, ports[1]);
-    gateway->readiness = Endpoint(kFirstGatewayIp + number, ports[2]);
+    gateway->callerAddress = Endpoint(kFirstGatewayIp + number, ports[1]);
+    gateway->readinessAddress = Endpoint(kFirstGatewayIp + number, ports[2]);
     gateway->settingsFile = settings_.folder + "/" + gateway->name + ".json";
     nlohmann::json seeds = nlohmann::json::array();
     for (std::uint32_t seed = 0; seed < std::min<std::size_t>(kSeeds, deployment_.gateways); ++seed) {
@@ -133,8 +133,9 @@
     const nlohmann::json file = {
         {"node_name", gateway->name},
         {"zone", gateway->zone},
-        {"ip", gateway->callers.ip()},
-        {"bind_addresses", {{"http", gateway->callers.text()}, {"readiness", gateway->readiness.text()}}},
+        {"ip", gateway->callerAddress.ip()},
+        {"bind_addresses",
+         {{"http", gateway->callerAddress.text()}, {"readiness", gateway->readinessAddress.text()}}},
         {"internal_port_range", {ports[3], ports[3]}},
         {"seeds", seeds},
         {"bounds",
@@ -154,17 +155,17 @@
   leaf.zone = zone;
   leaf.address = Endpoint(INADDR_LOOPBACK, freePorts(1)[0]);
   // Every second leaf restarts under the same id, the others under a new one.
-  leaf.keepsId = leafs_.size() % 2 == 1;
+  leaf.keepsIdOnRestart = leafs_.size() % 2 == 1;
   leafs_.push_back(
       std::make_unique<LeafStandin>(context_, leaf, observations_, settings_.seed + leafs_.size()));
   LeafStandin& added = *leafs_.back();
-  added.setLifeListeners([](const std::string&) {},
-                         [this, &added](const std::string& endedId) {
-                           if (endedId != added.settings().id) {
-                             store_.remove("servers/" + endedId);
-                           }
-                           publish(added);
-                         });
+  added.setLifecycleListeners([](const std::string&) {},
+                              [this, &added](const std::string& previousId) {
+                                if (previousId != added.settings().id) {
+                                  store_.remove("servers/" + previousId);
+                                }
+                                publish(added);
+                              });
   if (added.listen().empty()) {
     publish(added);
   }
@@ -196,21 +197,21 @@
 }
 
 void PlatformDay::fetchMetrics() {
-  const auto client = std::make_shared<Client>(context_, gateways_.front()->readiness);
+  const auto client = std::make_shared<Client>(context_, gateways_.front()->readinessAddress);
   const HttpRequest request{"GET", "/metrics", {}, ""};
-  client->connection.call(request, kClientPatience, [this, client](const std::optional<HttpReply>& reply) {
-    const bool told = reply && reply->body.find("oakpier_gateway_requests_total") != std::string::npos;
-    metricsFetched_ += told ? 1 : 0;
-    ownersUsed_ = ownersUsed_ || (told && leftToOwners(reply->body));
+  client->connection.call(request, kClientTimeout, [this, client](const std::optional<HttpReply>& reply) {
+    const bool valid = reply && reply->body.find("oakpier_gateway_requests_total") != std::string::npos;
+    metricsFetched_ += valid ? 1 : 0;
+    delegationObserved_ = delegationObserved_ || (valid && anyPartDelegated(reply->body));
   });
 }
 
 bool PlatformDay::allReady() {
-  const Moment giveUpAt = steadyNow() + kReadyBound;
+  const Moment deadline = steadyNow() + kReadyTimeout;
   for (const auto& gateway : gateways_) {
     bool ready = false;
-    while (!ready && steadyNow() < giveUpAt) {
-      SourceClient probe(context_, gateway->readiness);
+    while (!ready && steadyNow() < deadline) {
+      SourceClient probe(context_, gateway->readinessAddress);
       bool done = false;
       probe.call({"GET", "/ready", {}, ""}, std::chrono::seconds(1),
                  [&](const std::optional<HttpReply>& reply) {
@@ -237,27 +238,27 @@
   context_.run_for(duration);
 }
 
-void PlatformDay::play() {
-  playing_ = true;
+void PlatformDay::run() {
+  trafficActive_ = true;
   for (std::size_t number = 0; number < deployment_.classes.size(); ++number) {
     scheduleRequests(number);
   }
   after(settings_.length / 2, [this] { fetchMetrics(); });
-  if (settings_.endingRequests) {
+  if (settings_.crashingRequests) {
     for (const RequestClass& requestClass : deployment_.classes) {
-      askEndingAgain(pathOf(requestClass) + kEndingMark);
+      repeatCrashingRequest(pathOf(requestClass) + kCrashingPathMark);
     }
   }
   if (settings_.faults) {
-    planFaults();
+    scheduleFaults();
   }
-  if (settings_.troubles) {
-    planTroubles();
+  if (settings_.disturbances) {
+    scheduleDisturbances();
   }
   runFor(settings_.length);
-  playing_ = false;
-  const Moment giveUpAt = steadyNow() + kClientPatience;
-  while (waiting_ > 0 && steadyNow() < giveUpAt) {
+  trafficActive_ = false;
+  const Moment deadline = steadyNow() + kClientTimeout;
+  while (pendingRequests_ > 0 && steadyNow() < deadline) {
     runFor(std::chrono::milliseconds(20));
   }
   for (const auto& gateway : gateways_) {
@@ -269,64 +270,64 @@
       runFor(std::chrono::milliseconds(20));
     }
   }
-  observations_.checkOnce(onceIds_);
-  observations_.checkEndingRequests();
+  observations_.checkExecutedAtMostOnce(nonIdempotentIds_);
+  observations_.checkCrashingRequests();
 }
 
-void PlatformDay::askEndingAgain(const std::string& target) {
-  if (playing_) {
-    askEnding(target, *gateways_[drawBelow(gateways_.size(), random_)]);
-    after(kAskAgain, [this, target] { askEndingAgain(target); });
+void PlatformDay::repeatCrashingRequest(const std::string& target) {
+  if (trafficActive_) {
+    sendCrashingRequest(target, *gateways_[drawBelow(gateways_.size(), random_)]);
+    after(kCrashingRequestInterval, [this, target] { repeatCrashingRequest(target); });
   }
 }
 
-void PlatformDay::askEnding(const std::string& target, Gateway& gateway) {
+void PlatformDay::sendCrashingRequest(const std::string& target, Gateway& gateway) {
   const HeaderNames names = platform::headerNames();
   const std::string id = "ending-" + std::to_string(nextRequest_++);
   const HttpRequest request{
       "GET", target, {{"Host", kHost}, {names.requestId, id}, {names.deadline, "1500"}}, ""};
-  if (!inTouch(gateway)) {
-    observations_.onAskedOutOfTouch(id);
+  if (!isUpToDate(gateway)) {
+    observations_.onSentToLaggingGateway(id);
   }
   const auto client = clientOf(gateway);
-  ++waiting_;
+  ++pendingRequests_;
   client->connection.call(
-      request, kClientPatience, [this, client, &gateway](const std::optional<HttpReply>& reply) {
-        gateway.idle.push_back(client);
-        --waiting_;
+      request, kClientTimeout, [this, client, &gateway](const std::optional<HttpReply>& reply) {
+        gateway.idleClients.push_back(client);
+        --pendingRequests_;
         if (reply && reply->status == 200) {
           observations_.addViolation("a request that crashes leafs was answered with success");
         }
       });
 }
 
-bool PlatformDay::inTouch(const Gateway& gateway) const {
-  return !gateway.stopping && !gateway.paused && steadyNow() - gateway.disturbedAt > kContact;
+bool PlatformDay::isUpToDate(const Gateway& gateway) const {
+  return !gateway.stopping && !gateway.paused && steadyNow() - gateway.lastFaultAt > kCatchUpTime;
 }
 
-void PlatformDay::planFaults() {
-  const std::vector<Fault> faults = drawFaults(settings_.length, settings_.seed);
+void PlatformDay::scheduleFaults() {
+  const std::vector<Fault> faults = generateFaults(settings_.length, settings_.seed);
   for (const Fault& fault : faults) {
     after(fault.at, [this, fault] { apply(fault); });
   }
   if (settings_.restorations) {
-    planRestorations();
+    scheduleRestorations();
   }
-  after(settings_.length - kCalmJudged, [this] {
-    calmFrom_ = steadyNow();
+  after(settings_.length - kServiceCheckTime, [this] {
+    faultFreeFrom_ = steadyNow();
     checkConfigurations();
   });
   checkGateways();
 }
 
-void PlatformDay::planRestorations() {
-  for (const Restoration& restoration : drawRestorations(settings_.length, settings_.seed)) {
+void PlatformDay::scheduleRestorations() {
+  for (const Restoration& restoration : generateRestorations(settings_.length, settings_.seed)) {
     after(restoration.at, [this] {
       ++storeOutages_;
       store_.setDown(true);
     });
-    after(restoration.at + restoration.down, [this, age = restoration.age] {
-      store_.restore(age, kWrittenAgain);
+    after(restoration.at + restoration.down, [this, backupAge = restoration.backupAge] {
+      store_.restore(backupAge, kRewriteWindow);
       store_.setDown(--storeOutages_ > 0);
     });
   }
@@ -334,12 +335,12 @@
 
 void PlatformDay::checkConfigurations() {
   for (const auto& gateway : gateways_) {
-    if (!inTouch(*gateway)) {
+    if (!isUpToDate(*gateway)) {
       continue;
     }
-    const auto client = std::make_shared<Client>(context_, gateway->readiness);
+    const auto client = std::make_shared<Client>(context_, gateway->readinessAddress);
     const HttpRequest request{"GET", "/metrics", {}, ""};
-    client->connection.call(request, kClientPatience,
+    client->connection.call(request, kClientTimeout,
                             [this, client, name = gateway->name](const std::optional<HttpReply>& reply) {
                               const std::string used = reply ? versionInForce(reply->body) : "";
                               if (used != std::to_string(configurationVersion_)) {
@@ -374,26 +375,28 @@
         gateway.process->signal(SIGHUP);
       }
       break;
-    case FaultKind::kEndLeaf:
-      leaf.end();
+    case FaultKind::kCrashLeaf:
+      leaf.crashAndRestart();
       break;
-    case FaultKind::kSilenceLeaf:
-      leaf.fallSilent(fault.duration);
+    case FaultKind::kHangLeaf:
+      leaf.hang(fault.duration);
       break;
     case FaultKind::kStoreDown:
       ++storeOutages_;
       store_.setDown(true);
       after(fault.duration, [this] { store_.setDown(--storeOutages_ > 0); });
       break;
-    case FaultKind::kStoreForgets:
-      store_.forgetHistory();
+    case FaultKind::kStoreCompactsHistory:
+      store_.compactHistory();
       break;
     case FaultKind::kNewConfiguration:
       ++configurationVersion_;
       store_.put("op/config", configurationText(deployment_, configurationVersion_, fault.target % 2 == 0));
       break;
     default:
-      askEnding(pathOf(requestClass) + kEndingMark + std::to_string(fault.target % kEndingTargets), gateway);
+      sendCrashingRequest(
+          pathOf(requestClass) + kCrashingPathMark + std::to_string(fault.target % kCrashingTargets),
+          gateway);
       break;
   }
 }
@@ -403,23 +406,23 @@
     return;
   }
   gateway.stopping = true;
-  gateway.disturbedAt = steadyNow();
+  gateway.lastFaultAt = steadyNow();
   gateway.process->signal(SIGTERM);
-  startWhenEnded(gateway);
+  restartAfterExit(gateway);
 }
 
-void PlatformDay::startWhenEnded(Gateway& gateway) {
-  after(kEndedCheck, [this, &gateway] {
-    if (!playing_) {
+void PlatformDay::restartAfterExit(Gateway& gateway) {
+  after(kExitPollInterval, [this, &gateway] {
+    if (!trafficActive_) {
       return;
     }
     if (gateway.process->running()) {
-      startWhenEnded(gateway);
+      restartAfterExit(gateway);
       return;
     }
     startGateway(gateway);
     gateway.stopping = false;
-    gateway.disturbedAt = steadyNow();
+    gateway.lastFaultAt = steadyNow();
   });
 }
 
@@ -428,9 +431,9 @@
     return;
   }
   gateway.stopping = true;
-  gateway.harmedAt = gateway.disturbedAt = steadyNow();
+  gateway.connectionsLostAt = gateway.lastFaultAt = steadyNow();
   gateway.process->signal(SIGKILL);
-  after(downFor, [this, &gateway] { startWhenEnded(gateway); });
+  after(downFor, [this, &gateway] { restartAfterExit(gateway); });
 }
 
 void PlatformDay::pauseGateway(Gateway& gateway, Duration duration) {
@@ -442,12 +445,12 @@
   after(duration, [this, &gateway] {
     gateway.process->signal(SIGCONT);
     gateway.paused = false;
-    gateway.harmedAt = gateway.disturbedAt = steadyNow();
+    gateway.connectionsLostAt = gateway.lastFaultAt = steadyNow();
   });
 }
 
 void PlatformDay::checkGateways() {
-  if (!playing_) {
+  if (!trafficActive_) {
     return;
   }
   for (const auto& gateway : gateways_) {
@@ -456,7 +459,7 @@
       gateway->stopping = true;
     }
   }
-  after(kEndedCheck, [this] { checkGateways(); });
+  after(kExitPollInterval, [this] { checkGateways(); });
 }
 
 void PlatformDay::after(Duration delay, std::function<void()> action) {
@@ -468,7 +471,7 @@
   });
 }
 
-void PlatformDay::planTroubles() {
+void PlatformDay::scheduleDisturbances() {
   const Duration part = settings_.length / 10;
   after(part, [this] { store_.put("op/config", configurationText(deployment_, 3, true)); });
   after(part * 2, [this] {
@@ -477,12 +480,12 @@
     publish(*leafs_[0]);
     addLeaf(leafs_[0]->settings().service, leafs_[0]->settings().zone);
   });
-  after(part * 3, [this] { leafs_[3]->crash(); });
+  after(part * 3, [this] { leafs_[3]->stopForGood(); });
   after(part * 4, [this] { store_.setDown(true); });
   after(part * 6, [this] {
     store_.setDown(false);
     store_.remove("servers/" + leafs_[3]->settings().id);
-    store_.forgetHistory();
+    store_.compactHistory();
   });
   after(part * 7, [this] {
     std::ofstream(gateways_[2]->settingsFile) << "{ not settings";
@@ -495,7 +498,7 @@
   });
   after(part * 5, [this] { gateways_[1]->process->signal(SIGTERM); });
   after(part * 8, [this] {
-    if (playing_ && !gateways_[1]->process->running()) {
+    if (trafficActive_ && !gateways_[1]->process->running()) {
       startGateway(*gateways_[1]);
     }
   });
@@ -505,28 +508,28 @@
   const double rate = deployment_.classes[classNumber].perSecond;
   const double gap = std::exponential_distribution<double>(rate)(random_);
   after(Duration(static_cast<std::int64_t>(gap * 1e6)), [this, classNumber] {
-    if (playing_) {
-      ask(classNumber);
+    if (trafficActive_) {
+      sendRequest(classNumber);
       scheduleRequests(classNumber);
     }
   });
 }
 
 std::shared_ptr<PlatformDay::Client> PlatformDay::clientOf(Gateway& gateway) {
-  if (gateway.idle.empty()) {
-    return std::make_shared<Client>(context_, gateway.callers);
+  if (gateway.idleClients.empty()) {
+    return std::make_shared<Client>(context_, gateway.callerAddress);
   }
-  auto client = gateway.idle.back();
-  gateway.idle.pop_back();
+  auto client = gateway.idleClients.back();
+  gateway.idleClients.pop_back();
   return client;
 }
 
-void PlatformDay::ask(std::size_t classNumber) {
+void PlatformDay::sendRequest(std::size_t classNumber) {
   const RequestClass& requestClass = deployment_.classes[classNumber];
   const HeaderNames names = platform::headerNames();
   const std::string id = "request-" + std::to_string(nextRequest_++);
   if (!requestClass.repeatable) {
-    onceIds_.insert(id);
+    nonIdempotentIds_.insert(id);
   }
   Gateway& gateway = *gateways_[drawBelow(gateways_.size(), random_)];
   const HttpRequest request{requestClass.repeatable ? "GET" : "POST",
@@ -535,43 +538,43 @@
                              {names.requestId, id},
                              {names.deadline, std::to_string(toMilliseconds(requestClass.deadline))}},
                             ""};
-  ++results_[classNumber].asked;
-  ++waiting_;
-  askedInCalm_ += steadyNow() >= calmFrom_ ? 1 : 0;
+  ++results_[classNumber].sent;
+  ++pendingRequests_;
+  sentAfterFaults_ += steadyNow() >= faultFreeFrom_ ? 1 : 0;
   const auto client = clientOf(gateway);
-  client->connection.call(request, kClientPatience,
-                          [this, classNumber, id, client, &gateway,
-                           askedAt = steadyNow()](const std::optional<HttpReply>& reply) {
-                            gateway.idle.push_back(client);
-                            gateway.answered = gateway.answered || reply.has_value();
-                            if (!reply && gateway.harmedAt < askedAt && !gateway.paused) {
-                              observations_.checkBrokenOff(id);
-                            }
-                            onReply(classNumber, id, askedAt, reply);
-                          });
-}
-
-void PlatformDay::onReply(std::size_t classNumber, const std::string& id, Moment askedAt,
+  client->connection.call(
+      request, kClientTimeout,
+      [this, classNumber, id, client, &gateway, sentAt = steadyNow()](const std::optional<HttpReply>& reply) {
+        gateway.idleClients.push_back(client);
+        gateway.answered = gateway.answered || reply.has_value();
+        if (!reply && gateway.connectionsLostAt < sentAt && !gateway.paused) {
+          observations_.checkAborted(id);
+        }
+        onReply(classNumber, id, sentAt, reply);
+      });
+}
+
+void PlatformDay::onReply(std::size_t classNumber, const std::string& id, Moment sentAt,
                           const std::optional<HttpReply>& reply) {
-  --waiting_;
+  --pendingRequests_;
   ClassResult& result = results_[classNumber];
   const RequestClass& requestClass = deployment_.classes[classNumber];
   const unsigned status = reply ? reply->status : 0;
   if (status == 200) {
     ++result.answered;
-    answeredInCalm_ += askedAt >= calmFrom_ ? 1 : 0;
+    answeredAfterFaults_ += sentAt >= faultFreeFrom_ ? 1 : 0;
     const std::string missing = textOf(*reply, platform::headerNames().missingParts);
     result.partial += missing.empty() || missing == "0" ? 0 : 1;
-    result.inTarget += steadyNow() - askedAt <= requestClass.target ? 1 : 0;
+    result.inTarget += steadyNow() - sentAt <= requestClass.targetLatency ? 1 : 0;
     check(requestClass, id, *reply);
   } else if (status == 503) {
     ++result.refused;
     if (!requestClass.repeatable) {
-      observations_.checkRefusedOnce(id);
+      observations_.checkRefusedNotExecuted(id);
     }
   } else {
     ++result.failed;
-    if (status == kRejected) {
+    if (status == kCrashingRequestStatus) {
       observations_.addViolation("an ordinary request was refused as one that crashes leafs");
     }
   }
@@ -593,10 +596,10 @@
                                   [](const ClassResult& result) { return result.answered > 0; });
   // With faults, the first gateway may have restarted and not delegated any shard before its metrics are
   // read.
-  const bool asExpected = settings_.faults || ownersUsed_ == settings_.expectOwners;
-  const bool recovered =
-      static_cast<double>(answeredInCalm_) >= kServedInCalm * static_cast<double>(askedInCalm_);
-  return served && recovered && (settings_.faults || metricsFetched_ > 0) && asExpected &&
+  const bool delegationAsExpected = settings_.faults || delegationObserved_ == settings_.expectDelegation;
+  const bool recovered = static_cast<double>(answeredAfterFaults_) >=
+                         kMinAnsweredFraction * static_cast<double>(sentAfterFaults_);
+  return served && recovered && (settings_.faults || metricsFetched_ > 0) && delegationAsExpected &&
          observations_.violations().empty();
 }
 
@@ -610,18 +613,18 @@
     const ClassResult& result = results_[number];
     out << std::left << std::setw(16) << deployment_.classes[number].name << std::right;
     for (const std::size_t figure :
-         {result.asked, result.answered, result.inTarget, result.partial, result.refused, result.failed}) {
+         {result.sent, result.answered, result.inTarget, result.partial, result.refused, result.failed}) {
       out << std::setw(11) << figure;
     }
     out << "\n";
   }
   out << "leaf requests: " << observations_.arrivals() << ", calls to the store: " << store_.calls()
       << ", metrics fetched: " << metricsFetched_
-      << ", shards left to owners: " << (ownersUsed_ ? "yes" : "no")
-      << ", leafs ended by requests: " << observations_.leafsEnded()
+      << ", shards left to owners: " << (delegationObserved_ ? "yes" : "no")
+      << ", leafs ended by requests: " << observations_.leafsCrashed()
       << ", broken promises: " << observations_.violations().size() << "\n";
   if (settings_.faults) {
-    out << "after the last fault: " << answeredInCalm_ << " of " << askedInCalm_ << " answered\n";
+    out << "after the last fault: " << answeredAfterFaults_ << " of " << sentAfterFaults_ << " answered\n";
   }
   for (const std::string& violation : observations_.violations()) {
     out << "  " << violation << "\n";
@@ -630,11 +633,11 @@
 
 void PlatformDay::printAddresses(std::ostream& out) const {
   for (const auto& gateway : gateways_) {
-    out << gateway->name << " in " << gateway->zone << ": http://" << gateway->callers.text() << "\n";
+    out << gateway->name << " in " << gateway->zone << ": http://" << gateway->callerAddress.text() << "\n";
   }
   const HeaderNames names = platform::headerNames();
   out << "try: curl -i -H 'Host: " << kHost << "' -H '" << names.requestId << ": try-1' -H '"
-      << names.deadline << ": 2000' http://" << gateways_.front()->callers.text()
+      << names.deadline << ": 2000' http://" << gateways_.front()->callerAddress.text()
       << pathOf(deployment_.classes.front()) << "x\n";
 }
 
--- a/tests/platform_model/platform_day.h
+++ b/tests/platform_model/platform_day.h
@@ -26,21 +26,21 @@
   std::uint64_t seed = 1;
   /// A fixed sequence of disturbances: a leaf drains, another stops answering, the store is down and compacts
   /// its history, the configuration changes, one gateway receives invalid settings, another is restarted.
-  bool troubles = true;
+  bool disturbances = true;
   /// The gateways' standard output is a full pipe without a reader.
   bool stalledOutput = false;
   /// Clients repeatedly send requests that crash each leaf that runs them, to random gateways.
-  bool endingRequests = false;
+  bool crashingRequests = false;
   /// Random faults as drawn from `seed`, see fault_schedule.h.
   bool faults = false;
   /// The store is restored from backups; requires `faults`.
   bool restorations = false;
   /// The leafs' connection limits are too low for all gateways, so that shards must be delegated to owners.
-  bool expectOwners = false;
+  bool expectDelegation = false;
 };
 
 struct ClassResult {
-  std::size_t asked = 0;
+  std::size_t sent = 0;
   std::size_t answered = 0;
   std::size_t partial = 0;
   std::size_t refused = 0;
@@ -56,14 +56,14 @@
   /// Starts all processes and waits until every gateway is ready. Returns an error, or an empty string.
   std::string start();
   /// Runs the traffic with its disturbances and faults, then stops the gateways and makes the final checks.
-  void play();
+  void run();
   void report(std::ostream& out) const;
   /// No violation was observed, every request class was answered, and service recovered after the last fault.
   bool passed() const;
   /// Prints the gateways' addresses and an example request.
   void printAddresses(std::ostream& out) const;
   /// Serves without generated traffic until the process is terminated.
-  void hold() { context_.run(); }
+  void serveForever() { context_.run(); }
 
  private:
   struct Gateway;
@@ -78,18 +78,18 @@
   bool allReady();
   void runFor(Duration duration);
   void scheduleRequests(std::size_t classNumber);
-  void ask(std::size_t classNumber);
-  void onReply(std::size_t classNumber, const std::string& id, Moment askedAt,
+  void sendRequest(std::size_t classNumber);
+  void onReply(std::size_t classNumber, const std::string& id, Moment sentAt,
                const std::optional<HttpReply>& reply);
   void check(const RequestClass& requestClass, const std::string& id, const HttpReply& reply);
   std::shared_ptr<Client> clientOf(Gateway& gateway);
   void after(Duration delay, std::function<void()> action);
-  void planTroubles();
+  void scheduleDisturbances();
   /// Sends the request periodically, each time under a new id.
-  void askEndingAgain(const std::string& target);
-  void askEnding(const std::string& target, Gateway& gateway);
-  void planFaults();
-  void planRestorations();
+  void repeatCrashingRequest(const std::string& target);
+  void sendCrashingRequest(const std::string& target, Gateway& gateway);
+  void scheduleFaults();
+  void scheduleRestorations();
   /// Checks that every gateway that had time to recover uses the newest configuration.
   void checkConfigurations();
   void apply(const Fault& fault);
@@ -97,10 +97,10 @@
   void killGateway(Gateway& gateway, Duration downFor);
   void pauseGateway(Gateway& gateway, Duration duration);
   /// Polls until the gateway has exited, then restarts it.
-  void startWhenEnded(Gateway& gateway);
+  void restartAfterExit(Gateway& gateway);
   void checkGateways();
   /// No fault has hit it for long enough that it has the state of its peers.
-  bool inTouch(const Gateway& gateway) const;
+  bool isUpToDate(const Gateway& gateway) const;
 
   Deployment deployment_;
   DaySettings settings_;
@@ -113,21 +113,21 @@
   std::vector<std::unique_ptr<Gateway>> gateways_;
   std::vector<std::unique_ptr<boost::asio::steady_timer>> timers_;
   std::vector<ClassResult> results_;
-  std::set<std::string> onceIds_;
+  std::set<std::string> nonIdempotentIds_;
   std::set<std::string> shards_;
   std::uint64_t nextRequest_ = 1;
-  std::size_t waiting_ = 0;
+  std::size_t pendingRequests_ = 0;
   std::size_t metricsFetched_ = 0;
   /// The first gateway has delegated shards to their owners.
-  bool ownersUsed_ = false;
+  bool delegationObserved_ = false;
   std::vector<int> pipes_;
-  bool playing_ = false;
+  bool trafficActive_ = false;
   std::uint64_t configurationVersion_ = 1;
   unsigned storeOutages_ = 0;
   /// Requests sent, and those of them answered, in the time at the end in which recovery is checked.
-  std::size_t askedInCalm_ = 0;
-  std::size_t answeredInCalm_ = 0;
-  Moment calmFrom_ = kNever;
+  std::size_t sentAfterFaults_ = 0;
+  std::size_t answeredAfterFaults_ = 0;
+  Moment faultFreeFrom_ = kNever;
 };
 
 }  // namespace oakpier::serving::model
--- a/tests/platform_model/store_standin.cpp
+++ b/tests/platform_model/store_standin.cpp
@@ -14,7 +14,7 @@
 using nlohmann::json;
 using Query = std::map<std::string, std::string>;
 
-constexpr std::size_t kPage = 50;
+constexpr std::size_t kMaxPageItems = 50;
 
 Query queryOf(const std::string& target) {
   Query query;
@@ -68,56 +68,57 @@
 
 void StoreStandin::remove(const std::string& key) { apply(Change{key, "", ++revision_, true, steadyNow()}); }
 
-void StoreStandin::restore(Duration age, Duration writtenAgainWithin) {
+void StoreStandin::restore(Duration backupAge, Duration rewriteWindow) {
   for (const Watch& watch : watches_) {
-    watch.writer.write(told(ownReply(503, "down")));
+    watch.writer.write(withEpoch(ownReply(503, "down")));
   }
   watches_.clear();
-  const Moment copiedAt = steadyNow() - age;
-  while (!history_.empty() && history_.back().madeAt > copiedAt) {
+  const Moment backupAt = steadyNow() - backupAge;
+  while (!history_.empty() && history_.back().madeAt > backupAt) {
     history_.pop_back();
   }
   items_.clear();
   revision_ = kFirstRevision;
   for (const Change& change : history_) {
     revision_ = change.revision;
-    if (change.gone) {
+    if (change.deleted) {
       items_.erase(change.key);
     } else {
       items_[change.key] = change;
     }
   }
-  forgottenRevision_ = std::min(forgottenRevision_, revision_);
+  compactedRevision_ = std::min(compactedRevision_, revision_);
   ++epoch_;
-  for (const auto& [key, written] : written_) {
-    const auto delay = static_cast<std::int64_t>(drawBelow(writtenAgainWithin.count() + 1, random_));
+  for (const auto& [key, lastWrite] : lastWrites_) {
+    const auto delay = static_cast<std::int64_t>(drawBelow(rewriteWindow.count() + 1, random_));
     timers_.push_back(std::make_unique<boost::asio::steady_timer>(context_, Duration(delay)));
     timers_.back()->async_wait([this, key = key](const boost::system::error_code& error) {
       if (!error) {
-        writeAgain(key);
+        rewrite(key);
       }
     });
   }
 }
 
-void StoreStandin::writeAgain(const std::string& key) {
-  const Change& written = written_.at(key);
+void StoreStandin::rewrite(const std::string& key) {
+  const Change& lastWrite = lastWrites_.at(key);
   const auto listed = items_.find(key);
-  const bool asWritten =
-      listed == items_.end() ? written.gone : !written.gone && listed->second.value == written.value;
-  if (!asWritten) {
-    apply(Change{key, written.value, ++revision_, written.gone, steadyNow()});
+  const bool unchanged = listed == items_.end()
+                             ? lastWrite.deleted
+                             : !lastWrite.deleted && listed->second.value == lastWrite.value;
+  if (!unchanged) {
+    apply(Change{key, lastWrite.value, ++revision_, lastWrite.deleted, steadyNow()});
   }
 }
 
-HttpReply StoreStandin::told(HttpReply reply) const {
+HttpReply StoreStandin::withEpoch(HttpReply reply) const {
   reply.headers.push_back({"Store-Era", std::to_string(epoch_)});
   return reply;
 }
 
 void StoreStandin::apply(Change change) {
-  written_[change.key] = change;
-  if (change.gone) {
+  lastWrites_[change.key] = change;
+  if (change.deleted) {
     items_.erase(change.key);
   } else {
     items_[change.key] = change;
@@ -126,19 +127,19 @@
   watches_.remove_if([this](Watch& watch) { return answer(watch, false); });
 }
 
-void StoreStandin::forgetHistory() { forgottenRevision_ = revision_; }
+void StoreStandin::compactHistory() { compactedRevision_ = revision_; }
 
 std::function<void()> StoreStandin::onRequest(HttpRequest request, ResponseWriter writer) {
   ++calls_;
   const Query query = queryOf(request.target);
   if (down_) {
-    writer.write(told(ownReply(503, "down")));
+    writer.write(withEpoch(ownReply(503, "down")));
   } else if (startsWith(request.target, "/kv-range")) {
-    writer.write(told(range(query)));
+    writer.write(withEpoch(range(query)));
   } else if (startsWith(request.target, "/kv-watch")) {
     watch(query, std::move(writer));
   } else {
-    writer.write(told(ownReply(404, "no such call")));
+    writer.write(withEpoch(ownReply(404, "no such call")));
   }
   return nullptr;
 }
@@ -150,7 +151,7 @@
     if (!startsWith(key, valueOf(query, "path_prefix")) || key <= valueOf(query, "after")) {
       continue;
     }
-    if (items.size() == kPage) {
+    if (items.size() == kMaxPageItems) {
       more = true;
       break;
     }
@@ -165,8 +166,8 @@
 
 void StoreStandin::watch(const Query& query, ResponseWriter writer) {
   const std::uint64_t after = numberOf(query, "after");
-  if (after < forgottenRevision_ || after > revision_) {
-    writer.write(told(ownReply(410, "history is gone")));
+  if (after < compactedRevision_ || after > revision_) {
+    writer.write(withEpoch(ownReply(410, "history is gone")));
     return;
   }
   Watch& watch = watches_.emplace_back(context_, std::move(writer));
@@ -177,31 +178,31 @@
     return;
   }
   watch.timer.expires_after(std::chrono::milliseconds(numberOf(query, "wait_ms")));
-  watch.timer.async_wait([this, waiting = &watch](const boost::system::error_code& error) {
+  watch.timer.async_wait([this, expired = &watch](const boost::system::error_code& error) {
     if (!error) {
-      watches_.remove_if([&](Watch& other) { return &other == waiting && answer(other, true); });
+      watches_.remove_if([&](Watch& other) { return &other == expired && answer(other, true); });
     }
   });
 }
 
-bool StoreStandin::answer(Watch& watch, bool must) const {
+bool StoreStandin::answer(Watch& watch, bool evenIfEmpty) const {
   json events = json::array();
   for (const Change& change : history_) {
     if (change.revision <= watch.after || !startsWith(change.key, watch.prefix)) {
       continue;
     }
     json event = {{"tls_key", change.key}, {"revision", change.revision}};
-    if (change.gone) {
+    if (change.deleted) {
       event["gone"] = true;
     } else {
       event["value"] = encoded(change.value);
     }
     events.push_back(event);
   }
-  if (events.empty() && !must) {
+  if (events.empty() && !evenIfEmpty) {
     return false;
   }
-  watch.writer.write(told(jsonReply({{"events", events}, {"at", revision_}})));
+  watch.writer.write(withEpoch(jsonReply({{"events", events}, {"at", revision_}})));
   return true;
 }
 
--- a/tests/platform_model/store_standin.h
+++ b/tests/platform_model/store_standin.h
@@ -25,11 +25,11 @@
   /// While the store is down, every call is answered with 503.
   void setDown(bool down) { down_ = down; }
   /// Discards the changes up to now; watches from an earlier revision are answered with 410.
-  void forgetHistory();
+  void compactHistory();
   /// Restores a backup of this age and begins a new epoch: revisions go back, and watches from later
   /// revisions are answered with 410. Each writer rewrites its lost record after a random delay of at most
-  /// `rewriteWithin`.
-  void restore(Duration age, Duration writtenAgainWithin);
+  /// `rewriteWindow`.
+  void restore(Duration backupAge, Duration rewriteWindow);
   std::size_t calls() const { return calls_; }
 
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override;
@@ -39,7 +39,7 @@
     std::string key;
     std::string value;
     std::uint64_t revision = 0;
-    bool gone = false;
+    bool deleted = false;
     Moment madeAt{};
   };
   struct Watch {
@@ -53,13 +53,13 @@
 
   void apply(Change change);
   /// Writes the record's last written value again unless the store has it.
-  void writeAgain(const std::string& key);
+  void rewrite(const std::string& key);
   /// Adds the epoch header, which every answer has, also errors.
-  HttpReply told(HttpReply reply) const;
+  HttpReply withEpoch(HttpReply reply) const;
   HttpReply range(const std::map<std::string, std::string>& query) const;
   void watch(const std::map<std::string, std::string>& query, ResponseWriter writer);
-  /// Answers the watch and returns true if it has changes or `must` is set.
-  bool answer(Watch& watch, bool must) const;
+  /// Answers the watch and returns true if it has changes or `evenIfEmpty` is set.
+  bool answer(Watch& watch, bool evenIfEmpty) const;
 
   boost::asio::io_context& context_;
   HttpService service_;
@@ -67,10 +67,10 @@
   std::vector<Change> history_;
   static constexpr std::uint64_t kFirstRevision = 1;
   std::uint64_t revision_ = kFirstRevision;
-  std::uint64_t forgottenRevision_ = 0;
+  std::uint64_t compactedRevision_ = 0;
   std::uint64_t epoch_ = 1;
   /// The last write of each key, also those that a restored backup lacks.
-  std::map<std::string, Change> written_;
+  std::map<std::string, Change> lastWrites_;
   RandomEngine random_;
   std::vector<std::unique_ptr<boost::asio::steady_timer>> timers_;
   std::list<Watch> watches_;
--- a/tests/serving/platform/leaf_entries_test.cpp
+++ b/tests/serving/platform/leaf_entries_test.cpp
@@ -24,7 +24,7 @@
 const std::vector<std::string> kFields{"service",  "address", "zone",     "version",
                                        "capacity", "state",   "sequence", "warmup_left_ms"};
 const std::vector<std::string> kOthers{"other-1", "other-2", "other-3"};
-const std::string kForged = "forged";
+const std::string kAffectedLeaf = "forged";
 
 std::string base64Of(const std::string& bytes) {
   namespace base64 = boost::beast::detail::base64;
@@ -41,7 +41,7 @@
   return StoreDialect().interpret({"servers/" + id, value, 1, false});
 }
 
-bool namesNoLeaf(const std::string& value, const std::string& id = "i-1") {
+bool isInvalidLeaf(const std::string& value, const std::string& id = "i-1") {
   const SourceStatement statement = statementOf(value, id);
   const auto* unusable = std::get_if<UnusableLeaf>(&statement);
   return unusable != nullptr && unusable->id == id;
@@ -64,9 +64,9 @@
 const SourceCall kChanges{SourceCall::Kind::kChanges, "", 4, {}};
 
 /// A follower that receives entries through the platform's dialect.
-class Believer {
+class FollowerFixture {
  public:
-  Believer()
+  FollowerFixture()
       : follower_(
             Endpoint(1, 1), settings(),
             [this](const SourceRecord& record) { return dialect_.interpret(record); }, RandomEngine(1)) {}
@@ -81,21 +81,21 @@
     const auto call = *follower_.takeCall(now_);
     answer(call, {{"events", events}, {"at", revision}});
   }
-  void hear(const std::vector<SourceRecord>& records, std::uint64_t revision, bool whole) {
-    SourceNews news;
-    news.set_revision(revision);
-    news.set_whole(whole);
-    news.set_after_revision(whole ? 0 : follower_.known().revision);
-    news.set_reader(Endpoint(2, 1).text());
+  void receiveUpdate(const std::vector<SourceRecord>& records, std::uint64_t revision, bool complete) {
+    SourceNews update;
+    update.set_revision(revision);
+    update.set_whole(complete);
+    update.set_after_revision(complete ? 0 : follower_.known().revision);
+    update.set_reader(Endpoint(2, 1).text());
     for (const SourceRecord& record : records) {
-      SourceRecordNews* added = news.add_records();
+      SourceRecordNews* added = update.add_records();
       added->set_key(record.key);
       added->set_value(record.value);
       added->set_revision(record.revision);
       added->set_gone(record.gone);
     }
     SourceNews received;
-    RC_ASSERT(received.ParseFromString(news.SerializeAsString()));
+    RC_ASSERT(received.ParseFromString(update.SerializeAsString()));
     follower_.onNews(Endpoint(2, 1), received, now_);
   }
   /// Ids of all usable leafs.
@@ -149,7 +149,7 @@
 }
 
 /// A value under a leaf's key that is not a valid leaf entry.
-std::string forgedValue() {
+std::string invalidEntry() {
   json entry = kEntry;
   const std::string field = *rc::gen::elementOf(kFields);
   switch (*rc::gen::inRange(0, 6)) {
@@ -164,8 +164,8 @@
           *rc::gen::element(json(-4), json(1.5), json("17"), json(nullptr), json(1e20));
       return entry.dump();
     case 3: {
-      const std::string whole = entry.dump();
-      return whole.substr(0, *rc::gen::inRange<std::size_t>(0, whole.size()));
+      const std::string complete = entry.dump();
+      return complete.substr(0, *rc::gen::inRange<std::size_t>(0, complete.size()));
     }
     case 4:
       return wrongValue().dump();
@@ -181,53 +181,53 @@
 std::string damaged(std::string value) {
   const auto changes = *rc::gen::inRange(1, 6);
   for (int change = 0; change < changes && !value.empty(); ++change) {
-    const auto place = *rc::gen::inRange<std::size_t>(0, value.size());
+    const auto position = *rc::gen::inRange<std::size_t>(0, value.size());
     const char byte = *rc::gen::arbitrary<char>();
     switch (*rc::gen::inRange(0, 3)) {
       case 0:
-        value[place] = byte;
+        value[position] = byte;
         break;
       case 1:
-        value.erase(place, 1);
+        value.erase(position, 1);
         break;
       default:
-        value.insert(place, 1, byte);
+        value.insert(position, 1, byte);
         break;
     }
   }
   return value;
 }
 
-void requireOthers(Believer& believer, bool forgedMayBeUsed) {
-  std::set<std::string> leafs = believer.leafs();
-  if (forgedMayBeUsed) {
-    leafs.erase(kForged);
+void requireOtherLeafs(FollowerFixture& follower, bool affectedMayBeUsed) {
+  std::set<std::string> leafs = follower.leafs();
+  if (affectedMayBeUsed) {
+    leafs.erase(kAffectedLeaf);
   }
   RC_ASSERT(leafs == std::set<std::string>(kOthers.begin(), kOthers.end()));
 }
 
 /// Delivers the value by listing, watch and peer update, with and without a valid earlier entry of the leaf.
-void tellEveryWay(const std::string& value, bool mayBeUsed) {
-  const SourceRecord record{"servers/" + kForged, value, 9, false};
+void deliverEveryWay(const std::string& value, bool mayBeUsed) {
+  const SourceRecord record{"servers/" + kAffectedLeaf, value, 9, false};
   json page = goodItems();
-  page.insert(page.begin() + *rc::gen::inRange(0, 4), itemOf(kForged, value, 9));
-  Believer listing;
+  page.insert(page.begin() + *rc::gen::inRange(0, 4), itemOf(kAffectedLeaf, value, 9));
+  FollowerFixture listing;
   listing.list(page, 10);
-  requireOthers(listing, mayBeUsed);
+  requireOtherLeafs(listing, mayBeUsed);
 
   json usable = goodItems();
-  usable.push_back(itemOf(kForged, kEntry.dump(), 4));
-  Believer watch;
+  usable.push_back(itemOf(kAffectedLeaf, kEntry.dump(), 4));
+  FollowerFixture watch;
   watch.list(usable, 5);
-  watch.watch(json::array({itemOf(kForged, value, 9), itemOf(kOthers[0], kEntry.dump(), 10)}), 10);
-  requireOthers(watch, mayBeUsed);
-
-  Believer news;
-  news.list(usable, 5);
-  news.hear({record, {"servers/" + kOthers[0], kEntry.dump(), 10, false}}, 10, false);
-  requireOthers(news, mayBeUsed);
-  news.hear({{"servers/" + kForged, kEntry.dump(), 11, false}}, 11, false);
-  RC_ASSERT(news.leafs().count(kForged) == 1);
+  watch.watch(json::array({itemOf(kAffectedLeaf, value, 9), itemOf(kOthers[0], kEntry.dump(), 10)}), 10);
+  requireOtherLeafs(watch, mayBeUsed);
+
+  FollowerFixture update;
+  update.list(usable, 5);
+  update.receiveUpdate({record, {"servers/" + kOthers[0], kEntry.dump(), 10, false}}, 10, false);
+  requireOtherLeafs(update, mayBeUsed);
+  update.receiveUpdate({{"servers/" + kAffectedLeaf, kEntry.dump(), 11, false}}, 11, false);
+  RC_ASSERT(update.leafs().count(kAffectedLeaf) == 1);
 }
 
 }  // namespace
@@ -243,53 +243,53 @@
   for (const std::string& field : kFields) {
     json entry = kEntry;
     entry.erase(field);
-    REQUIRE(namesNoLeaf(entry.dump()));
+    REQUIRE(isInvalidLeaf(entry.dump()));
     for (const json& wrong : {json(nullptr), json(true), json::array(), json::object()}) {
       entry[field] = wrong;
-      REQUIRE(namesNoLeaf(entry.dump()));
+      REQUIRE(isInvalidLeaf(entry.dump()));
     }
   }
-  REQUIRE(namesNoLeaf(with("service", 7).dump()));
-  REQUIRE(namesNoLeaf(with("version", 7).dump()));
-  REQUIRE(namesNoLeaf(with("zone", 7).dump()));
+  REQUIRE(isInvalidLeaf(with("service", 7).dump()));
+  REQUIRE(isInvalidLeaf(with("version", 7).dump()));
+  REQUIRE(isInvalidLeaf(with("zone", 7).dump()));
   for (const char* address :
        {"", "leaf.example:80", "10.9.0.1", "10.9.0.1:0", "10.9.0.1:80 ", "10.9.0.1:70000"}) {
-    REQUIRE(namesNoLeaf(with("address", address).dump()));
+    REQUIRE(isInvalidLeaf(with("address", address).dump()));
   }
   for (const char* state : {"", "Ready", "starting", "gone"}) {
-    REQUIRE(namesNoLeaf(with("state", state).dump()));
+    REQUIRE(isInvalidLeaf(with("state", state).dump()));
   }
   for (const json& capacity : {json(0), json(-1), json(2.0), json("2"), json(1e30), json(5000000000)}) {
-    REQUIRE(namesNoLeaf(with("capacity", capacity).dump()));
+    REQUIRE(isInvalidLeaf(with("capacity", capacity).dump()));
   }
   for (const json& left : {json(-1), json(-0.1), json("0"), json(1e300), json(1e9)}) {
-    REQUIRE(namesNoLeaf(with("warmup_left_ms", left).dump()));
+    REQUIRE(isInvalidLeaf(with("warmup_left_ms", left).dump()));
   }
   for (const json& born : {json(-1), json(1.76e12), json("1760000000000"), json(nullptr), json(1e30)}) {
-    REQUIRE(namesNoLeaf(with("born", born).dump()));
+    REQUIRE(isInvalidLeaf(with("born", born).dump()));
   }
 }
 
 TEST_CASE("truncated or malformed JSON is no leaf", "[platform][lives]") {
-  const std::string whole = kEntry.dump();
-  for (std::size_t length = 0; length < whole.size(); ++length) {
-    REQUIRE(namesNoLeaf(whole.substr(0, length)));
+  const std::string complete = kEntry.dump();
+  for (std::size_t length = 0; length < complete.size(); ++length) {
+    REQUIRE(isInvalidLeaf(complete.substr(0, length)));
   }
-  REQUIRE(namesNoLeaf(whole + "x"));
-  REQUIRE(namesNoLeaf("[" + whole + "]"));
-  REQUIRE(namesNoLeaf("null"));
-  REQUIRE(namesNoLeaf(std::string(1U << 20U, '[')));
-  REQUIRE(namesNoLeaf(R"({"service":")" + std::string(1, '\xff') + whole.substr(2)));
-  std::string huge = whole;
+  REQUIRE(isInvalidLeaf(complete + "x"));
+  REQUIRE(isInvalidLeaf("[" + complete + "]"));
+  REQUIRE(isInvalidLeaf("null"));
+  REQUIRE(isInvalidLeaf(std::string(1U << 20U, '[')));
+  REQUIRE(isInvalidLeaf(R"({"service":")" + std::string(1, '\xff') + complete.substr(2)));
+  std::string huge = complete;
   huge.replace(huge.find("15.5"), 4, "1e999");
-  REQUIRE(namesNoLeaf(huge));
+  REQUIRE(isInvalidLeaf(huge));
   const auto statement = statementOf(R"({"service":")" + std::string(1U << 20U, 'x'));
   REQUIRE(std::get<UnusableLeaf>(statement).problem.size() <= 300);
 }
 
 TEST_CASE("an id that is not valid in a header is no leaf", "[platform][lives]") {
   for (const char* id : {"", "i 1", "i\r\nX: 1", "i\x7f", "\xc3\xa9"}) {
-    REQUIRE(namesNoLeaf(kEntry.dump(), id));
+    REQUIRE(isInvalidLeaf(kEntry.dump(), id));
   }
 }
 
@@ -360,34 +360,34 @@
 
 TEST_CASE("entries of services outside the configuration are accepted and do not affect other leafs",
           "[platform][lives]") {
-  Believer believer;
-  believer.list(goodItems(), 5);
-  const auto before = believer.leafs();
-  believer.watch(json::array({itemOf("stranger", with("service", "unnamed").dump(), 6)}), 6);
-  REQUIRE(believer.leafs().size() == before.size() + 1);
-  believer.watch(json::array({{{"tls_key", "servers/stranger"}, {"revision", 7}, {"gone", true}}}), 7);
-  REQUIRE(believer.leafs() == before);
+  FollowerFixture follower;
+  follower.list(goodItems(), 5);
+  const auto before = follower.leafs();
+  follower.watch(json::array({itemOf("stranger", with("service", "unnamed").dump(), 6)}), 6);
+  REQUIRE(follower.leafs().size() == before.size() + 1);
+  follower.watch(json::array({{{"tls_key", "servers/stranger"}, {"revision", 7}, {"gone", true}}}), 7);
+  REQUIRE(follower.leafs() == before);
 }
 
 TEST_CASE("of many unusable records only the first are reported, and all are counted", "[platform][lives]") {
-  Believer believer;
+  FollowerFixture follower;
   json items = goodItems();
   for (std::uint64_t number = 0; number < 400; ++number) {
     items.push_back(itemOf("forged-" + std::to_string(number), "{}", 10 + number));
   }
   items.push_back(7);
-  believer.list(items, 500);
-  REQUIRE(believer.leafs().size() == kOthers.size());
-  REQUIRE(believer.counters().unusableRecords == 401);
-  REQUIRE(believer.lastActions().problems.size() == 9);
+  follower.list(items, 500);
+  REQUIRE(follower.leafs().size() == kOthers.size());
+  REQUIRE(follower.counters().unusableRecords == 401);
+  REQUIRE(follower.lastActions().problems.size() == 9);
 }
 
 TEST_CASE("an invalid value under a leaf's key is not used and does not affect other leafs",
           "[platform][lives]") {
   OAKPIER_PROPERTY("forged entries", [] {
-    const std::string value = forgedValue();
-    RC_ASSERT(namesNoLeaf(value));
-    tellEveryWay(value, false);
+    const std::string value = invalidEntry();
+    RC_ASSERT(isInvalidLeaf(value));
+    deliverEveryWay(value, false);
   });
 }
 
@@ -413,7 +413,7 @@
 }
 
 TEST_CASE("a randomly damaged leaf entry does not affect other leafs", "[platform][lives]") {
-  OAKPIER_PROPERTY("damaged entries", [] { tellEveryWay(damaged(kEntry.dump()), true); });
+  OAKPIER_PROPERTY("damaged entries", [] { deliverEveryWay(damaged(kEntry.dump()), true); });
 }
 
 }  // namespace oakpier::serving::platform
--- a/tests/serving/platform/platform_test.cpp
+++ b/tests/serving/platform/platform_test.cpp
@@ -98,9 +98,9 @@
   REQUIRE(strict.quota.tolerance == 0);
   REQUIRE(strict.quota.slack == 0);
   REQUIRE(allowedInWindow(TenantLimit{2, 3}, strict.quota) == 13);
-  const std::string told = describe(std::get<GatewaySettings>(parseSettings(kSettings)));
-  REQUIRE(told.find("stop_grace_ms = 6000\n") != std::string::npos);
-  REQUIRE(told.find("quota_window_ms = 4000\nquota_tolerance = 0.25\nquota_slack = 20\n") !=
+  const std::string described = describe(std::get<GatewaySettings>(parseSettings(kSettings)));
+  REQUIRE(described.find("stop_grace_ms = 6000\n") != std::string::npos);
+  REQUIRE(described.find("quota_window_ms = 4000\nquota_tolerance = 0.25\nquota_slack = 20\n") !=
           std::string::npos);
 }
 
@@ -109,38 +109,38 @@
     std::string text = kSettings;
     return text.replace(text.find("\"unknown\": [1]"), 14, "\"limits\": " + limits);
   };
-  const auto told = std::get<GatewaySettings>(parseSettings(withLimits(
+  const auto limited = std::get<GatewaySettings>(parseSettings(withLimits(
       R"({"cpu_share": 0.25, "cpu_cores": 2, "memory_mb": 260, "max_open_files": 4100, "network_mbps": 24.0})")));
-  REQUIRE(told.machine.processorCores == 0.5);
-  REQUIRE(told.machine.memoryMegabytes == 260);
-  REQUIRE(told.machine.descriptors == 4100);
-  REQUIRE(told.machine.linkMegabits == 24);
-  const std::string described = describe(told);
+  REQUIRE(limited.machine.processorCores == 0.5);
+  REQUIRE(limited.machine.memoryMegabytes == 260);
+  REQUIRE(limited.machine.descriptors == 4100);
+  REQUIRE(limited.machine.linkMegabits == 24);
+  const std::string described = describe(limited);
   REQUIRE(described.find("machine_processor_cores = 0.5\n") != std::string::npos);
   REQUIRE(described.find("machine_link_mbit_per_s = 24\n") != std::string::npos);
   REQUIRE(described.find("capacity_core_hundredths = 24\n") != std::string::npos);
 
   // Some or all of them may be missing.
-  const auto untold = std::get<GatewaySettings>(parseSettings(kSettings));
-  REQUIRE(capacityOf(untold.machine) == 0);
-  REQUIRE(describe(untold).find("capacity_core_hundredths = not told\n") != std::string::npos);
-  const auto some = std::get<GatewaySettings>(
+  const auto unlimited = std::get<GatewaySettings>(parseSettings(kSettings));
+  REQUIRE(capacityOf(unlimited.machine) == 0);
+  REQUIRE(describe(unlimited).find("capacity_core_hundredths = not told\n") != std::string::npos);
+  const auto partial = std::get<GatewaySettings>(
       parseSettings(withLimits(R"({"cpu_share": 0.12, "network_mbps": null, "memory_mb": 0})")));
-  REQUIRE(capacityOf(some.machine) == 12);
-  REQUIRE(describe(some).find("machine_memory_mb = not told\n") != std::string::npos);
+  REQUIRE(capacityOf(partial.machine) == 12);
+  REQUIRE(describe(partial).find("machine_memory_mb = not told\n") != std::string::npos);
   const auto none = parseSettings(withLimits("null"));
   REQUIRE(capacityOf(std::get<GatewaySettings>(none).machine) == 0);
 
-  const auto problemOf = [&](const std::string& limits) {
+  const auto errorOf = [&](const std::string& limits) {
     return std::get<SettingsError>(parseSettings(withLimits(limits))).text;
   };
-  REQUIRE(problemOf(R"({"cpu_share": -0.5})") ==
+  REQUIRE(errorOf(R"({"cpu_share": -0.5})") ==
           "the processor share of the machine is not within 0 and 256 cores");
-  REQUIRE(problemOf(R"({"cpu_share": 1, "cpu_cores": 1000})") ==
+  REQUIRE(errorOf(R"({"cpu_share": 1, "cpu_cores": 1000})") ==
           "the processor share of the machine is not within 0 and 256 cores");
-  REQUIRE(problemOf(R"({"network_mbps": 1e12})") ==
+  REQUIRE(errorOf(R"({"network_mbps": 1e12})") ==
           "the link of the machine is not within 0 and 10,000,000 Mbit/s");
-  REQUIRE(problemOf(R"({"cpu_share": "much"})") == "setting \"limits.cpu_share\" cannot be \"much\"");
+  REQUIRE(errorOf(R"({"cpu_share": "much"})") == "setting \"limits.cpu_share\" cannot be \"much\"");
 }
 
 TEST_CASE("the use of removed keys is bounded only when the settings require it", "[platform]") {
@@ -227,10 +227,10 @@
 
 TEST_CASE("errors of an invalid configuration do not quote it", "[platform]") {
   const StoreDialect dialect;
-  const std::string whole = kConfiguration;
-  const std::string head = whole.substr(0, whole.find("\"services\""));
-  const std::string rest = whole.substr(whole.find("\"services\""));
-  const auto problemWith = [&](const std::string& tenants) {
+  const std::string text = kConfiguration;
+  const std::string head = text.substr(0, text.find("\"services\""));
+  const std::string rest = text.substr(text.find("\"services\""));
+  const auto errorWith = [&](const std::string& tenants) {
     const SourceRecord record{"op/config", head + "\"tenants\": " + tenants + ", " + rest, 1, false};
     return std::get<UnusableRecord>(dialect.interpret(record)).problem;
   };
@@ -243,14 +243,14 @@
         R"([{"name": "amber", "api_keys": ["secret-1"], "priority": -1}])",
         R"([{"name": "amber", "api_keys": ["secret-1"], "rate_per_s": "secret-1"}])"}) {
     CAPTURE(tenants);
-    const std::string problem = problemWith(tenants);
+    const std::string problem = errorWith(tenants);
     REQUIRE(problem.find("op/config: ") == 0);
     REQUIRE(problem.size() > 20);
     REQUIRE(problem.find("secret") == std::string::npos);
   }
   // For a number out of range in place of a key, the library's message would quote the number.
-  REQUIRE(problemWith(R"([{"name": "amber", "api_keys": [99123e9999]}])").find("99123") == std::string::npos);
-  REQUIRE(problemWith(R"([{"name": "amber", "api_keys": ["secret-1"], "priority": -1}])") ==
+  REQUIRE(errorWith(R"([{"name": "amber", "api_keys": [99123e9999]}])").find("99123") == std::string::npos);
+  REQUIRE(errorWith(R"([{"name": "amber", "api_keys": ["secret-1"], "priority": -1}])") ==
           "op/config: tenant amber: the priority is not an integer of at least 0");
 }
 
@@ -291,7 +291,7 @@
 TEST_CASE("the epoch is read from every answer of the store, also from errors", "[platform]") {
   const StoreDialect dialect;
   const SourceCall changes{SourceCall::Kind::kChanges, "", 411, std::chrono::milliseconds(1500)};
-  const auto told = [&](unsigned status, const HeaderList& headers) {
+  const auto epochOf = [&](unsigned status, const HeaderList& headers) {
     HttpReply reply;
     reply.status = status;
     reply.headers = headers;
@@ -300,19 +300,19 @@
   };
   for (const unsigned status : {200U, 404U, 410U, 429U, 503U}) {
     CAPTURE(status);
-    const ToldEpoch epoch = told(status, {{"store-era", "7"}});
+    const ToldEpoch epoch = epochOf(status, {{"store-era", "7"}});
     REQUIRE(epoch.kind == ToldEpoch::Kind::kTold);
     REQUIRE(epoch.epoch == 7);
-    REQUIRE(told(status, {}).kind == ToldEpoch::Kind::kMissing);
+    REQUIRE(epochOf(status, {}).kind == ToldEpoch::Kind::kMissing);
   }
-  REQUIRE(told(200, {{"Store-Era", "0"}}).kind == ToldEpoch::Kind::kTold);
-  REQUIRE(told(200, {{"Store-Era", "18446744073709551615"}}).epoch == 18446744073709551615U);
-  REQUIRE(told(200, {{"Store-Era", "7"}, {"Store-Era", "7"}}).epoch == 7);
+  REQUIRE(epochOf(200, {{"Store-Era", "0"}}).kind == ToldEpoch::Kind::kTold);
+  REQUIRE(epochOf(200, {{"Store-Era", "18446744073709551615"}}).epoch == 18446744073709551615U);
+  REQUIRE(epochOf(200, {{"Store-Era", "7"}, {"Store-Era", "7"}}).epoch == 7);
   for (const char* malformed : {"", " ", "-1", "+7", "7.0", "7 8", "0x7", "seven", "18446744073709551616"}) {
     CAPTURE(malformed);
-    REQUIRE(told(200, {{"Store-Era", malformed}}).kind == ToldEpoch::Kind::kMalformed);
+    REQUIRE(epochOf(200, {{"Store-Era", malformed}}).kind == ToldEpoch::Kind::kMalformed);
   }
-  REQUIRE(told(200, {{"Store-Era", "7"}, {"Store-Era", "8"}}).kind == ToldEpoch::Kind::kMalformed);
+  REQUIRE(epochOf(200, {{"Store-Era", "7"}, {"Store-Era", "8"}}).kind == ToldEpoch::Kind::kMalformed);
 }
 
 }  // namespace oakpier::serving::platform
--- a/tests/serving/programs/held_signals_test.cpp
+++ b/tests/serving/programs/blocked_signals_test.cpp
@@ -1,4 +1,4 @@
-#include "programs/common/held_signals.h"
+#include "programs/common/blocked_signals.h"
 
 #include <catch2/catch.hpp>
 
@@ -13,13 +13,13 @@
 }  // namespace
 
 TEST_CASE("signals that come before their handlers are there wait for them", "[serving]") {
-  holdSignals();
+  blockSignals();
   std::raise(SIGHUP);
   std::raise(SIGTERM);
   REQUIRE(handled == 0);
   const auto hangup = std::signal(SIGHUP, handle);
   const auto terminate = std::signal(SIGTERM, handle);
-  deliverSignals();
+  unblockSignals();
   REQUIRE(handled == 2);
   std::signal(SIGHUP, hangup);
   std::signal(SIGTERM, terminate);
--- a/tests/serving/programs/causes_test.cpp
+++ b/tests/serving/programs/causes_test.cpp
@@ -21,7 +21,7 @@
 const std::vector<std::string> kShards{"s0", "s1", "s2", "s3"};
 
 /// Loss as a caller computes it from the answer and its latency.
-double lostByCaller(const FinalAnswer& answer, Duration taken, Duration target) {
+double callerLoss(const FinalAnswer& answer, Duration taken, Duration target) {
   if (const auto* forwarded = std::get_if<ForwardedAnswer>(&answer)) {
     return forwarded->reply->status == 200 && taken <= target ? 0.0 : 1.0;
   }
@@ -35,7 +35,7 @@
 }
 
 /// Runs queries with generated outcomes; returns the sum of their callers' losses.
-double playDay(LossLedger& ledger, int queries) {
+double runQueries(LossLedger& ledger, int queries) {
   const bool gather = *rc::gen::arbitrary<bool>();
   const auto view = viewOf({gather ? gatherRoute(kShards, 0.5) : singleRoute("s0", true, 2)}, kShards, 2);
   const Route& route = view->configuration->routes[0];
@@ -61,7 +61,7 @@
                                           Kind::kNotExecuted, Kind::kLeafFailed);
       actions = query.onOutcome(send.exchange, outcomeOf(kind, std::string(16, 'r')), at(now));
     }
-    lost += lostByCaller(*actions.answer, at(now) - receivedAt, route.targetLatency);
+    lost += callerLoss(*actions.answer, at(now) - receivedAt, route.targetLatency);
     ledger.add(route.name, query.lossOf(*actions.answer, at(now)), at(now));
   }
   return lost;
@@ -86,12 +86,12 @@
     const int queries = *rc::gen::inRange(1, 20);
     {
       LossLedger ledger;
-      lost = playDay(ledger, queries);
+      lost = runQueries(ledger, queries);
     }
     LossReport report;
     std::istringstream lines(captured.text());
-    addLosses(lines, report);
-    RC_ASSERT(report.unreadable == 0U);
+    readLosses(lines, report);
+    RC_ASSERT(report.malformedLines == 0U);
     RC_ASSERT(report.routes.size() == 1U);
     RC_ASSERT(report.routes.begin()->second.requests == static_cast<std::uint64_t>(queries));
     RC_ASSERT(std::abs(report.routes.begin()->second.lost - lost) < 1e-6);
@@ -114,9 +114,9 @@
   REQUIRE(std::count(text.begin(), text.end(), '\n') <= 12);
   LossReport report;
   std::istringstream lines(text);
-  addLosses(lines, report);
+  readLosses(lines, report);
   REQUIRE(report.routes.at("page").causes.at("owner late") == Approx(25'000));
-  REQUIRE(report.routes.at("page").atOwners.at("every leaf asked slow") == Approx(100'000));
+  REQUIRE(report.routes.at("page").delegatedCauses.at("every leaf asked slow") == Approx(100'000));
 }
 
 TEST_CASE("losses are printed by route and cause, largest first", "[serving]") {
@@ -130,8 +130,8 @@
       "not a log line\n"
       "1.0 gateway-1 {\"time_us\":7000003,\"message\":\"loss\",\"cause\":\"of no route\"}\n");
   LossReport report;
-  addLosses(lines, report);
-  REQUIRE(report.unreadable == 1);
+  readLosses(lines, report);
+  REQUIRE(report.malformedLines == 1);
   std::ostringstream out;
   printLosses(report, true, out);
   const std::string text = out.str();
@@ -155,11 +155,11 @@
   }
   LossReport report;
   std::istringstream lines(captured.text());
-  addLosses(lines, report);
+  readLosses(lines, report);
   std::ostringstream out;
   printLosses(report, false, out);
   CAPTURE(out.str());
-  REQUIRE(report.unreadable == 0);
+  REQUIRE(report.malformedLines == 0);
   REQUIRE(report.routes.at("page").causes.size() == causes.size());
   // The figures are aligned, also after the longest cause.
   const std::string share = "      1.00   16.67 %\n";
