--- a/src/programs/control/main.cpp
+++ b/src/programs/control/main.cpp
@@ -49,8 +49,9 @@
   app.require_subcommand(1);
   std::string daemon;
   std::string output = "table";
-  app.add_option("--daemon", daemon, "Operator address of any daemon")->check(oakpier::endpointValidator());
-  app.add_option("--output", output, "table or json")
+  app.add_option("--daemon", daemon, "Call the daemon at this operator address; any daemon will do")
+      ->check(oakpier::endpointValidator());
+  app.add_option("--output", output, "Print a table or json")
       ->check(CLI::IsMember({"table", "json"}))
       ->capture_default_str();
   std::string file;
@@ -58,25 +59,25 @@
   bool dryRun = false;
   CLI::App* get = app.add_subcommand("get", "Print the configuration in force, as JSON");
   CLI::App* validate = app.add_subcommand("validate", "Check a configuration file");
-  validate->add_option("file", file, "JSON of a Configuration")->required();
+  validate->add_option("file", file, "Read a Configuration as JSON from this file")->required();
   CLI::App* apply =
       app.add_subcommand("apply", "Show the difference to the configuration in force, then apply the file");
-  apply->add_option("file", file, "JSON of a Configuration")->required();
+  apply->add_option("file", file, "Read a Configuration as JSON from this file")->required();
   apply->add_flag("--dry-run", dryRun, "Show the difference, change nothing");
   CLI::App* status = app.add_subcommand("status", "Show members, revisions in force and leafs");
   CLI::App* drain = app.add_subcommand("drain", "Stop sending new requests to a leaf");
-  drain->add_option("leaf", leaf, "Name of the leaf")->required();
+  drain->add_option("leaf", leaf, "Change the leaf of this name")->required();
   CLI::App* undrain = app.add_subcommand("undrain", "Send requests to a drained leaf again");
-  undrain->add_option("leaf", leaf, "Name of the leaf")->required();
+  undrain->add_option("leaf", leaf, "Change the leaf of this name")->required();
   CLI::App* explain = app.add_subcommand(
       "explain", "Explain the outcome of a request from gateways' log lines on standard input");
   std::string id;
-  explain->add_option("id", id, "The request's id")->required();
+  explain->add_option("id", id, "Explain the request of this id")->required();
   CLI::App* causes =
       app.add_subcommand("causes", "Sum up the losses in gateways' log lines, by route and cause");
   std::vector<std::string> logs;
   bool bySecond = false;
-  causes->add_option("log", logs, "Log files; standard input when none is given")->check(CLI::ExistingFile);
+  causes->add_option("log", logs, "Read these log files; default: standard input")->check(CLI::ExistingFile);
   causes->add_flag("--by-second", bySecond, "Also show the losses of each second");
   try {
     app.parse(argumentCount, arguments);
--- a/tests/platform_model/fault_schedule.cpp
+++ b/tests/platform_model/fault_schedule.cpp
@@ -32,8 +32,8 @@
 constexpr Duration kMaxQuickGap = std::chrono::milliseconds(900);
 constexpr double kQuickProbability = 0.3;
 constexpr Duration kMaxBackupAge = std::chrono::seconds(9);
-/// Writers have rewritten lost records, and daemons have received them, before the time without faults
-/// begins.
+/// Minimum time between the last restoration and the recovery time: writers rewrite lost records in it, and
+/// daemons receive them.
 constexpr Duration kRewriteTime = std::chrono::seconds(3);
 
 }  // namespace
--- a/tests/platform_model/main.cpp
+++ b/tests/platform_model/main.cpp
@@ -21,18 +21,21 @@
   settings.folder = "/tmp/oakpier-platform-day-" + std::to_string(getpid());
   double seconds = 6;
   bool hold = false;
-  app.add_option("deployment", name, "tavua or fund-prices")->check(CLI::IsMember({"tavua", "fund-prices"}));
-  app.add_option("--gateway", settings.gatewayProgram, "path of the gateway program")
+  app.add_option("deployment", name, "simulate tavua or fund-prices")
+      ->check(CLI::IsMember({"tavua", "fund-prices"}));
+  app.add_option("--gateway", settings.gatewayProgram, "run this gateway program")
       ->required()
       ->check(CLI::ExistingFile);
-  app.add_option("--folder", settings.folder, "directory for settings files and logs");
-  app.add_option("--seconds", seconds, "duration of the traffic")->check(CLI::Range(1.0, 600.0));
-  app.add_option("--seed", settings.seed, "random seed of arrivals, service times, answers and faults");
-  app.add_flag("!--calm", settings.disturbances, "without the fixed sequence of disturbances");
+  app.add_option("--folder", settings.folder, "write settings files and logs to this directory");
+  app.add_option("--seconds", seconds, "generate traffic for this many seconds")
+      ->check(CLI::Range(1.0, 600.0));
+  app.add_option("--seed", settings.seed, "draw arrivals, service times, answers and faults from this seed");
+  app.add_flag("!--calm", settings.disturbances, "omit the fixed sequence of disturbances");
   app.add_flag("--ending-requests", settings.crashingRequests,
                "send requests repeatedly that crash each leaf that runs them");
-  app.add_flag("--faults", settings.faults, "random faults drawn from the seed; the schedule is printed");
-  app.add_flag("--restorations", settings.restorations, "with --faults: restore the store from backups");
+  app.add_flag("--faults", settings.faults,
+               "inject random faults drawn from the seed and print their schedule");
+  app.add_flag("--restorations", settings.restorations, "restore the store from backups (requires --faults)");
   app.add_flag("--stalled-output", settings.stalledOutput, "leave the gateways' output unread");
   app.add_flag(
       "--few-connections", settings.expectDelegation,
--- a/tests/platform_model/platform_day.cpp
+++ b/tests/platform_model/platform_day.cpp
@@ -283,7 +283,7 @@
 
 void PlatformDay::sendCrashingRequest(const std::string& target, Gateway& gateway) {
   const HeaderNames names = platform::headerNames();
-  const std::string id = "ending-" + std::to_string(nextRequest_++);
+  const std::string id = "crashing-" + std::to_string(nextRequest_++);
   const HttpRequest request{
       "GET", target, {{"Host", kHost}, {names.requestId, id}, {names.deadline, "1500"}}, ""};
   if (!isUpToDate(gateway)) {
--- a/tests/serving/platform/leaf_entries_test.cpp
+++ b/tests/serving/platform/leaf_entries_test.cpp
@@ -24,7 +24,7 @@
 const std::vector<std::string> kFields{"service",  "address", "zone",     "version",
                                        "capacity", "state",   "sequence", "warmup_left_ms"};
 const std::vector<std::string> kOthers{"other-1", "other-2", "other-3"};
-const std::string kAffectedLeaf = "forged";
+const std::string kAffectedLeaf = "affected";
 
 std::string base64Of(const std::string& bytes) {
   namespace base64 = boost::beast::detail::base64;
@@ -373,7 +373,7 @@
   FollowerFixture follower;
   json items = goodItems();
   for (std::uint64_t number = 0; number < 400; ++number) {
-    items.push_back(itemOf("forged-" + std::to_string(number), "{}", 10 + number));
+    items.push_back(itemOf("invalid-" + std::to_string(number), "{}", 10 + number));
   }
   items.push_back(7);
   follower.list(items, 500);
