--- a/tests/platform_model/observations.cpp
+++ b/tests/platform_model/observations.cpp
@@ -67,7 +67,7 @@
 
 void Observations::onCrashingSend(const std::string& target, const std::string& requestId, Moment now) {
   CrashingRequest& request = crashingRequests_[target];
-  if (laggingRequests_.count(requestId) == 0 && request.thirdCrashAt != kNever &&
+  if (recoveringRequests_.count(requestId) == 0 && request.thirdCrashAt != kNever &&
       now - request.thirdCrashAt > kPropagationTime) {
     ++request.lateSends;
   }
--- a/tests/platform_model/observations.h
+++ b/tests/platform_model/observations.h
@@ -25,7 +25,7 @@
   /// A crashing request has reached a leaf, whether the leaf runs it or not.
   void onCrashingSend(const std::string& target, const std::string& requestId, Moment now);
   /// The request goes to a gateway that a fault has hit recently and that may lack its peers' state.
-  void onSentToLaggingGateway(const std::string& requestId) { laggingRequests_.insert(requestId); }
+  void onSentToRecoveringGateway(const std::string& requestId) { recoveringRequests_.insert(requestId); }
   /// A request got no answer although no fault has hit its gateway.
   void checkAborted(const std::string& requestId);
   /// A leaf has crashed while it ran the request.
@@ -61,7 +61,7 @@
   };
 
   std::map<std::string, CrashingRequest> crashingRequests_;
-  std::set<std::string> laggingRequests_;
+  std::set<std::string> recoveringRequests_;
   std::map<std::string, SignedPart> signed_;
   std::map<std::string, std::size_t> runs_;
   std::map<std::string, Moment> drainingSince_;
--- a/tests/platform_model/platform_day.cpp
+++ b/tests/platform_model/platform_day.cpp
@@ -287,7 +287,7 @@
   const HttpRequest request{
       "GET", target, {{"Host", kHost}, {names.requestId, id}, {names.deadline, "1500"}}, ""};
   if (!isUpToDate(gateway)) {
-    observations_.onSentToLaggingGateway(id);
+    observations_.onSentToRecoveringGateway(id);
   }
   const auto client = clientOf(gateway);
   ++pendingRequests_;
--- a/tests/serving/platform/observations_test.cpp
+++ b/tests/serving/platform/observations_test.cpp
@@ -77,7 +77,7 @@
   for (int send = 0; send < 9; ++send) {
     observations.onCrashingSend("/x", "soon", at(900));
   }
-  observations.onSentToLaggingGateway("lost");
+  observations.onSentToRecoveringGateway("lost");
   observations.onCrashingSend("/x", "lost", at(5000));
   for (int send = 0; send < lateSends; ++send) {
     observations.onCrashingSend("/x", "again", at(5000));
