--- a/src/protocol/serving/caller_credentials.cpp
+++ b/src/protocol/serving/caller_credentials.cpp
@@ -9,10 +9,10 @@
 constexpr std::string_view kAuthorization = "Authorization";
 constexpr char kDelete = 0x7f;
 
-/// Letters that a key may hold: no space, and nothing that a log, a terminal or a header takes for an end.
+/// Excludes spaces and control characters, which could break up headers and log lines.
 bool isKeyLetter(char letter) { return static_cast<unsigned char>(letter) > ' ' && letter != kDelete; }
 
-/// The only header of that name; null when there is none or more than one.
+/// The value of the only header with that name; null if there is none or more than one.
 const std::string* onlyHeader(const HeaderList& headers, std::string_view name) {
   const std::string* only = nullptr;
   for (const Header& header : headers) {
@@ -36,7 +36,7 @@
   }
   const std::string_view text = *value;
   const std::size_t schemeEnd = text.find(' ');
-  // Schemes do not tell cases apart, as names of headers do not.
+  // Schemes are case-insensitive, like header names.
   if (schemeEnd == std::string_view::npos || !sameHeaderName(text.substr(0, schemeEnd), names.keyScheme)) {
     return std::nullopt;
   }
--- a/src/protocol/serving/caller_credentials.h
+++ b/src/protocol/serving/caller_credentials.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The key that a caller shows, and what leafs and other daemons see of it: never the key, but the name of
-/// the tenant that holds it.
+/// Extracts a caller's key from a request and replaces it by the name of its tenant, so that neither leafs
+/// nor peers see the key.
 
 #include <optional>
 #include <string>
@@ -12,12 +12,12 @@
 
 namespace oakpier::serving {
 
-/// The key in the header `Authorization`; none when there is no such header, more than one, or one of another
-/// form.
+/// The key in the Authorization header; empty if the header is missing, repeated or malformed, or has another
+/// scheme than `names.keyScheme`.
 std::optional<std::string_view> keyOf(const HeaderList& headers, const HeaderNames& names);
 
-/// Takes the key and everything that the caller says of its tenant out of the request, and notes the tenant
-/// that it is served as; empty: none.
+/// Removes the Authorization and tenant headers that the caller sent, and sets the request's tenant; empty:
+/// none.
 void replaceCredentials(HttpRequest& request, const std::string& tenant, const HeaderNames& names);
 
 }  // namespace oakpier::serving
--- a/src/protocol/serving/ending_requests_codec.cpp
+++ b/src/protocol/serving/ending_requests_codec.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Older evidence than a daemon keeps is not believed; it also bounds what a moment is computed from.
+/// Older records are rejected, as daemons do not keep them that long. Also keeps the conversion to `Moment`
+/// from overflowing.
 constexpr std::uint64_t kOldestAge = std::chrono::microseconds(std::chrono::hours(48)).count();
 
 std::uint64_t ageOf(Moment moment, Moment now) {
--- a/src/protocol/serving/ending_requests_codec.h
+++ b/src/protocol/serving/ending_requests_codec.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What daemons tell each other of requests that end leafs. Moments travel as ages, since every daemon has a
-/// clock of its own.
+/// Encodes records of requests that crashed leafs, for exchange between daemons. Times are encoded as ages,
+/// since each daemon has its own clock.
 
 #include <vector>
 
@@ -10,11 +10,11 @@
 
 namespace oakpier::serving {
 
-/// Records in one frame at most: about 5 KB.
+/// Maximum number of records per frame, which is then about 5 KB.
 inline constexpr std::size_t kMostEndingRequestsInFrame = 64;
 
 EndingRequests encodeEndingRequests(const std::vector<QuarantineRecord>& records, Moment now);
-/// Records that break a bound are left out.
+/// Skips records with out-of-range fields and those beyond the maximum number per frame.
 std::vector<QuarantineRecord> decodeEndingRequests(const EndingRequests& message, Moment now);
 
 }  // namespace oakpier::serving
--- a/src/protocol/serving/header_names.h
+++ b/src/protocol/serving/header_names.h
@@ -1,35 +1,35 @@
 #pragma once
 
-/// Names of the headers that callers, the gateway and leafs exchange. The defaults are the product's own; a
-/// deployment's adapter may give others.
+/// Names of the headers that callers, the gateway and leafs exchange. A deployment's adapter may override the
+/// defaults.
 
 #include <string>
 
 namespace oakpier::serving {
 
 struct HeaderNames {
-  /// Identifies one request of a caller; leafs return it.
+  /// Id of a caller's request; leafs echo it.
   std::string requestId = "Oakpier-Request-Id";
-  /// Milliseconds that the caller, or the gateway towards a leaf, will wait.
+  /// Milliseconds that the sender (the caller, or the gateway towards a leaf) waits for the answer.
   std::string deadline = "Oakpier-Deadline-Ms";
-  /// A leaf's signature of one answer.
+  /// A leaf's signature of an answer.
   std::string signature = "Oakpier-Signature";
-  /// The incarnation of the leaf that a request is meant for.
+  /// Id of the leaf that a request is meant for.
   std::string expectedInstance = "Oakpier-Expected-Instance";
-  /// Requests running, requests waiting and slots of a leaf, separated by commas; some add how long work
-  /// takes there at present, in hundredths of what is usual.
+  /// Load of a leaf, as comma-separated numbers: running requests, queued requests, slots and, optionally,
+  /// the current processing time in percent of the usual one.
   std::string load = "Oakpier-Load";
-  /// Milliseconds that a leaf is still cold.
+  /// Remaining warm-up time of a leaf, in milliseconds.
   std::string warmup = "Oakpier-Warmup-Ms";
-  /// A leaf's statement that it did not run the request.
+  /// Present if the leaf did not run the request.
   std::string notExecuted = "Oakpier-Not-Executed";
-  /// Signatures of the parts of a merged answer, separated by commas.
+  /// Comma-separated signatures of the parts of a merged answer.
   std::string partSignatures = "Oakpier-Part-Signatures";
-  /// How many shards a merged answer lacks.
+  /// Number of shards missing from a merged answer.
   std::string missingParts = "Oakpier-Missing-Parts";
-  /// The tenant for which a leaf runs a request.
+  /// Name of the tenant on whose behalf a leaf runs a request.
   std::string tenant = "Oakpier-Tenant";
-  /// The scheme of the header `Authorization` under which a caller's key stands.
+  /// The Authorization scheme of a caller's key.
   std::string keyScheme = "Bearer";
 };
 
--- a/src/protocol/serving/hop_headers.h
+++ b/src/protocol/serving/hop_headers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Headers that concern one connection only and are never passed on.
+/// Hop-by-hop headers, which apply to one connection and are never forwarded.
 
 #include <string_view>
 
@@ -8,10 +8,11 @@
 
 namespace oakpier::serving {
 
-/// `message` is asked for the names that its own Connection header lists.
+/// True for the standard hop-by-hop headers, for Content-Length, which is written anew for each message, and
+/// for those listed in the Connection header of `message`.
 bool isHopHeader(std::string_view name, const HeaderList& message);
 
-/// Whole number of milliseconds, or empty when the text is none.
+/// Parses a decimal integer; false if `text` is anything else.
 bool parseMilliseconds(std::string_view text, std::uint64_t& milliseconds);
 
 }  // namespace oakpier::serving
--- a/src/protocol/serving/leaf_messages.h
+++ b/src/protocol/serving/leaf_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Requests to leafs and what their replies mean.
+/// Serializes requests to leafs and interprets their replies.
 
 #include <memory>
 #include <optional>
@@ -14,7 +14,7 @@
 
 namespace oakpier::serving {
 
-/// The part of a caller's request that every leaf gets alike, serialized once.
+/// A caller's request, serialized once except for the headers that differ between attempts.
 class LeafRequestTemplate {
  public:
   LeafRequestTemplate(const HttpRequest& request, const HeaderNames& names);
@@ -22,10 +22,10 @@
   const std::string& requestId() const { return requestId_; }
   /// Empty: none.
   const std::string& tenant() const { return tenant_; }
-  /// Never null.
+  /// Shared by all attempts of the request; never null.
   const std::shared_ptr<RequestRecord>& record() const { return record_; }
   bool isHead() const { return isHead_; }
-  /// The bytes of the request to one leaf, which may work on it for `remaining`.
+  /// The serialized request to the leaf `instance`, with `remaining` as its deadline.
   std::string bytesFor(const std::string& instance, Duration remaining) const;
 
  private:
@@ -38,13 +38,14 @@
   bool isHead_ = false;
 };
 
-/// What a whole reply to the request with that id says; `kNoAnswer` for one that cannot be trusted.
+/// Interprets a complete reply. An unsigned or encoded one counts as `kNoAnswer`, unless it says that the
+/// request did not run.
 LeafOutcome classifyReply(std::shared_ptr<const HttpReply> reply, const HeaderNames& names);
 
-/// True when the reply carries that request id back.
+/// True if the reply echoes `requestId`.
 bool repliesTo(const HttpReply& reply, const std::string& requestId, const HeaderNames& names);
 
-/// How long the leaf keeps an idle connection, if the reply tells.
+/// The timeout of the Keep-Alive header: how long the leaf keeps an idle connection open.
 std::optional<Duration> idleTimeoutOf(const HttpReply& reply);
 
 }  // namespace oakpier::serving
--- a/src/protocol/serving/news_codec.cpp
+++ b/src/protocol/serving/news_codec.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Smaller news are not worth the time.
+/// Smaller updates are sent uncompressed.
 constexpr std::size_t kLeastPackedBytes = 600;
-/// Larger news are refused, so that a faulty peer cannot use up the memory.
+/// Larger updates are rejected, so that a faulty peer cannot exhaust the memory.
 constexpr std::size_t kLargestNewsBytes = std::size_t{128} * 1024 * 1024;
-/// Of 1 (fastest) to 9.
+/// zlib level, from 1 (fastest) to 9 (smallest).
 constexpr int kCompressionLevel = 3;
 
 std::optional<PackedSourceNews> compress(SourceNews news) {
--- a/src/protocol/serving/news_codec.h
+++ b/src/protocol/serving/news_codec.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Packs news of the configuration source into frames between daemons. Records are texts that repeat the same
-/// names, and each daemon passes them on several times, so larger news travel compressed.
+/// Encodes updates from the configuration source into frames between daemons. Larger updates are compressed:
+/// their records are repetitive text, and each daemon forwards an update to several peers.
 
 #include <cstdint>
 #include <optional>
@@ -11,19 +11,19 @@
 
 namespace oakpier::serving {
 
-/// Sets the envelope's body.
+/// Sets the envelope's body to the update, compressed if it is large.
 void packNews(const SourceNews& news, PeerEnvelope& envelope);
 
-/// Packs like `packNews`, but news that was packed last, its age aside, is not compressed again: the same
-/// news goes to several daemons, and whole states are large.
+/// Works like `packNews`, but reuses the last compressed update if only the age differs, since an update is
+/// sent to several peers and a full state is large.
 class NewsPacker {
  public:
   void pack(const SourceNews& news, PeerEnvelope& envelope);
-  /// How often news was compressed.
+  /// Number of updates that were compressed rather than reused.
   std::uint64_t compressions() const { return compressions_; }
 
  private:
-  /// What of the last news tells it from others: what a revision holds does not change within an epoch.
+  /// Identifies an update's content: within an epoch, the content of a revision is immutable.
   struct Identity {
     bool whole = false;
     std::uint64_t epoch = 0;
@@ -40,7 +40,7 @@
   std::uint64_t compressions_ = 0;
 };
 
-/// The news in the envelope; empty when it holds none, or bytes that are not news.
+/// The update in the envelope; empty if there is none or if it is corrupted.
 std::optional<SourceNews> unpackNews(const PeerEnvelope& envelope);
 
 }  // namespace oakpier::serving
--- a/src/protocol/serving/source_dialect.h
+++ b/src/protocol/serving/source_dialect.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// How a deployment's read-only configuration source is spoken to over HTTP, and what its records mean. The
-/// source reader decides what is asked and when; a dialect only translates.
+/// Interface to a deployment's configuration source, which is read over HTTP and never written. An
+/// implementation encodes calls and decodes replies and records; `SourceReader` decides which call to make
+/// and when.
 
 #include <string>
 
@@ -14,7 +15,6 @@
 class SourceDialect {
  public:
   virtual ~SourceDialect() = default;
-  /// The request that makes the call.
   virtual HttpRequest requestFor(const SourceCall& call) const = 0;
   virtual SourceAnswer decode(const SourceCall& call, const HttpReply& reply) const = 0;
   virtual SourceStatement interpret(const SourceRecord& record) const = 0;
--- a/src/state/serving/http_message.h
+++ b/src/state/serving/http_message.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP requests and replies as plain values, whole: bodies are held, not streamed.
+/// HTTP requests and replies as plain values. Bodies are held in memory completely, not streamed.
 
 #include <string>
 #include <string_view>
@@ -17,11 +17,11 @@
 
 struct HttpRequest {
   std::string method;
-  /// Path and query as the caller sent them.
+  /// Path and query, exactly as received.
   std::string target;
   HeaderList headers;
   std::string body;
-  /// The tenant for which a leaf runs it; empty: none.
+  /// Name of the tenant on whose behalf the request runs; empty: none.
   std::string tenant = {};
 };
 
@@ -32,10 +32,10 @@
   std::string body;
 };
 
-/// Compares header names, which do not tell cases apart.
+/// Compares header names case-insensitively.
 bool sameHeaderName(std::string_view left, std::string_view right);
 
-/// The first header of that name; null when there is none.
+/// The value of the first header with that name; null if there is none.
 const std::string* findHeader(const HeaderList& headers, std::string_view name);
 
 }  // namespace oakpier::serving
--- a/src/state/serving/leaf_directory.h
+++ b/src/state/serving/leaf_directory.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The leafs that the configuration source lists, by service.
+/// The leafs that the configuration source lists, by service, and the view that request handling works on.
 
 #include <cstdint>
 #include <map>
@@ -19,23 +19,23 @@
 
 namespace oakpier::serving {
 
-/// What a leaf says of one life of it.
+/// The state that a leaf has published about one of its incarnations.
 struct LeafEntry {
   std::string id;
-  /// When its process began, in milliseconds since 1970; 0: not told. See `LeafLife`.
+  /// Start time of its process, in milliseconds since the Unix epoch; 0: not reported.
   std::uint64_t bornAt = 0;
   std::string service;
   Endpoint address;
   std::string zone;
-  /// Requests that it works on at once.
+  /// Number of requests that it processes concurrently.
   unsigned slots = 1;
-  /// It takes no new work.
+  /// Shutting down: accepts no new requests.
   bool draining = false;
-  /// The operator wants nothing new sent to its zone.
+  /// The operator is evacuating its zone: no new requests are sent there.
   bool evacuated = false;
-  /// How much longer it is cold, counted from when it said so.
+  /// Remaining warm-up time, counted from when the leaf reported it.
   Duration warmupLeft{};
-  /// Where in the source's history it stands; none when the source was not read.
+  /// Position of this entry in the source's history; default if it was not read from a source.
   SourcePosition position;
 
   bool sameAs(const LeafEntry& other) const {
@@ -47,21 +47,21 @@
   bool isOf(const LeafLife& life) const {
     return bornAt == life.bornAt && address == life.address && id == life.id;
   }
-  /// New requests may be sent to it.
   bool takesWork() const { return !draining && !evacuated; }
 };
 
 using LeafsByService = std::unordered_map<std::string, std::vector<LeafEntry>>;
 
-/// One version of all that a request is served by; immutable, published as a whole.
+/// An immutable snapshot of the configuration and the leafs. Requests use one view throughout; changes are
+/// published as a new view.
 struct ServingView {
-  /// Null until the first configuration is known. Its tenants are without their keys.
+  /// Null until the first configuration is known. Its tenants do not include their keys.
   std::shared_ptr<const ServingConfiguration> configuration;
   std::shared_ptr<const RouteTable> routes;
   /// Null until the first configuration is known.
   std::shared_ptr<const TenantTable> tenants;
   std::shared_ptr<const LeafsByService> leafs;
-  /// Everything that the source held there was known when the view was made.
+  /// The view reflects all changes of the source up to this position.
   SourcePosition position;
 };
 
--- a/src/state/serving/request_fingerprint.cpp
+++ b/src/state/serving/request_fingerprint.cpp
@@ -25,14 +25,14 @@
 }
 
 RequestFingerprint fingerprintOf(const HttpRequest& request) {
-  // A tenant's second key, or a new one, is the same caller.
+  // All keys of a tenant identify the same caller.
   const std::string_view caller =
       request.tenant.empty() ? valueOf(request, "Authorization") : std::string_view(request.tenant);
   const std::array<std::string_view, 5> parts = {request.method, valueOf(request, "Host"), request.target,
                                                  caller, request.body};
   std::string bytes;
   for (const std::string_view part : parts) {
-    // With its length, so that bytes can't move from one part to the next unnoticed.
+    // The length prefix keeps different requests from yielding the same concatenation.
     bytes.append(std::to_string(part.size())).append(":").append(part);
   }
   const XXH128_hash_t digest = XXH3_128bits(bytes.data(), bytes.size());
--- a/src/state/serving/request_fingerprint.h
+++ b/src/state/serving/request_fingerprint.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What tells whether two requests ask for the same work, whatever their ids: method, host, path with query,
-/// tenant (or, without one, credentials) and body.
+/// Fingerprints of requests: a hash of the method, the host, the path with the query, the tenant (without
+/// one, the Authorization header) and the body.
 
 #include <cstdint>
 #include <string>
@@ -10,8 +10,7 @@
 
 namespace oakpier::serving {
 
-/// 128 bits, so that of a million requests a second two that differ are not taken for one within any
-/// daemon's life: at 10^12 requests the chance is about 10^-15.
+/// A 128-bit hash. The probability of a collision among 10^12 requests is about 10^-15.
 struct RequestFingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -21,12 +20,12 @@
   bool operator<(const RequestFingerprint& other) const {
     return high != other.high ? high < other.high : low < other.low;
   }
-  /// 32 hexadecimal digits, as logs show it.
+  /// 32 hexadecimal digits, as in logs.
   std::string text() const;
 };
 
-/// The same on every daemon. Headers that differ between repeats of a request, such as its id and its
-/// deadline, do not count.
+/// The result is the same on every daemon. All other headers are ignored, since some of them, such as the
+/// request id and the deadline, differ between repetitions of a request.
 RequestFingerprint fingerprintOf(const HttpRequest& request);
 
 struct RequestFingerprintHash {
--- a/src/state/serving/route_table.h
+++ b/src/state/serving/route_table.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Finds the route of a request: among the routes of its host, the one with the longest matching path prefix.
+/// Finds the route of a request: of the routes of its host, the one with the longest matching path prefix.
 
 #include <string>
 #include <string_view>
@@ -10,12 +10,12 @@
 
 namespace oakpier::serving {
 
-/// Immutable. Refers to the routes of the configuration it was built from, which must outlive it.
+/// Immutable. Holds pointers to the routes of the configuration it was built from, which must outlive it.
 class RouteTable {
  public:
   explicit RouteTable(const ServingConfiguration& configuration);
 
-  /// `host` may carry a port; `target` may carry a query. Null when no route matches.
+  /// `host` may include a port, `target` a query. Null if no route matches.
   const Route* find(std::string_view host, std::string_view target) const;
 
  private:
--- a/src/state/serving/serving_configuration.cpp
+++ b/src/state/serving/serving_configuration.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Printable ASCII without a space at either end: such a value reaches leafs as it is, and cannot end a line.
+/// True for printable ASCII without leading or trailing spaces, which reaches leafs unchanged and cannot
+/// inject header lines.
 bool canBeHeaderValue(const std::string& text) {
   const bool printable =
       std::all_of(text.begin(), text.end(), [](char letter) { return letter >= ' ' && letter <= '~'; });
@@ -16,7 +17,7 @@
 }
 
 std::string loggableName(const std::string& name) {
-  return canBeHeaderValue(name) ? name : std::string("with an unusable name");
+  return canBeHeaderValue(name) ? name : std::string("<invalid name>");
 }
 
 class ConfigurationCheck {
@@ -29,8 +30,9 @@
 
   std::vector<std::string> run() {
     for (const ServiceDefinition& service : configuration_.services) {
-      require(service.maximumConnections > 0, "service " + service.name + ": the connection limit is 0");
-      require(service.warmupRate >= 0, "service " + service.name + ": the rate of cold leafs is negative");
+      require(service.maximumConnections > 0,
+              "service " + service.name + ": the maximum number of connections is 0");
+      require(service.warmupRate >= 0, "service " + service.name + ": the warm-up rate is negative");
     }
     for (const Route& route : configuration_.routes) {
       checkRoute(route);
@@ -38,7 +40,7 @@
     for (const Tenant& tenant : configuration_.tenants) {
       checkTenant(tenant);
     }
-    require(configuration_.limits.headerBytes > 0, "limits: no header bytes are allowed");
+    require(configuration_.limits.headerBytes > 0, "limits: the maximum header size is 0");
     require(configuration_.limits.headerTimeout.count() > 0, "limits: the header timeout is 0");
     require(configuration_.limits.idleTimeout.count() > 0, "limits: the idle timeout is 0");
     return std::move(problems_);
@@ -55,13 +57,13 @@
     const std::string label = "route " + route.name + ": ";
     const std::string& prefix = route.pathPrefix;
     const bool slashes = !prefix.empty() && prefix.front() == '/' && prefix.back() == '/';
-    require(slashes, label + "the path prefix does not begin and end with a slash");
-    require(!route.host.empty(), label + "no host");
+    require(slashes, label + "the path prefix does not start and end with a slash");
+    require(!route.host.empty(), label + "the host is empty");
     require(routePlaces_.insert(route.host + prefix).second,
-            label + "another route has its host and path prefix");
+            label + "another route has the same host and path prefix");
     require(route.timeout.count() > 0, label + "the timeout is 0");
     require(route.targetLatency.count() > 0, label + "the target latency is 0");
-    require(route.attempts > 0, label + "no attempt is allowed");
+    require(route.attempts > 0, label + "the maximum number of attempts is 0");
     if (const auto* gather = std::get_if<GatherTarget>(&route.target)) {
       checkGather(route, *gather, label);
     } else {
@@ -70,7 +72,7 @@
   }
 
   void checkSingle(const SingleTarget& target, const std::string& label) {
-    require(!target.services.empty(), label + "no service");
+    require(!target.services.empty(), label + "no service is given");
     double total = 0;
     for (const WeightedService& part : target.services) {
       checkService(part.service, label);
@@ -81,25 +83,25 @@
   }
 
   void checkGather(const Route& route, const GatherTarget& target, const std::string& label) {
-    require(route.repeatable, label + "a request to all shards must be repeatable");
-    require(!target.shards.empty(), label + "no shard");
-    require(target.topRecords > 0, label + "no record is asked for");
+    require(route.repeatable, label + "a gather route must be repeatable");
+    require(!target.shards.empty(), label + "no shard is given");
+    require(target.topRecords > 0, label + "the number of records is 0");
     const bool shareInBounds = target.minimumShardShare >= 0 && target.minimumShardShare <= 1;
-    require(shareInBounds, label + "the least share of the shards is not within 0 and 1");
+    require(shareInBounds, label + "the minimum fraction of the shards is not between 0 and 1");
     std::set<std::string> seen;
     for (const std::string& shard : target.shards) {
       checkService(shard, label);
       std::string twice = label;
-      twice.append("shard ").append(shard).append(" is named twice");
+      twice.append("shard ").append(shard).append(" is listed twice");
       require(seen.insert(shard).second, twice);
     }
   }
 
   void checkService(const std::string& service, const std::string& label) {
-    require(services_.count(service) != 0, label + "service " + service + " is not declared");
+    require(services_.count(service) != 0, label + "service " + service + " is not defined");
   }
 
-  /// Problems are logged: they name a key by its place, never by its text.
+  /// Error messages are logged, so they identify a key by its number and never contain it.
   void checkTenant(const Tenant& tenant) {
     require(!tenant.name.empty(), "a tenant has no name");
     require(canBeHeaderValue(tenant.name), "a tenant's name cannot be the value of a header");
@@ -116,7 +118,7 @@
 
   const ServingConfiguration& configuration_;
   std::set<std::string> services_;
-  /// Hosts and path prefixes of routes.
+  /// The host and path prefix of each route, concatenated.
   std::set<std::string> routePlaces_;
   std::set<std::string> tenants_;
   std::set<std::string_view> tenantKeys_;
--- a/src/state/serving/serving_configuration.h
+++ b/src/state/serving/serving_configuration.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What operators declare for the gateway: routes, the services behind them and limits on callers.
-/// Durations are microseconds (`Duration`), sizes are bytes.
+/// The gateway's configuration: routes, the services behind them, tenants and limits on requests. Durations
+/// have microsecond resolution (`Duration`), sizes are in bytes.
 
 #include <cstdint>
 #include <string>
@@ -13,73 +13,76 @@
 
 namespace oakpier::serving {
 
-/// One of several services that share the requests of a route in proportion to their weights.
+/// A service that receives a share of a route's requests in proportion to its weight.
 struct WeightedService {
   std::string service;
   double weight = 1.0;
 };
 
-/// Requests go to one leaf of one of these services.
+/// Each request goes to one leaf of one of the services, chosen by weight.
 struct SingleTarget {
   std::vector<WeightedService> services;
 };
 
-/// Requests go to one leaf of every shard; the answer merges the shards' records.
+/// Scatter-gather: each request goes to one leaf of every shard, and the shards' records are merged into one
+/// answer.
 struct GatherTarget {
   std::vector<std::string> shards;
-  /// How many of the greatest records an answer holds.
+  /// The number of highest-ranked records that an answer contains.
   std::size_t topRecords = 0;
-  /// The least share of the shards (0 to 1) that a successful answer covers.
+  /// The minimum fraction of the shards (0 to 1) that a successful answer covers.
   double minimumShardShare = 1.0;
 };
 
 struct Route {
   std::string name;
   std::string host;
-  /// Begins and ends with a slash.
+  /// Starts and ends with a slash.
   std::string pathPrefix;
-  /// A repeatable request may run more than once; any other at most once.
+  /// Requests are idempotent and may run more than once; otherwise, each runs at most once.
   bool repeatable = false;
-  /// The longest that a request is held.
+  /// The maximum time from the arrival of a request to its answer.
   Duration timeout{};
-  /// The time within which an answer has its full worth to the caller.
+  /// The latency up to which an answer has its full value to the caller.
   Duration targetLatency{};
-  /// The most leafs that one request may be sent to; for a gather route, for each shard.
+  /// The maximum number of leafs that a request may be sent to; for a gather route, per shard.
   unsigned attempts = 1;
-  /// 0 is the most urgent.
+  /// Priority; 0 is the highest.
   unsigned rank = 0;
-  /// Callers need no key, even where the configuration names tenants.
+  /// Callers need no key, even if the configuration has tenants.
   bool isPublic = false;
   std::variant<SingleTarget, GatherTarget> target;
 };
 
 struct ServiceDefinition {
   std::string name;
-  /// Connections that one leaf accepts from all daemons together.
+  /// The maximum number of connections that one leaf accepts, over all daemons.
   unsigned maximumConnections = 0;
-  /// Requests a second that a cold leaf bears from all daemons together; 0 when no bound is told.
+  /// The maximum rate of a leaf that is warming up, in requests per second over all daemons; 0: unlimited.
   double warmupRate = 0.0;
 };
 
-/// What a caller may send, and how long it may take over it.
+/// Limits on the size of a caller's request and on the time it takes to arrive.
 struct RequestLimits {
   std::size_t headerBytes = 16384;
   std::size_t bodyBytes = 262144;
+  /// From the first byte of a request to its last, including the body.
   Duration headerTimeout = std::chrono::seconds(3);
+  /// How long a connection may stay idle between requests.
   Duration idleTimeout = std::chrono::seconds(15);
 };
 
 struct ServingConfiguration {
-  /// Versions rise, in uneven steps.
+  /// Increases with every change, not necessarily by 1.
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<ServiceDefinition> services;
   RequestLimits limits;
-  /// None: no request needs a key.
+  /// If empty, no request needs a key.
   std::vector<Tenant> tenants;
 };
 
-/// Every reason, in plain words, why the configuration cannot be used; empty when it can.
+/// One message per violated constraint; empty if the configuration is valid.
 std::vector<std::string> problemsOf(const ServingConfiguration& configuration);
 
 }  // namespace oakpier::serving
--- a/src/state/serving/source_position.h
+++ b/src/state/serving/source_position.h
@@ -1,18 +1,19 @@
 #pragma once
 
-/// A place in the history of the configuration source.
+/// A position in the history of the configuration source.
 
 #include <cstdint>
 #include <tuple>
 
 namespace oakpier::serving {
 
-/// Revisions rise with each change within an epoch. When the source comes back from an older copy, an epoch
-/// begins in which revisions go back and are given out again, so that a revision alone names no place.
+/// Revisions increase with each change within an epoch. When the source is restored from a backup, a new
+/// epoch starts, in which revisions restart at a lower number and are reused. Therefore only epoch and
+/// revision together identify a position.
 struct SourcePosition {
-  /// 0 for a source that tells none.
+  /// 0 if the source reports none.
   std::uint64_t epoch = 0;
-  /// 0: nothing of the epoch is known.
+  /// 0: no change of the epoch is known.
   std::uint64_t revision = 0;
 
   bool operator==(const SourcePosition& other) const {
--- a/src/transport/serving/http_service.cpp
+++ b/src/transport/serving/http_service.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr int kListenQueue = 1024;
-/// After a failed accept, as when descriptors run out.
+/// Delay after a failed accept, e.g. when the process is out of file descriptors.
 constexpr Duration kAcceptRetry = std::chrono::milliseconds(50);
 
 }  // namespace
--- a/src/transport/serving/http_service.h
+++ b/src/transport/serving/http_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The HTTP/1.1 server of the gateway: reads whole requests and hands them on; notices when a caller leaves
-/// while its request is in progress.
+/// The HTTP/1.1 server of the gateway: reads complete requests, passes them to a handler and detects callers
+/// that disconnect while their request is in progress.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -20,22 +20,22 @@
 
 class HttpSession;
 
-/// The way back to the caller of one request.
+/// Sends the reply to one request.
 class ResponseWriter {
  public:
   explicit ResponseWriter(std::weak_ptr<HttpSession> session) : session_(std::move(session)) {}
-  /// Exactly one answer a request; without effect when the caller has left.
+  /// Call once per request. Has no effect if the caller has disconnected.
   void write(const HttpReply& reply) const;
 
  private:
   std::weak_ptr<HttpSession> session_;
 };
 
-/// Serves the requests that a server has read.
+/// Processes the requests that an `HttpService` has read.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  /// Returns what is to be called when the caller leaves before its answer; empty when nothing is.
+  /// Returns a function to call if the caller disconnects before it gets its reply; may be empty.
   virtual std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) = 0;
 };
 
@@ -46,19 +46,19 @@
   HttpService& operator=(const HttpService&) = delete;
   ~HttpService();
 
-  /// Returns a text when the address cannot be bound, else an empty one.
+  /// Returns an error message if the service cannot listen at the address, otherwise an empty string.
   std::string listen(const Endpoint& address);
   void setLimits(const RequestLimits& limits) { limits_ = limits; }
   const RequestLimits& limits() const { return limits_; }
 
-  /// Every answer from now on ends its connection.
+  /// From now on, a connection closes after its next reply.
   void startClosing() { closing_ = true; }
   bool closing() const { return closing_; }
-  /// Accepts no more connections and ends the idle ones.
+  /// Stops accepting connections and closes idle ones.
   void stopAccepting();
-  /// Answers every request in progress with this.
+  /// Sends `reply` to every request in progress.
   void answerAll(const HttpReply& reply);
-  /// Requests in progress.
+  /// Number of requests being processed by the handler.
   std::size_t inProgress() const { return inProgress_; }
   std::size_t connections() const { return sessions_.size(); }
 
@@ -75,7 +75,8 @@
   std::unordered_set<HttpSession*> sessions_;
   std::size_t inProgress_ = 0;
   bool closing_ = false;
-  /// Ends with the service. An accept that was done before its end may be handled after it.
+  /// Expires with the service. Lets a completion handler detect that the service was destroyed while the
+  /// handler was queued.
   std::shared_ptr<void> life_ = std::make_shared<char>();
 };
 
--- a/src/transport/serving/http_session.cpp
+++ b/src/transport/serving/http_session.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 4096;
-/// Bytes kept of requests that come while another is served.
+/// Maximum number of bytes buffered of requests that arrive while another is served.
 constexpr std::size_t kEarlyBytes = std::size_t{64} * 1024;
 constexpr Duration kLingerTime = std::chrono::seconds(1);
 constexpr unsigned kBadRequest = 400;
@@ -185,7 +185,7 @@
   isHead_ = message.method() == http::verb::head;
   parser_.reset();
   auto self = shared_from_this();
-  // The caller's end is noticed by reading on; what comes early is kept.
+  // Keep reading to detect a disconnect; bytes of later requests stay in the buffer.
   read();
   auto onGone = service_->handler_.onRequest(requestOf(std::move(message)), ResponseWriter(weak_from_this()));
   if (state_ == State::kServing) {
@@ -248,7 +248,8 @@
 }
 
 void HttpSession::linger() {
-  // Closing with bytes unread would reset the connection and could cost the caller its answer.
+  // Closing a socket with unread data sends a reset, which may make the caller lose the reply. So only the
+  // sending side is closed, and input is discarded for a while.
   state_ = State::kLingering;
   buffer_.consume(buffer_.size());
   boost::system::error_code ignored;
--- a/src/transport/serving/http_session.h
+++ b/src/transport/serving/http_session.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One caller's connection: requests one after another, bytes that come early kept for the next.
+/// The connection of one caller. Serves one request at a time; pipelined requests stay buffered until then.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -24,11 +24,12 @@
   ~HttpSession();
 
   void start();
+  /// Sends a reply, to the request being served or to one that was rejected while it was read.
   void respond(const HttpReply& reply);
   void respondIfServing(const HttpReply& reply);
-  /// Ends the connection if no request is being read or served.
+  /// Closes the connection unless a request is being read or served.
   void closeIfIdle();
-  /// The service is going away; the connection ends without a word.
+  /// Called when the service is destroyed; closes the connection without a reply.
   void detach();
 
  private:
--- a/src/transport/serving/leaf_connection.cpp
+++ b/src/transport/serving/leaf_connection.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 4096;
-/// A leaf that has too many connections accepts a further one and resets it at once. Nothing is written
-/// before that would have been seen, so that a request is not lost to it.
+/// A leaf that has reached its connection limit accepts further connections and resets them immediately. A
+/// new connection is used only after this time, so that no request is lost to such a reset.
 constexpr Duration kAcceptanceTime = std::chrono::microseconds(2500);
 
 }  // namespace
@@ -35,7 +35,7 @@
     self->connectTimer_.cancel();
     if (error) {
       self->wasRefused_ = error == boost::asio::error::connection_refused;
-      // One that is turned away is refused; a reset one was accepted before.
+      // Without a listener the connection is refused; a reset means that it had been accepted.
       self->wasAccepted_ = error == boost::asio::error::connection_reset;
       self->fail();
       return;
@@ -105,7 +105,7 @@
   }
   reader_.buffer().commit(count);
   if (state_ != State::kBusy) {
-    // Bytes that answer no request, or the end of an idle connection.
+    // Unsolicited bytes, or an idle connection was closed.
     fail();
     return;
   }
@@ -128,7 +128,7 @@
   auto reply = std::make_shared<const HttpReply>(reader_.take());
   const bool reusable = reader_.keepsConnection() && !writing_;
   if (!filter_(*reply)) {
-    // A surplus answer to an earlier request; the one that is due may follow.
+    // A duplicate reply to an earlier request; the expected one may follow.
     if (!reusable) {
       fail();
       return;
--- a/src/transport/serving/leaf_connection.h
+++ b/src/transport/serving/leaf_connection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One connection to one leaf. It carries one exchange at a time and never sends a request twice.
+/// A connection to a leaf. Carries one exchange at a time and never resends a request.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -16,38 +16,39 @@
 
 class LeafConnection : public std::enable_shared_from_this<LeafConnection> {
  public:
-  /// How an exchange or the opening of the connection ended.
+  /// Result of an exchange or of opening the connection.
   enum class Event {
     /// The connection is open and idle.
     kReady,
-    /// A reply is in; the connection may be reusable.
+    /// A reply has arrived. The connection is idle or closed.
     kReplied,
-    /// The connection is of no use any more.
+    /// The connection could not be opened, or it has closed. A request in progress got no reply.
     kClosed,
   };
   /// `reply` is set for kReplied only.
   using Listener = std::function<void(LeafConnection&, Event, std::shared_ptr<const HttpReply> reply)>;
-  /// Tells whether a reply answers the request in progress; one that does not is dropped.
+  /// Returns whether a reply answers the request in progress; other replies are discarded.
   using ReplyFilter = std::function<bool(const HttpReply&)>;
 
   LeafConnection(boost::asio::io_context& context, const Endpoint& address, Listener listener);
 
   void open(Duration timeout);
-  /// Only when idle.
+  /// Sends the request `bytes`. Call only when idle.
   void exchange(std::string bytes, bool isHead, ReplyFilter filter);
-  /// Ends the connection without a further event.
+  /// Closes the connection; the listener is not called again.
   void close();
 
-  /// The connection was established at some time, and not reset at once.
+  /// The connection was established and was not reset immediately afterwards.
   bool wasOpen() const { return wasOpen_; }
-  /// The leaf's machine answered, if only to reset the connection after it had accepted it.
+  /// The leaf's host completed the TCP handshake, even if it reset the connection immediately afterwards.
   bool wasAccepted() const { return wasAccepted_; }
-  /// No process listens at the leaf's address.
+  /// The connection was refused: no process listens at the leaf's address.
   bool wasRefused() const { return wasRefused_; }
-  /// The leaf's machine ended the connection before any byte of an answer to the request on it. Its silence
-  /// does not count.
+  /// The leaf's host closed or reset the connection before any byte of a reply to the request on it. False
+  /// after a timeout.
   bool endedWithoutAnswer() const { return endedWithoutAnswer_; }
   bool idle() const { return state_ == State::kIdle; }
+  /// `now` is before the time at which the idle connection expires.
   bool usableUntil(Moment now) const { return now < idleUntil_; }
   void keepIdleFor(Duration duration, Moment now) { idleUntil_ = now + duration; }
 
@@ -57,7 +58,7 @@
   void read();
   void onRead(const boost::system::error_code& error, std::size_t count);
   void onReply();
-  /// The request in progress, if there is one, gets no answer here.
+  /// Closes the connection; the request in progress gets no reply on it.
   void onBroken(const boost::system::error_code& error);
   void fail();
 
--- a/src/transport/serving/leaf_pool.cpp
+++ b/src/transport/serving/leaf_pool.cpp
@@ -13,21 +13,22 @@
 
 namespace {
 
-/// An opening packet that is lost is sent again after a second; a new attempt is quicker. Some hundred times
-/// the way between zones, and as long as requests are waited for without an acknowledgement.
+/// A lost SYN is retransmitted only after a second, so a new connection attempt is faster. The value is about
+/// a hundred times the latency between zones, and equal to the limit for unacknowledged data.
 constexpr Duration kConnectTimeout = kUnacknowledgedLimit;
-/// A leaf that cannot be reached is tried anew after this, as often as a connection may take to open.
+/// Delay between connection attempts to an unreachable leaf.
 constexpr Duration kReconnectPause = kConnectTimeout;
-/// An abandoned exchange may still end by itself for this long, so that the connection can be kept.
+/// How long a canceled exchange may still complete, so that its connection can be reused.
 constexpr Duration kAbandonGrace = std::chrono::milliseconds(320);
-/// Deadlines travel in whole milliseconds; a shorter one would tell a leaf to stop before it begins.
+/// Deadlines are sent in whole milliseconds; a shorter one could reach the leaf as 0.
 constexpr Duration kShortestDeadline = std::chrono::milliseconds(2);
-/// A refused or accepted connection comes within some milliseconds, also from another zone. A query waits no
-/// longer for what became of the leaf; the hedge of a request with a target latency of 50 ms is sent then,
-/// too.
+/// How long an interrupted request waits for the crash check. A connection is accepted or refused within a
+/// few milliseconds, even across zones. The hedge of a request with a target latency of 50 ms is sent after
+/// about the same time.
 constexpr Duration kConfirmPatience = std::chrono::milliseconds(20);
 constexpr Duration kDefaultIdle = std::chrono::seconds(20);
-/// An idle connection is not used in the last part of the time that the leaf keeps it.
+/// An idle connection is not used during the last part of the leaf's idle timeout, as the leaf may be closing
+/// it.
 constexpr Duration kIdleReserve = std::chrono::milliseconds(900);
 
 LeafOutcome outcomeOf(LeafOutcome::Kind kind) {
@@ -38,7 +39,7 @@
 
 }  // namespace
 
-/// The connections to one leaf and the requests that wait for one.
+/// The connections to one incarnation of a leaf and the requests queued for it.
 struct LeafPool::Channel {
   struct Running {
     std::shared_ptr<LeafConnection> connection;
@@ -50,17 +51,17 @@
   LeafEntry leaf;
   std::size_t maximum = 1;
   bool retired = false;
-  /// The last connections could not be opened.
+  /// The last attempt to connect failed, and no connection is open.
   bool unreachable = false;
   std::vector<std::shared_ptr<LeafConnection>> connections;
   std::size_t connecting = 0;
   std::vector<Running> running;
   std::list<Order> waiting;
-  /// Of requests that were broken off, until it is known whether the leaf's process has ended.
+  /// Requests whose connection closed without a reply, until the crash check completes.
   std::vector<std::shared_ptr<RequestRecord>> brokenOff;
-  /// Those of them whose queries still wait to be told.
+  /// Those of them whose listeners have not been called yet.
   std::list<Order> unconfirmed;
-  /// A connection that was to tell was accepted and reset at once, and a second one was opened.
+  /// The connection opened for the crash check was accepted and reset, and a second one was opened.
   bool askedTwice = false;
 
   std::shared_ptr<LeafConnection> idleConnection(Moment now) const {
@@ -285,7 +286,7 @@
       channel->brokenOff.clear();
       endBrokenOff(*channel, LeafOutcome::Kind::kNoAnswer);
     }
-    // Nothing waits for a leaf that cannot be reached, unless another connection serves it.
+    // Requests stay queued only while there is a connection that can serve them.
     if (connections.empty()) {
       if (!kept->wasAccepted()) {
         onUnreachable(channel);
--- a/src/transport/serving/leaf_pool.h
+++ b/src/transport/serving/leaf_pool.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Connections to leafs: a bounded number for each, kept open between exchanges, opened ahead where that
-/// pays. Requests that find no free connection wait in order of their rank.
+/// Connection pool for leafs: a bounded number of persistent connections to each, some of them opened in
+/// advance. Requests that find no idle connection are queued by priority.
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -22,23 +22,24 @@
   std::uint64_t exchanges = 0;
   std::uint64_t connectionsOpened = 0;
   std::uint64_t connectionsFailed = 0;
+  /// Canceled requests whose connection was closed before the leaf replied.
   std::uint64_t abandonedAtWork = 0;
-  /// Dropped unsent, as too little of their time was left.
+  /// Dropped from the queue, as too little time was left until the deadline.
   std::uint64_t expiredUnsent = 0;
-  /// Why connections ended, beside those of abandoned requests.
+  /// Closed connections by reason, other than cancellations.
   std::uint64_t expiredIdle = 0;
   std::uint64_t surplus = 0;
   std::uint64_t closedIdleByLeaf = 0;
   std::uint64_t closedWithReply = 0;
   std::uint64_t brokenUnderRequest = 0;
-  /// Leafs whose process ended under requests of this daemon.
+  /// Leafs that crashed while processing requests of this daemon.
   std::uint64_t leafsEnded = 0;
 };
 
 class LeafPool {
  public:
   struct Listener {
-    /// The first byte of the request is about to be written.
+    /// Called right before the first byte of the request is written.
     std::function<void()> onWritten;
     std::function<void(const LeafOutcome&)> onOutcome;
   };
@@ -47,7 +48,7 @@
     std::shared_ptr<const LeafRequestTemplate> request;
     unsigned rank = 0;
     Moment deadline{};
-    /// The request is dropped unsent when less than this is left until the deadline.
+    /// The request is dropped from the queue if less time than this is left until the deadline.
     Duration leastTime{};
     Listener listener;
   };
@@ -57,36 +58,41 @@
   LeafPool& operator=(const LeafPool&) = delete;
   ~LeafPool();
 
-  /// Told when no connection to a leaf could be opened and none is open, and when one is open again. A leaf
-  /// that cannot be reached is tried anew without a request, so that its return is noticed. One that accepts
-  /// a connection and resets it has too many, and can be reached.
+  /// Called when a leaf becomes unreachable (a connection attempt failed and none is open), after each
+  /// further failed attempt, and when it is reachable again. The pool keeps trying to connect to an
+  /// unreachable leaf, even without requests. A leaf that accepts a connection and resets it has reached its
+  /// connection limit and counts as reachable.
   using ReachabilityListener = std::function<void(const LeafEntry& leaf, bool reachable)>;
   void setReachabilityListener(ReachabilityListener listener) { onReachability_ = std::move(listener); }
 
-  /// Told when a leaf's process has ended: requests were broken off there without a byte of an answer, no
-  /// connection is left, and a new one is refused. `under`: those requests. Silence, a single connection that
-  /// breaks and a connection that cannot be opened in time say nothing of the process.
+  /// Called when a leaf has crashed: connections closed under requests without a byte of a reply, and a new
+  /// connection is refused. `under`: these requests. A timeout, a single closed connection or a failure to
+  /// connect in time is no evidence of a crash.
   using LeafEndListener =
       std::function<void(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under)>;
   void setLeafEndListener(LeafEndListener listener) { onLeafEnd_ = std::move(listener); }
-  /// Told once of each request that a leaf has answered.
+  /// Called once for each request that a leaf has answered successfully, however many attempts succeed.
   using AnswerListener = std::function<void(const RequestRecord& request)>;
   void setAnswerListener(AnswerListener listener) { onAnswered_ = std::move(listener); }
 
-  /// `maximum`: connections that this daemon may hold to the leaf.
+  /// `maximum`: the number of connections that this daemon may have to the leaf. The listener's `onOutcome`
+  /// is called exactly once.
   void send(const LeafEntry& leaf, std::size_t maximum, Order order);
-  /// The outcome no longer matters: a waiting request is dropped, one at work is cut off after a while.
+  /// Cancels a request. A queued one is dropped immediately; one that was sent is aborted by closing its
+  /// connection, unless the reply arrives within a grace period.
   void abandon(ExchangeId exchange);
-  /// Opens the first connection to a leaf ahead of its first request.
+  /// Opens a connection to a leaf in advance, if there is none.
   void warm(const LeafEntry& leaf, std::size_t maximum);
-  /// What becomes of the connections to a leaf and of the requests that wait for one.
+  /// How to proceed with the connections to a leaf and the requests queued for it.
   enum class LeafUse {
     kKeep,
-    /// Requests that wait are still sent; then the connections close.
+    /// Queued requests are still sent; then the connections close.
     kFinish,
-    /// Requests that wait end unsent, so that they can go to another leaf; the connections close once idle.
+    /// Queued requests complete as kNotSent, so that they can go to another leaf; connections close once
+    /// idle.
     kStop,
   };
+  /// Applies `useOf` to each leaf and drops those that are neither kept nor in use.
   void retain(const std::function<LeafUse(const LeafLife& leaf)>& useOf);
 
   const LeafPoolCounters& counters() const { return counters_; }
@@ -98,29 +104,29 @@
   ChannelPointer channelOf(const LeafEntry& leaf, std::size_t maximum);
   void open(const ChannelPointer& channel);
   void dispatch(const ChannelPointer& channel);
-  /// Drops waiting requests whose time can no longer hold the leaf's work. Their listeners are told later, as
-  /// one that sends may not be called in turn.
+  /// Drops queued requests that have less than their minimum time left. Listeners are called asynchronously,
+  /// since a listener must not be called from within its own call of `send`.
   void dropExpired(Channel& channel, Moment now);
-  /// Ends requests that were not sent. Their listeners are told later.
+  /// Completes requests that were not sent. Listeners are called asynchronously.
   void endUnsent(std::list<Order> orders, LeafOutcome::Kind kind);
   void start(const ChannelPointer& channel, const std::shared_ptr<LeafConnection>& connection, Order order);
   void onEvent(const std::weak_ptr<Channel>& weak, LeafConnection& connection, LeafConnection::Event event,
                const std::shared_ptr<const HttpReply>& reply);
   void onClosed(const ChannelPointer& channel, LeafConnection& connection);
-  /// A request ended with its connection. A new one tells whether the leaf's process has ended, too; the next
-  /// request there needs it anyway.
+  /// A connection closed without a reply to the request on it. A new connection shows whether the leaf has
+  /// crashed; the next request needs one anyway.
   void onBroken(const ChannelPointer& channel, Order order);
-  /// True when a second connection is to tell what became of the leaf. A process that ends may reset its
-  /// connections before it stops listening; one that is opened in between is accepted and reset, as by a leaf
-  /// that lives and has too many connections.
+  /// True if a second connection is needed to find out whether the leaf has crashed. The system may reset a
+  /// crashing process's connections before it closes the listening socket. A connection opened in between is
+  /// accepted and reset, as by a running leaf that has reached its connection limit.
   static bool asksAgain(Channel& channel, const LeafConnection& closed);
-  /// A new connection is refused: no process listens at the leaf's address any more.
+  /// Handles a refused connection: nothing listens at the leaf's address any more.
   void reportEnd(Channel& channel);
-  /// Ends the requests that were broken off and wait for what became of the leaf.
+  /// Completes the interrupted requests that await the crash check.
   static void endBrokenOff(Channel& channel, LeafOutcome::Kind kind);
-  /// No connection to the leaf could be opened, and none is being opened any more.
+  /// The last attempt to connect has failed, and no connection is left.
   void onUnreachable(const ChannelPointer& channel);
-  /// Ends what waits for a connection as not sent.
+  /// Completes all queued requests as kNotSent.
   void refuseWaiting(const ChannelPointer& channel);
   void onReady(const ChannelPointer& channel, LeafConnection& connection);
   void onReplied(const ChannelPointer& channel, LeafConnection& connection,
@@ -129,7 +135,8 @@
 
   boost::asio::io_context& context_;
   const HeaderNames& names_;
-  /// By life: a connection that was opened to an earlier life of a leaf carries nothing for a later one.
+  /// Keyed by incarnation: a connection to an earlier incarnation of a leaf carries no request for a later
+  /// one.
   std::unordered_map<LeafLife, ChannelPointer, LeafLifeHash> channels_;
   std::unordered_map<ExchangeId, std::weak_ptr<Channel>> exchanges_;
   LeafPoolCounters counters_;
--- a/src/transport/serving/reply_reader.h
+++ b/src/transport/serving/reply_reader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reads one HTTP reply after another from the bytes of a connection.
+/// Incremental parser for the HTTP replies on one connection.
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -16,20 +16,22 @@
  public:
   enum class State { kNeedsMore, kComplete, kBroken };
 
-  /// Begins the next reply. `toHead`: it answers a HEAD request and so has no body.
+  /// Prepares for the next reply. `toHead`: it answers a HEAD request, so it has no body.
   void begin(bool toHead);
+  /// Received bytes are appended here before `advance` is called.
   boost::beast::flat_buffer& buffer() { return buffer_; }
-  /// Parses what the buffer holds.
+  /// Parses the buffered bytes.
   State advance();
-  /// The peer has ended the connection in good order.
+  /// The other end has closed the connection in an orderly way (FIN), which completes a reply without a
+  /// length.
   State onEnd();
-  /// Only after kComplete.
+  /// Returns the reply. Call only after kComplete.
   HttpReply take();
-  /// The reply allows another request on the connection.
+  /// The last reply permits another request on the connection.
   bool keepsConnection() const { return keepsConnection_; }
-  /// Bytes of the reply have arrived.
+  /// At least one byte of the current reply has been parsed.
   bool started() const { return parser_ && parser_->got_some(); }
-  /// Bytes are left that belong to no request.
+  /// Bytes remain in the buffer after the reply, which belong to no request.
   bool hasSurplus() const { return buffer_.size() > 0; }
 
  private:
--- a/src/transport/serving/socket_options.h
+++ b/src/transport/serving/socket_options.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Options that every TCP connection of the gateway has.
+/// Options set on every TCP connection of the gateway.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
@@ -9,12 +9,13 @@
 
 namespace oakpier::serving {
 
-/// For connections of callers, whose own way to the gateway may be slow and full, and to the configuration
-/// source, whose calls have a timeout of their own.
+/// For connections from callers, whose network path may be slow or congested, and to the configuration
+/// source, whose calls have their own timeout.
 inline constexpr std::chrono::milliseconds kCallerUnacknowledgedLimit{3000};
 
-/// No delay for small writes; the connection ends when bytes stay unacknowledged for the limit. Failures to
-/// set options are ignored, since the connection then only notices later.
+/// Sets TCP_NODELAY and TCP_USER_TIMEOUT: the connection fails when sent data stays unacknowledged for
+/// `unacknowledgedLimit`. Errors are ignored, as a connection without the options works and only detects
+/// failures later.
 void configureConnection(boost::asio::ip::tcp::socket& socket, std::chrono::milliseconds unacknowledgedLimit);
 
 boost::asio::ip::tcp::endpoint toAsio(const Endpoint& endpoint);
--- a/src/transport/serving/source_client.h
+++ b/src/transport/serving/source_client.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One connection to the configuration source; one call at a time.
+/// HTTP client for the configuration source, with one connection and one call at a time.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -18,14 +18,16 @@
 
 class SourceClient {
  public:
-  /// Empty when there was no whole reply in time.
+  /// Empty if no complete reply arrived within the timeout.
   using Callback = std::function<void(std::optional<HttpReply> reply)>;
 
   SourceClient(boost::asio::io_context& context, const Endpoint& address);
 
+  /// A new address closes the connection; a call in progress then gets no reply and fails at its timeout.
   void setAddress(const Endpoint& address);
-  /// No call is in progress; the next one opens a connection.
+  /// The next call opens a new connection. Call only while no call is in progress.
   void closeConnection() { connection_.reset(); }
+  /// Call only while no other call is in progress.
   void call(const HttpRequest& request, Duration timeout, Callback callback);
 
  private:
