--- a/src/transport/serving/leaf_pool.cpp
+++ b/src/transport/serving/leaf_pool.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kConnectTimeout = kUnacknowledgedLimit;
 /// Delay between connection attempts to an unreachable leaf.
 constexpr Duration kReconnectPause = kConnectTimeout;
-/// How long a canceled exchange may still complete, so that its connection can be reused.
+/// How long a cancelled exchange may still complete, so that its connection can be reused.
 constexpr Duration kAbandonGrace = std::chrono::milliseconds(320);
 /// Deadlines are sent in whole milliseconds; a shorter one could reach the leaf as 0.
 constexpr Duration kShortestDeadline = std::chrono::milliseconds(2);
--- a/src/transport/serving/leaf_pool.h
+++ b/src/transport/serving/leaf_pool.h
@@ -22,7 +22,7 @@
   std::uint64_t exchanges = 0;
   std::uint64_t connectionsOpened = 0;
   std::uint64_t connectionsFailed = 0;
-  /// Canceled requests whose connection was closed before the leaf replied.
+  /// Cancelled requests whose connection was closed before the leaf replied.
   std::uint64_t abandonedAtWork = 0;
   /// Dropped from the queue, as too little time was left until the deadline.
   std::uint64_t expiredUnsent = 0;
@@ -75,8 +75,7 @@
   using AnswerListener = std::function<void(const RequestRecord& request)>;
   void setAnswerListener(AnswerListener listener) { onAnswered_ = std::move(listener); }
 
-  /// `maximum`: the number of connections that this daemon may have to the leaf. The listener's `onOutcome`
-  /// is called exactly once.
+  /// `maximum`: the number of connections that this daemon may have to the leaf.
   void send(const LeafEntry& leaf, std::size_t maximum, Order order);
   /// Cancels a request. A queued one is dropped immediately; one that was sent is aborted by closing its
   /// connection, unless the reply arrives within a grace period.
--- a/tests/serving/protocol/caller_credentials_test.cpp
+++ b/tests/serving/protocol/caller_credentials_test.cpp
@@ -24,14 +24,14 @@
 
 }  // namespace
 
-TEST_CASE("a key stands in one header of the form that the deployment names", "[serving]") {
+TEST_CASE("a key is read from one Authorization header with the configured scheme", "[serving]") {
   REQUIRE(keyInValue("Token secret-1") == "secret-1");
   REQUIRE(keyInValue("TOKEN   secret-1") == "secret-1");
   REQUIRE(keyIn({{"authorization", "token secret-1"}, {"X-Other", "1"}}) == "secret-1");
   REQUIRE(keyIn({{"Authorization", "Bearer secret-1"}}, "Bearer") == "secret-1");
 }
 
-TEST_CASE("other forms are no key", "[serving]") {
+TEST_CASE("a malformed Authorization header yields no key", "[serving]") {
   for (const char* value :
        {"", " ", "Token", "Token ", "Token   ", "secret-1", "Bearer secret-1", "Tokensecret-1",
         " Token secret-1", "Token secret-1 ", "Token secret-1 secret-2", "Token\tsecret-1",
@@ -41,14 +41,14 @@
   }
 }
 
-TEST_CASE("doubled headers, other headers and none at all are no key", "[serving]") {
+TEST_CASE("repeated, other or missing headers yield no key", "[serving]") {
   REQUIRE_FALSE(keyIn({{"Authorization", "Token secret-1"}, {"Authorization", "Token secret-1"}}));
   REQUIRE_FALSE(keyIn({{"Authorization", "Token secret-1"}, {"AUTHORIZATION", "Basic x"}}));
   REQUIRE_FALSE(keyIn({{"Proxy-Authorization", "Token secret-1"}, {"X-Authorization", "Token secret-1"}}));
   REQUIRE_FALSE(keyIn({}));
 }
 
-TEST_CASE("a leaf gets the tenant's name in place of the key and of what the caller says", "[serving]") {
+TEST_CASE("a leaf receives the tenant's name instead of the caller's key and tenant headers", "[serving]") {
   const HeaderNames names;
   HttpRequest request{"GET",
                       "/a/",
@@ -72,7 +72,8 @@
   }
 }
 
-TEST_CASE("without tenants credentials are passed on, but never a caller's word on its tenant", "[serving]") {
+TEST_CASE("without tenants, credentials are forwarded, but tenant headers from callers are not",
+          "[serving]") {
   const HeaderNames names;
   const HttpRequest request{
       "GET",
@@ -84,7 +85,8 @@
   REQUIRE_FALSE(contains(bytes, "forged"));
 }
 
-TEST_CASE("two keys of one tenant are the same caller, two tenants are not", "[serving]") {
+TEST_CASE("requests have the same fingerprint for two keys of one tenant, but not for two tenants",
+          "[serving]") {
   const HeaderNames names;
   const auto fingerprintWith = [&](const std::string& key, const std::string& tenant) {
     HttpRequest request{"GET", "/a/", {{"Host", "h"}, {"Authorization", "Bearer " + key}}, ""};
--- a/tests/serving/protocol/messages_test.cpp
+++ b/tests/serving/protocol/messages_test.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("a leaf gets method, target, body and headers unchanged, less those of one connection",
+TEST_CASE("a request to a leaf keeps method, target, body and headers, except hop-by-hop headers",
           "[serving]") {
   const HeaderNames names;
   const HttpRequest request = requestWith({{"Host", "shop.example"},
@@ -54,7 +54,7 @@
   }
 }
 
-TEST_CASE("a reply is believed only when it is signed, plain and the leaf's own", "[serving]") {
+TEST_CASE("only a signed reply without a content encoding counts as an answer", "[serving]") {
   const HeaderNames names;
   const auto kindOf = [&](unsigned status, HeaderList headers) {
     return classifyReply(replyWith(status, std::move(headers)), names).kind;
@@ -69,7 +69,7 @@
   REQUIRE(kindOf(421, {}) == Kind::kWrongInstance);
 }
 
-TEST_CASE("told load and idle time are read, and nothing is made of other texts", "[serving]") {
+TEST_CASE("reported load, warm-up and idle timeout are parsed, malformed values ignored", "[serving]") {
   const HeaderNames names;
   const auto load =
       classifyReply(replyWith(200, {{names.signature, "s"}, {names.load, "3,1,8"}}), names).load;
@@ -88,7 +88,7 @@
   REQUIRE_FALSE(idleTimeoutOf(*replyWith(200, {{"Keep-Alive", "max=9"}})));
 }
 
-TEST_CASE("answers to callers say truthfully what happened", "[serving]") {
+TEST_CASE("replies to callers carry the status and headers of the query's result", "[serving]") {
   const HeaderNames names;
   const HttpReply merged = replyFor(MergedAnswer{{"a", "b"}, 3, "records"}, "id", names);
   REQUIRE(merged.status == 200);
@@ -108,7 +108,7 @@
   REQUIRE(forwarded.headers.size() == 2);
 }
 
-TEST_CASE("a reply without a body has none and a length where one is allowed", "[serving]") {
+TEST_CASE("a reply has a Content-Length unless its status forbids it, and no body for HEAD", "[serving]") {
   HttpReply reply = ownReply(200, "text");
   REQUIRE(contains(serialize(reply, true, false), "Content-Length: 5\r\nConnection: close\r\n\r\ntext\n"));
   const std::string head = serialize(reply, false, true);
--- a/tests/serving/protocol/news_codec_test.cpp
+++ b/tests/serving/protocol/news_codec_test.cpp
@@ -1,4 +1,4 @@
-/// News between daemons: packed, unpacked, and damaged on the way.
+/// Encoding of updates between daemons, including corrupted ones.
 
 #include "protocol/serving/news_codec.h"
 
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("news of any size arrive as they were sent", "[serving]") {
+TEST_CASE("an update of any size decodes to what was encoded", "[serving]") {
   for (const std::size_t records : {0U, 1U, 5U, 600U}) {
     PeerEnvelope envelope;
     packNews(newsOf(records), envelope);
@@ -39,13 +39,13 @@
   }
 }
 
-TEST_CASE("large news travel in a fraction of their size", "[serving]") {
+TEST_CASE("large updates are compressed", "[serving]") {
   PeerEnvelope envelope;
   packNews(newsOf(600), envelope);
   REQUIRE(envelope.ByteSizeLong() * 5 < newsOf(600).ByteSizeLong());
 }
 
-TEST_CASE("the same news for several daemons is compressed once", "[serving]") {
+TEST_CASE("an update for several peers is compressed once", "[serving]") {
   NewsPacker packer;
   SourceNews news = newsOf(600);
   for (const std::uint64_t age : {5U, 70U, 900U}) {
@@ -62,8 +62,8 @@
   REQUIRE(unpackNews(other)->revision() == 901);
 }
 
-TEST_CASE("damaged news never say anything else", "[serving]") {
-  OAKPIER_PROPERTY("damage", [] {
+TEST_CASE("a corrupted update decodes to nothing or to the original", "[serving]") {
+  OAKPIER_PROPERTY("corruption", [] {
     PeerEnvelope envelope;
     packNews(newsOf(50), envelope);
     std::string bytes = envelope.packed_source_news().bytes();
@@ -73,7 +73,7 @@
       bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] ^= static_cast<char>(*rc::gen::inRange(1, 128));
     }
     envelope.mutable_packed_source_news()->set_bytes(bytes);
-    // A few bits, such as those that fill up a byte, mean nothing.
+    // Some bits, such as padding, do not affect the decoded update.
     const auto unpacked = unpackNews(envelope);
     const bool same = !unpacked || google::protobuf::util::MessageDifferencer::Equals(*unpacked, newsOf(50));
     RC_ASSERT(same);
--- a/tests/serving/state/route_table_test.cpp
+++ b/tests/serving/state/route_table_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("the longest prefix of the host's routes decides", "[serving]") {
+TEST_CASE("the route with the longest matching prefix of the host is found", "[serving]") {
   ServingConfiguration configuration;
   configuration.routes = {routeAt("a.example", "/x/"), routeAt("a.example", "/x/y/"),
                           routeAt("b.example", "/")};
@@ -32,7 +32,7 @@
   REQUIRE(table.find("c.example", "/x/") == nullptr);
 }
 
-TEST_CASE("a configuration is checked whole and every problem is told", "[serving]") {
+TEST_CASE("validation reports every error of a configuration", "[serving]") {
   ServingConfiguration configuration;
   configuration.services = {{"s", 10}, {"none", 0}};
   configuration.routes = {routeAt("a.example", "/x/"), routeAt("a.example", "/x/"), routeAt("", "x")};
--- a/tests/serving/transport/http_service_test.cpp
+++ b/tests/serving/transport/http_service_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Keeps requests until the test answers them.
+/// Stores requests until the test replies to them.
 class HeldRequests : public RequestHandler {
  public:
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override {
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-TEST_CASE("requests on one connection are served in order, early ones kept", "[serving]") {
+TEST_CASE("pipelined requests are buffered and served in order", "[serving]") {
   ServiceWorld world;
   RawClient client(world.context, world.address);
   client.write(kGet +
@@ -62,7 +62,7 @@
   REQUIRE(world.held.gone == 0);
 }
 
-TEST_CASE("a caller that leaves while its request is in progress is noticed", "[serving]") {
+TEST_CASE("a disconnect of the caller while its request is in progress is detected", "[serving]") {
   ServiceWorld world;
   RawClient client(world.context, world.address);
   client.write(kGet);
@@ -73,7 +73,7 @@
   world.held.writers[0].write(ownReply(200, "too late"));
 }
 
-TEST_CASE("requests beyond the limits are refused as such", "[serving]") {
+TEST_CASE("oversized and malformed requests get the matching error status", "[serving]") {
   ServiceWorld world;
   RequestLimits limits;
   limits.headerBytes = 300;
@@ -93,7 +93,7 @@
   REQUIRE(world.held.requests.empty());
 }
 
-TEST_CASE("a request that does not arrive in time, and an idle connection, end", "[serving]") {
+TEST_CASE("an incomplete request and an idle connection time out", "[serving]") {
   ServiceWorld world;
   RequestLimits limits;
   limits.headerTimeout = std::chrono::milliseconds(30);
@@ -107,7 +107,7 @@
   REQUIRE(idle.received().empty());
 }
 
-TEST_CASE("while closing, answers end their connections and running requests finish", "[serving]") {
+TEST_CASE("while closing, requests in progress complete and their connections then close", "[serving]") {
   ServiceWorld world;
   RawClient busy(world.context, world.address);
   busy.write(kGet);
@@ -123,7 +123,7 @@
   REQUIRE(busy.received().find("done") != std::string::npos);
 }
 
-TEST_CASE("requests that are given up get their answer, idle connections none", "[serving]") {
+TEST_CASE("answerAll replies to requests in progress and not on idle connections", "[serving]") {
   ServiceWorld world;
   RawClient busy(world.context, world.address);
   busy.write(kGet);
@@ -131,15 +131,15 @@
   RawClient idle(world.context, world.address);
   runUntil(world.context, [&] { return world.service.connections() == 2; });
   world.service.startClosing();
-  world.service.answerAll(ownReply(504, "given up"));
+  world.service.answerAll(ownReply(504, "stopped"));
   runUntil(world.context, [&] { return busy.ended(); });
   REQUIRE(busy.received().find("HTTP/1.1 504") == 0);
-  REQUIRE(busy.received().find("given up") != std::string::npos);
+  REQUIRE(busy.received().find("stopped") != std::string::npos);
   REQUIRE(idle.received().empty());
   REQUIRE(world.service.inProgress() == 0);
 }
 
-TEST_CASE("a caller that asks whether to send its body is told to", "[serving]") {
+TEST_CASE("Expect: 100-continue is answered before the body arrives", "[serving]") {
   ServiceWorld world;
   RawClient client(world.context, world.address);
   client.write("POST /x HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n");
@@ -151,7 +151,7 @@
 
 namespace {
 
-/// Overwrites the place of what it ends, as other objects would in time: whoever still uses it there fails.
+/// Destroys a service and overwrites its memory before freeing it, so that a use after free fails.
 struct EndAndOverwrite {
   void operator()(HttpService* service) const {
     service->~HttpService();
@@ -162,12 +162,10 @@
 
 }  // namespace
 
-// What was seen once: the program of a day of random faults ended by a segmentation fault some seconds after
-// a stand-in had ended. What happens: a connection is accepted, and before the accept is handled its service
-// ends; the handler then runs on the service's freed memory. Evidence: freed memory mostly keeps its content,
-// so that nothing shows; overwritten, it ends this process in the handler where that does not ask whether its
-// service lives.
-TEST_CASE("a connection that was accepted just before the service's end is closed, not served", "[serving]") {
+// Guards against a use after free: the service is destroyed after a connection was accepted and before the
+// accept handler runs.
+TEST_CASE("a connection accepted right before the service is destroyed is closed without being served",
+          "[serving]") {
   boost::asio::io_context context;
   HeldRequests held;
   std::unique_ptr<HttpService, EndAndOverwrite> service(new HttpService(context, held));
@@ -179,7 +177,8 @@
     callers.back().connect({boost::asio::ip::make_address(address.ip()), address.port()});
     boost::asio::write(callers.back(), boost::asio::buffer(kGet));
   }
-  // The first accept is handled; as another connection waits, the second is done at once and lies there.
+  // Runs the first accept handler. As another connection is pending, the second accept completes immediately
+  // and its handler is queued.
   context.run_one();
   service.reset();
   context.poll();
--- a/tests/serving/transport/leaf_pool_test.cpp
+++ b/tests/serving/transport/leaf_pool_test.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("a connection is kept for the next request to the leaf", "[serving]") {
+TEST_CASE("a connection is reused for the next request to the leaf", "[serving]") {
   PoolWorld world;
   for (ExchangeId exchange = 1; exchange <= 3; ++exchange) {
     const std::string id = "id-" + std::to_string(exchange);
@@ -68,7 +68,7 @@
   REQUIRE(world.server.connections().size() == 1);
 }
 
-TEST_CASE("a late second answer is not taken for the answer to the next request", "[serving]") {
+TEST_CASE("a duplicate reply is not taken for the reply to the next request", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -81,7 +81,7 @@
   REQUIRE(world.outcomes[1].reply->body == "second");
 }
 
-TEST_CASE("bytes after a whole answer end the connection, not the answer", "[serving]") {
+TEST_CASE("bytes after a complete reply close the connection, and the reply stays valid", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -93,11 +93,12 @@
   REQUIRE(world.server.connections().size() == 2);
 }
 
-TEST_CASE("an answer without a length ends with its connection; a reset makes it incomplete", "[serving]") {
+TEST_CASE("a reply without a length is complete when the connection closes, but not when it is reset",
+          "[serving]") {
   PoolWorld world;
   const std::string head = "HTTP/1.1 200 OK\r\n" + world.names.requestId + ": one\r\n" +
                            world.names.signature + ": s\r\n\r\nwhole";
-  SECTION("ended in order") {
+  SECTION("closed") {
     world.send(1, "one");
     world.awaitRequests(1);
     world.connection(0).write(head);
@@ -115,7 +116,7 @@
   }
 }
 
-TEST_CASE("an answer cut short is no answer, and the request is never sent again", "[serving]") {
+TEST_CASE("a truncated reply counts as no answer, and the request is not resent", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -128,7 +129,7 @@
   REQUIRE(world.written == 1);
 }
 
-TEST_CASE("a kept connection that breaks under a request does not make it go out twice", "[serving]") {
+TEST_CASE("a request is not resent when the reused connection under it is reset", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -142,7 +143,7 @@
   REQUIRE(world.server.requests() == 2);
 }
 
-TEST_CASE("bytes that are not an answer are no answer", "[serving]") {
+TEST_CASE("bytes that are not HTTP count as no answer", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -151,7 +152,7 @@
   REQUIRE(world.outcomes[0].kind == Kind::kNoAnswer);
 }
 
-TEST_CASE("a leaf that refuses connections leaves the request unsent", "[serving]") {
+TEST_CASE("a request to a leaf that refuses connections is not sent", "[serving]") {
   PoolWorld world;
   {
     RawServer gone(world.context);
@@ -163,7 +164,7 @@
   REQUIRE(world.written == 0);
 }
 
-TEST_CASE("a leaf that accepts a connection and resets it at once leaves the request unsent", "[serving]") {
+TEST_CASE("a request to a leaf that resets new connections immediately is not sent", "[serving]") {
   PoolWorld world;
   world.server.resetNewConnections();
   world.send(1, "one");
@@ -172,7 +173,7 @@
   REQUIRE(world.written == 0);
 }
 
-TEST_CASE("a waiting request that is abandoned is never sent", "[serving]") {
+TEST_CASE("a queued request that is cancelled is not sent", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.send(2, "two");
@@ -185,7 +186,7 @@
   REQUIRE(world.server.requests() == 1);
 }
 
-TEST_CASE("a request that waited too long for a connection is never sent", "[serving]") {
+TEST_CASE("a queued request with too little time left is dropped", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -201,7 +202,7 @@
   REQUIRE(world.pool.counters().expiredUnsent == 1);
 }
 
-TEST_CASE("nothing is sent after its deadline", "[serving]") {
+TEST_CASE("a request is not sent after its deadline", "[serving]") {
   PoolWorld world;
   world.send(1, "one", "", Duration(-1));
   world.awaitOutcomes(1);
@@ -209,7 +210,7 @@
   REQUIRE(world.written == 0);
 }
 
-TEST_CASE("an abandoned request that stays at work is cut off", "[serving]") {
+TEST_CASE("a cancelled request in progress is aborted after the grace period", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -218,9 +219,9 @@
   REQUIRE(world.outcomes[0].kind == Kind::kWithdrawn);
 }
 
-TEST_CASE("an early answer to a request that is still being written ends the connection", "[serving]") {
+TEST_CASE("a connection whose reply came before the request was fully written is not reused", "[serving]") {
   PoolWorld world;
-  // Larger than the buffers of the connection, and the server does not read it to its end at first.
+  // Larger than the socket buffers, so that the write does not complete before the server replies.
   world.send(1, "one", std::string(32U << 20U, 'x'));
   runUntil(world.context,
            [&] { return !world.server.connections().empty() && !world.connection(0).received.empty(); });
@@ -231,7 +232,7 @@
   runUntil(world.context, [&] { return world.server.connections().size() == 2; });
 }
 
-TEST_CASE("what waits for a leaf that takes no work any more ends unsent; what is at work there goes on",
+TEST_CASE("for a leaf that accepts no new requests, queued ones are not sent and those in progress complete",
           "[serving]") {
   PoolWorld world;
   world.send(1, "one");
@@ -240,7 +241,7 @@
   const auto retainAs = [&](LeafPool::LeafUse use) {
     world.pool.retain([use](const LeafLife&) { return use; });
   };
-  SECTION("the leaf takes no work") {
+  SECTION("the leaf accepts no new requests") {
     retainAs(LeafPool::LeafUse::kStop);
     world.awaitOutcomes(1);
     REQUIRE(world.outcomes[0].kind == Kind::kNotSent);
@@ -249,7 +250,7 @@
     REQUIRE(world.outcomes[1].kind == Kind::kAnswered);
     REQUIRE(world.written == 1);
   }
-  SECTION("another daemon uses the leaf from now on") {
+  SECTION("the leaf is now assigned to another daemon") {
     retainAs(LeafPool::LeafUse::kFinish);
     world.connection(0).write(world.reply("one", "body"));
     world.awaitRequests(2);
@@ -257,7 +258,7 @@
   }
 }
 
-TEST_CASE("nothing goes to a leaf that started again on a connection to its earlier life",
+TEST_CASE("a connection to an earlier incarnation of a leaf carries no requests for the next one",
           "[serving][lives]") {
   PoolWorld world;
   LeafRegistry registry;
@@ -276,8 +277,8 @@
   RawServer moved(world.context);
   const bool elsewhere = GENERATE(false, true);
   RawServer& server = elsewhere ? moved : world.server;
-  SECTION("the earlier connection rests") {}
-  SECTION("a request is at work there and one waits for it") {
+  SECTION("the earlier connection is idle") {}
+  SECTION("one request is in progress there and one is queued") {
     world.send(2, "two");
     world.awaitRequests(2);
     world.send(3, "three");
@@ -295,13 +296,13 @@
   REQUIRE(fresh.received.find("four") != std::string::npos);
   REQUIRE(fresh.received.find(world.names.expectedInstance + ": leaf-1\r\n") != std::string::npos);
   REQUIRE(world.connection(0).received.find("four") == std::string::npos);
-  // What waited for the earlier life was never written.
+  // The request queued for the earlier incarnation was never written.
   REQUIRE(world.written == sentBefore + 1);
   REQUIRE(registry.leafsOf("s").front()->warmingUp(steadyNow()));
   REQUIRE(registry.leafsOf("s").front()->inProgress() == 0);
 }
 
-TEST_CASE("a leaf that cannot be reached is tried anew until a connection stands", "[serving]") {
+TEST_CASE("an unreachable leaf is retried until it accepts a connection", "[serving]") {
   PoolWorld world;
   std::vector<bool> told;
   world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { told.push_back(reachable); });
@@ -316,7 +317,7 @@
   REQUIRE(world.outcomes.size() == 1);
 }
 
-TEST_CASE("a leaf that accepts connections and resets them can be reached", "[serving]") {
+TEST_CASE("a leaf that accepts and resets connections counts as reachable", "[serving]") {
   PoolWorld world;
   std::vector<bool> told;
   world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { told.push_back(reachable); });
@@ -327,7 +328,7 @@
   REQUIRE(told.empty());
 }
 
-TEST_CASE("a leaf's process counts as ended only when nothing listens after requests were broken off",
+TEST_CASE("a leaf counts as crashed only if connections are refused after requests were interrupted",
           "[serving]") {
   PoolWorld world;
   std::vector<std::shared_ptr<RequestRecord>> under;
@@ -335,7 +336,7 @@
       [&](const LeafEntry&, const std::vector<std::shared_ptr<RequestRecord>>& records) { under = records; });
   world.send(1, "one");
   world.awaitRequests(1);
-  SECTION("the process has ended") {
+  SECTION("the process has crashed") {
     world.server.close();
     world.connection(0).reset();
     runUntil(world.context, [&] { return world.pool.counters().leafsEnded == 1; });
@@ -343,7 +344,7 @@
     REQUIRE(under.size() == 1);
     REQUIRE(under[0]->fingerprint == fingerprintOf(same));
   }
-  SECTION("only the connection has ended") {
+  SECTION("only the connection was reset") {
     world.connection(0).reset();
     world.awaitOutcomes(1);
     runUntil(world.context, [&] { return world.server.connections().size() == 2; });
@@ -357,7 +358,7 @@
     world.awaitOutcomes(3);
     REQUIRE(world.pool.counters().leafsEnded == 0);
   }
-  SECTION("the process resets its connections, a new one too, before it stops listening") {
+  SECTION("the process resets its connections, including a new one, before it stops listening") {
     world.server.resetNewConnections();
     world.connection(0).reset();
     runUntil(world.context, [&] { return world.server.resets() == 1; });
@@ -366,7 +367,7 @@
     REQUIRE(world.outcomes[0].kind == Kind::kLeafEnded);
     REQUIRE(under.size() == 1);
   }
-  SECTION("the leaf lives and resets all new connections") {
+  SECTION("the leaf is running and resets all new connections") {
     world.server.resetNewConnections();
     world.connection(0).reset();
     world.awaitOutcomes(1);
@@ -377,7 +378,7 @@
     world.awaitOutcomes(2);
     REQUIRE(world.pool.counters().leafsEnded == 0);
   }
-  SECTION("an answer had begun") {
+  SECTION("part of a reply had arrived") {
     world.server.close();
     world.connection(0).write("HTTP/1.1 200 OK\r\n");
     world.connection(0).end();
--- a/tests/serving/transport/suspension_test.cpp
+++ b/tests/serving/transport/suspension_test.cpp
@@ -1,5 +1,5 @@
-/// Machines that are suspended: the time since the start goes on, the clock that timers run by does not. The
-/// test program's clock is wrapped, so that it can be set forward as a suspension does.
+/// Suspended machines: CLOCK_BOOTTIME continues during suspension, the clock of the timers does not. The test
+/// program wraps clock_gettime to advance CLOCK_BOOTTIME as a suspension does.
 
 #include <catch2/catch.hpp>
 #include <ctime>
@@ -34,7 +34,7 @@
 
 constexpr long kSuspended = 100;
 
-/// Suspends the machine while it lives, and undoes that at its end.
+/// Simulates a completed suspension; its destructor sets the clock back.
 class Suspension {
  public:
   Suspension() { suspendedSeconds += kSuspended; }
@@ -45,13 +45,13 @@
 
 }  // namespace
 
-TEST_CASE("the time for which the machine was suspended counts", "[serving]") {
+TEST_CASE("the steady clock includes the time of a suspension", "[serving]") {
   const Moment before = steadyNow();
   const Suspension suspension;
   REQUIRE(steadyNow() - before >= std::chrono::seconds(kSuspended));
 }
 
-TEST_CASE("a decision that fell due while the machine was suspended is taken soon after", "[serving]") {
+TEST_CASE("a timer that became due during a suspension fires soon after it", "[serving]") {
   boost::asio::io_context context;
   DecisionTimer timer(context);
   bool due = false;
@@ -62,7 +62,7 @@
   runUntil(context, [&] { return due; });
 }
 
-TEST_CASE("a query whose time passed while the machine was suspended ends, and sends nothing", "[serving]") {
+TEST_CASE("a query whose deadline passed during a suspension times out without sending", "[serving]") {
   const std::vector<std::string> shards = {"s0", "s1"};
   const auto view = viewOf({gatherRoute(shards, 1.0)}, shards, 2);
   QueryWorld world(view);
