--- a/src/protocol/serving/hop_headers.h
+++ b/src/protocol/serving/hop_headers.h
@@ -8,7 +8,7 @@
 
 namespace oakpier::serving {
 
-/// True for the standard hop-by-hop headers, for Content-Length, which is written anew for each message, and
+/// True for the standard hop-by-hop headers, for Content-Length, which is recomputed for each message, and
 /// for those listed in the Connection header of `message`.
 bool isHopHeader(std::string_view name, const HeaderList& message);
 
--- a/src/transport/serving/leaf_pool.cpp
+++ b/src/transport/serving/leaf_pool.cpp
@@ -50,6 +50,7 @@
 
   LeafEntry leaf;
   std::size_t maximum = 1;
+  /// Not to be kept (see `LeafUse`): connections close once idle.
   bool retired = false;
   /// The last attempt to connect failed, and no connection is open.
   bool unreachable = false;
--- a/src/transport/serving/leaf_pool.h
+++ b/src/transport/serving/leaf_pool.h
@@ -28,8 +28,10 @@
   std::uint64_t expiredUnsent = 0;
   /// Closed connections by reason, other than cancellations.
   std::uint64_t expiredIdle = 0;
+  /// Idle connections above the maximum.
   std::uint64_t surplus = 0;
   std::uint64_t closedIdleByLeaf = 0;
+  /// Not reusable after a reply.
   std::uint64_t closedWithReply = 0;
   std::uint64_t brokenUnderRequest = 0;
   /// Leafs that crashed while processing requests of this daemon.
@@ -46,6 +48,7 @@
   struct Order {
     ExchangeId exchange = 0;
     std::shared_ptr<const LeafRequestTemplate> request;
+    /// Priority; 0 is the highest.
     unsigned rank = 0;
     Moment deadline{};
     /// The request is dropped from the queue if less time than this is left until the deadline.
