--- a/src/coordination/serving/admission.cpp
+++ b/src/coordination/serving/admission.cpp
@@ -32,9 +32,9 @@
 Duration timeUntilServable(const std::string& service, const ServingView& view, QueryContext& context,
                            Moment now) {
   const auto listed = view.leafs->find(service);
-  const bool anyTakesWork =
-      listed != view.leafs->end() && std::any_of(listed->second.begin(), listed->second.end(),
-                                                 [](const LeafEntry& leaf) { return leaf.takesWork(); });
+  const bool anyTakesWork = listed != view.leafs->end() &&
+                            std::any_of(listed->second.begin(), listed->second.end(),
+                                        [](const LeafEntry& leaf) { return leaf.acceptsRequests(); });
   if (!anyTakesWork) {
     return kUnreachable;
   }
--- a/src/coordination/serving/leaf_status.cpp
+++ b/src/coordination/serving/leaf_status.cpp
@@ -171,7 +171,7 @@
         continue;
       }
       const LeafEntry& earlier = found->second->entry();
-      if (!earlier.sameAs(entry) || earlier.position != entry.position) {
+      if (!earlier.sameDescription(entry) || earlier.position != entry.position) {
         found->second->update(entry, now);
       }
       leafs.push_back(found->second);
--- a/src/coordination/serving/leaf_status.h
+++ b/src/coordination/serving/leaf_status.h
@@ -27,7 +27,7 @@
   void update(const LeafEntry& entry, Moment now);
   /// The directory no longer lists it, or it answered as another instance.
   void markGone() { gone_ = true; }
-  bool usable() const { return !gone_ && entry_.takesWork(); }
+  bool usable() const { return !gone_ && entry_.acceptsRequests(); }
 
   /// `expected`: the latency that most answers to this kind of request stay below.
   void onStarted(std::uint64_t exchange, Duration expected, Moment now);
--- a/src/coordination/serving/leaf_subset.cpp
+++ b/src/coordination/serving/leaf_subset.cpp
@@ -35,7 +35,7 @@
                                     const Endpoint& daemon) {
   std::vector<std::pair<std::uint64_t, const LeafEntry*>> ranked;
   for (const LeafEntry& leaf : leafs) {
-    if (leaf.takesWork()) {
+    if (leaf.acceptsRequests()) {
       ranked.emplace_back(hashPair(hashText(leaf.id), daemon.packed()), &leaf);
     }
   }
--- a/src/coordination/serving/serving_knowledge.cpp
+++ b/src/coordination/serving/serving_knowledge.cpp
@@ -103,7 +103,7 @@
   const auto [place, isNew] = leafs_.try_emplace(entry.id);
   KnownLeaf& known = place->second;
   const bool coldAgain = entry.warmupLeft > known.entry.warmupLeft;
-  const bool changed = isNew || known.removeAt != kNever || coldAgain || !known.entry.sameAs(entry);
+  const bool changed = isNew || known.removeAt != kNever || coldAgain || !known.entry.sameDescription(entry);
   changed_ = changed_ || changed;
   leafsBornAgain_ += !isNew && !known.entry.isOf(entry.life()) ? 1 : 0;
   known.entry = entry;
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -51,11 +51,11 @@
 
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override {
     if (request.target == kMetricsPath) {
-      HttpReply reply = ownReply(kOk, "");
+      HttpReply reply = textReply(kOk, "");
       reply.body = metrics_();
       writer.write(reply);
     } else {
-      writer.write(ready_() ? ownReply(kOk, "ready") : ownReply(kUnavailable, "not ready"));
+      writer.write(ready_() ? textReply(kOk, "ready") : textReply(kUnavailable, "not ready"));
     }
     return nullptr;
   }
@@ -360,7 +360,7 @@
       if (passed >= settings_.stopGrace - stopReserve()) {
         log(LogLevel::kWarning, "requests given up at the end of the grace",
             {{"in_progress", callers_.inProgress()}});
-        callers_.answerAll(ownReply(kGatewayTimeout, "no answer before this daemon had to stop"));
+        callers_.answerAll(textReply(kGatewayTimeout, "no answer before this daemon had to stop"));
         gaveUp_ = true;
       }
     }
--- a/src/programs/gateway/gateway_metrics.cpp
+++ b/src/programs/gateway/gateway_metrics.cpp
@@ -151,7 +151,7 @@
 void addLeafConnections(FamilyList& list, const LeafPoolCounters& pool) {
   list.counter("leaf_connections_opened_total", "Connections opened to leafs", pool.connectionsOpened);
   list.counter("leaf_connections_failed_total", "Of these, never established", pool.connectionsFailed);
-  list.counter("leaf_requests_cut_off_total", "Abandoned requests cut off at work", pool.abandonedAtWork);
+  list.counter("leaf_requests_cut_off_total", "Abandoned requests cut off at work", pool.cancelledInFlight);
   list.counter("leaf_requests_expired_total", "Dropped unsent, as too little of their time was left",
                pool.expiredUnsent);
   list.counter("leaf_connections_expired_total", "Idle connections closed before the leaf does so",
@@ -163,9 +163,9 @@
   list.counter("leaf_connections_closed_with_reply_total", "Connections that ended with a reply",
                pool.closedWithReply);
   list.counter("leaf_connections_broken_total", "Connections that ended under a request",
-               pool.brokenUnderRequest);
+               pool.closedInFlight);
   list.counter("leafs_ended_total", "Leafs whose process ended under requests of this daemon",
-               pool.leafsEnded);
+               pool.leafCrashes);
 }
 
 void addPeersAndSource(FamilyList& list, const GatewayFigures& figures) {
--- a/src/programs/gateway/leaf_sender.cpp
+++ b/src/programs/gateway/leaf_sender.cpp
@@ -13,15 +13,15 @@
 
 void LeafSender::send(const LeafSend& send, QueryContext& context, LeafPool::Listener listener) {
   const LeafEntry& leaf = send.action.leaf->entry();
-  LeafPool::Order order;
-  order.exchange = send.action.exchange;
-  order.request = send.request;
-  order.rank = send.rank;
-  order.deadline = send.action.deadline;
-  order.leastTime = send.action.leastTime;
-  order.listener.onWritten = std::move(listener.onWritten);
-  order.listener.onOutcome = [&context, action = send.action, route = send.route, started = steadyNow(),
-                              notify = std::move(listener.onOutcome)](const LeafOutcome& outcome) {
+  LeafPool::ExchangeRequest pending;
+  pending.exchange = send.action.exchange;
+  pending.request = send.request;
+  pending.rank = send.rank;
+  pending.deadline = send.action.deadline;
+  pending.leastTime = send.action.leastTime;
+  pending.listener.onWritten = std::move(listener.onWritten);
+  pending.listener.onOutcome = [&context, action = send.action, route = send.route, started = steadyNow(),
+                                notify = std::move(listener.onOutcome)](const LeafOutcome& outcome) {
     const Moment now = steadyNow();
     action.leaf->onFinished(action.exchange, outcome.kind, now);
     if (outcome.load) {
@@ -35,7 +35,7 @@
     }
     notify(outcome);
   };
-  pool_.send(leaf, connectionsTo(leaf.service), std::move(order));
+  pool_.send(leaf, connectionsTo(leaf.service), std::move(pending));
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/merge_service.cpp
+++ b/src/programs/gateway/merge_service.cpp
@@ -27,7 +27,7 @@
 
 void MergeService::apply(const MergeServerActions& actions) {
   for (const ExchangeId exchange : actions.abandons) {
-    pool_.abandon(exchange);
+    pool_.cancel(exchange);
   }
   if (!actions.sends.empty()) {
     // All sends of one call belong to one request.
--- a/src/programs/gateway/owner_service.cpp
+++ b/src/programs/gateway/owner_service.cpp
@@ -42,7 +42,7 @@
 
 void OwnerService::apply(const ShardServerActions& actions) {
   for (const ExchangeId exchange : actions.abandons) {
-    pool_.abandon(exchange);
+    pool_.cancel(exchange);
   }
   const ServedWork* previous = nullptr;
   std::shared_ptr<const LeafRequestTemplate> request;
--- a/src/programs/gateway/peer_link.cpp
+++ b/src/programs/gateway/peer_link.cpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <utility>
 
-#include "protocol/serving/news_codec.h"
+#include "protocol/serving/source_update_codec.h"
 #include "transport/steady_clock.h"
 
 namespace oakpier::serving {
@@ -126,7 +126,7 @@
     carryOut(membership_.onProbe(*sender, envelope.probe(), now));
   } else if (envelope.has_probe_reply()) {
     carryOut(membership_.onReply(*sender, envelope.probe_reply(), now));
-  } else if (const auto news = unpackNews(envelope)) {
+  } else if (const auto news = decodeUpdate(envelope)) {
     handlers_.onNews(*sender, *news);
   } else if (envelope.has_source_news_request()) {
     handlers_.onNewsRequest(*sender, envelope.source_news_request());
@@ -170,12 +170,12 @@
   send(to, std::move(envelope));
 }
 
-void PeerLink::sendNews(const Endpoint& to, const SourceNews& news) {
+void PeerLink::sendNews(const Endpoint& to, const SourceNews& update) {
   PeerEnvelope envelope;
-  if (news.whole()) {
+  if (update.whole()) {
     introduceMembers(to);
   }
-  newsPacker_.pack(news, envelope);
+  updateEncoder_.encode(update, envelope);
   send(to, std::move(envelope));
 }
 
--- a/src/programs/gateway/peer_link.h
+++ b/src/programs/gateway/peer_link.h
@@ -13,7 +13,7 @@
 
 #include "coordination/membership.h"
 #include "coordination/serving/shard_owners.h"
-#include "protocol/serving/news_codec.h"
+#include "protocol/serving/source_update_codec.h"
 #include "state/serving/source_position.h"
 #include "transport/peer_transport.h"
 
@@ -54,7 +54,7 @@
   void setSeeds(const std::vector<Endpoint>& seeds) { membership_.setSeeds(seeds); }
   /// In hundredths of a core.
   void setCapacity(unsigned capacity) { membership_.setCapacity(capacity); }
-  void sendNews(const Endpoint& to, const SourceNews& news);
+  void sendNews(const Endpoint& to, const SourceNews& update);
   /// Asks for everything after what is known here.
   void askForNews(const Endpoint& from, const SourcePosition& known);
   void askForProof(const Endpoint& from, const ConfigurationProofRequest& request);
@@ -84,7 +84,7 @@
   /// The incarnation of `membership_`, for other threads.
   std::atomic<std::uint64_t> incarnation_{0};
   PeerTransport transport_;
-  NewsPacker newsPacker_;
+  UpdateEncoder updateEncoder_;
   boost::asio::steady_timer tick_;
   Moment lastTickAt_{};
   std::uint64_t publishedVersion_ = 0;
--- a/src/programs/gateway/quarantine_link.cpp
+++ b/src/programs/gateway/quarantine_link.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "programs/common/logging.h"
-#include "protocol/serving/ending_requests_codec.h"
+#include "protocol/serving/quarantine_codec.h"
 #include "transport/steady_clock.h"
 
 namespace oakpier::serving {
@@ -56,7 +56,7 @@
 }
 
 void QuarantineLink::onFrame(const EndingRequests& message) {
-  for (const QuarantineRecord& record : decodeEndingRequests(message, steadyNow())) {
+  for (const QuarantineRecord& record : decodeQuarantineRecords(message, steadyNow())) {
     quarantine_.merge(record);
     ++counters_.recordsTakenOver;
   }
@@ -114,7 +114,7 @@
       repairing_ = false;
       return;
     }
-    tell(quarantine_.newest(kMostEndingRequestsInFrame), drawReceivers(1));
+    tell(quarantine_.newest(kMaxQuarantineRecordsPerFrame), drawReceivers(1));
     scheduleRepair();
   });
 }
@@ -128,12 +128,12 @@
 void QuarantineLink::tell(const std::vector<QuarantineRecord>& records,
                           const std::vector<Endpoint>& receivers) {
   const Moment now = steadyNow();
-  for (std::size_t begin = 0; begin < records.size(); begin += kMostEndingRequestsInFrame) {
-    const std::size_t end = std::min(records.size(), begin + kMostEndingRequestsInFrame);
+  for (std::size_t begin = 0; begin < records.size(); begin += kMaxQuarantineRecordsPerFrame) {
+    const std::size_t end = std::min(records.size(), begin + kMaxQuarantineRecordsPerFrame);
     const std::vector<QuarantineRecord> some(records.begin() + static_cast<std::ptrdiff_t>(begin),
                                              records.begin() + static_cast<std::ptrdiff_t>(end));
     PeerEnvelope frame;
-    *frame.mutable_ending_requests() = encodeEndingRequests(some, now);
+    *frame.mutable_ending_requests() = encodeQuarantineRecords(some, now);
     frame.set_time_to_live_ms(kLifetimeMilliseconds);
     for (const Endpoint& receiver : receivers) {
       ++counters_.framesSent;
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -52,7 +52,7 @@
   queryContext_.quarantine = &quarantine_;
   pool_.setReachabilityListener(
       [this](const LeafEntry& leaf, bool reachable) { leafs_.onReachability(leaf, reachable, steadyNow()); });
-  pool_.setLeafEndListener(
+  pool_.setLeafCrashListener(
       [this](const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under) {
         onLeafEnd(leaf, under);
       });
@@ -171,16 +171,17 @@
   LeafLives takingWork;
   for (const auto& [service, entries] : *view_->leafs) {
     for (const LeafEntry& leaf : entries) {
-      if (leaf.takesWork()) {
+      if (leaf.acceptsRequests()) {
         takingWork.insert(leaf.life());
       }
     }
   }
   pool_.retain([&](const LeafLife& leaf) {
     if (used.count(leaf) != 0) {
-      return LeafPool::LeafUse::kKeep;
+      return LeafPool::RetainMode::kKeep;
     }
-    return takingWork.count(leaf) != 0 ? LeafPool::LeafUse::kFinish : LeafPool::LeafUse::kStop;
+    return takingWork.count(leaf) != 0 ? LeafPool::RetainMode::kSendQueued
+                                       : LeafPool::RetainMode::kFailQueued;
   });
 }
 
@@ -197,7 +198,7 @@
       continue;
     }
     for (const LeafEntry& leaf : entries) {
-      pool_.warm(leaf, sender_.connectionsTo(service));
+      pool_.preconnect(leaf, sender_.connectionsTo(service));
     }
   }
 }
--- a/src/programs/gateway/request_intake.cpp
+++ b/src/programs/gateway/request_intake.cpp
@@ -4,7 +4,7 @@
 #include "programs/gateway/active_query.h"
 #include "protocol/serving/caller_credentials.h"
 #include "protocol/serving/caller_messages.h"
-#include "protocol/serving/hop_headers.h"
+#include "protocol/serving/hop_by_hop_headers.h"
 #include "transport/steady_clock.h"
 
 namespace oakpier::serving {
@@ -55,7 +55,7 @@
   }
   ++counters_.rejectedEndingLeafs;
   // Not 503: that says "not run, come back", and leafs have run it. Not 4xx: the caller need not be wrong.
-  writer.write(ownReply(kInternalError, "rejected: leafs have ended each time that they ran this request"));
+  writer.write(textReply(kInternalError, "rejected: leafs have ended each time that they ran this request"));
   log_.onRefused(request, route.name, LossCause::kEndsLeafs, kInternalError, steadyNow());
   return true;
 }
@@ -106,8 +106,8 @@
     return true;
   }
   ++counters_.noRoute;
-  const HttpReply reply = host == nullptr ? ownReply(kBadRequest, "the request names no host")
-                                          : ownReply(kNotFound, "no route for this host and path");
+  const HttpReply reply = host == nullptr ? textReply(kBadRequest, "the request names no host")
+                                          : textReply(kNotFound, "no route for this host and path");
   arrived.writer.write(reply);
   arrived.logged.fingerprint = fingerprintOf(request);
   log_.onUnrouted(arrived.logged, reply.status, arrived.receivedAt);
@@ -148,7 +148,7 @@
     return;
   }
   ++counters_.rejectedKeys;
-  arrived.writer.write(ownReply(kUnauthorized, std::string("rejected: ") + textOf(cause)));
+  arrived.writer.write(textReply(kUnauthorized, std::string("rejected: ") + textOf(cause)));
   log_.onRefused(arrived.logged, arrived.route->name, cause, kUnauthorized, arrived.receivedAt);
 }
 
--- a/src/programs/gateway/request_queries.cpp
+++ b/src/programs/gateway/request_queries.cpp
@@ -8,7 +8,7 @@
 
 void RequestGateway::apply(const ActivePointer& active, QueryActions actions) {
   for (const ExchangeId exchange : actions.abandons) {
-    pool_.abandon(exchange);
+    pool_.cancel(exchange);
   }
   ownerClient_.cancel(actions.abandons);
   mergeClient_.cancel(actions.abandons);
--- a/src/protocol/serving/caller_credentials.cpp
+++ b/src/protocol/serving/caller_credentials.cpp
@@ -10,7 +10,9 @@
 constexpr char kDelete = 0x7f;
 
 /// Excludes spaces and control characters, which could break up headers and log lines.
-bool isKeyLetter(char letter) { return static_cast<unsigned char>(letter) > ' ' && letter != kDelete; }
+bool isKeyCharacter(char character) {
+  return static_cast<unsigned char>(character) > ' ' && character != kDelete;
+}
 
 /// The value of the only header with that name; null if there is none or more than one.
 const std::string* onlyHeader(const HeaderList& headers, std::string_view name) {
@@ -45,7 +47,7 @@
     return std::nullopt;
   }
   const std::string_view key = text.substr(keyBegin);
-  return std::all_of(key.begin(), key.end(), isKeyLetter) ? std::optional(key) : std::nullopt;
+  return std::all_of(key.begin(), key.end(), isKeyCharacter) ? std::optional(key) : std::nullopt;
 }
 
 void replaceCredentials(HttpRequest& request, const std::string& tenant, const HeaderNames& names) {
--- a/src/protocol/serving/caller_messages.cpp
+++ b/src/protocol/serving/caller_messages.cpp
@@ -5,7 +5,7 @@
 #include <ostream>
 #include <variant>
 
-#include "protocol/serving/hop_headers.h"
+#include "protocol/serving/hop_by_hop_headers.h"
 
 namespace oakpier::serving {
 
@@ -47,7 +47,7 @@
   reply.status = original.status;
   reply.reason = original.reason;
   for (const Header& header : original.headers) {
-    if (!isHopHeader(header.name, original.headers)) {
+    if (!isHopByHopHeader(header.name, original.headers)) {
       reply.headers.push_back(header);
     }
   }
@@ -64,8 +64,8 @@
     return refusalReply(refusal.retryAfter, "not run: no leaf could take the request");
   }
   HttpReply operator()(const Failure& failure) const {
-    return failure.timedOut ? ownReply(kGatewayTimeout, "no answer in time")
-                            : ownReply(kBadGateway, "no leaf answered");
+    return failure.timedOut ? textReply(kGatewayTimeout, "no answer in time")
+                            : textReply(kBadGateway, "no leaf answered");
   }
 };
 
@@ -79,7 +79,7 @@
   return reply;
 }
 
-HttpReply ownReply(unsigned status, const std::string& text) {
+HttpReply textReply(unsigned status, const std::string& text) {
   HttpReply reply;
   reply.status = status;
   reply.headers.push_back({"Content-Type", "text/plain"});
@@ -88,7 +88,7 @@
 }
 
 HttpReply refusalReply(Duration retryAfter, const std::string& text) {
-  HttpReply reply = ownReply(kUnavailable, text);
+  HttpReply reply = textReply(kUnavailable, text);
   reply.headers.push_back({"Retry-After", inSeconds(retryAfter)});
   return reply;
 }
--- a/src/protocol/serving/hop_headers.cpp
+++ b/src/protocol/serving/hop_by_hop_headers.cpp
@@ -1,4 +1,4 @@
-#include "protocol/serving/hop_headers.h"
+#include "protocol/serving/hop_by_hop_headers.h"
 
 #include <algorithm>
 #include <array>
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 9> kHopHeaders = {
+constexpr std::array<std::string_view, 9> kHopByHopHeaders = {
     "Connection", "Keep-Alive",        "Proxy-Connection", "Proxy-Authenticate", "TE",
     "Trailer",    "Transfer-Encoding", "Upgrade",          "Content-Length"};
 
 }  // namespace
 
-bool isHopHeader(std::string_view name, const HeaderList& message) {
-  for (const std::string_view known : kHopHeaders) {
+bool isHopByHopHeader(std::string_view name, const HeaderList& message) {
+  for (const std::string_view known : kHopByHopHeaders) {
     if (sameHeaderName(name, known)) {
       return true;
     }
--- a/src/protocol/serving/hop_headers.h
+++ b/src/protocol/serving/hop_by_hop_headers.h
@@ -10,7 +10,7 @@
 
 /// True for the standard hop-by-hop headers, for Content-Length, which is recomputed for each message, and
 /// for those listed in the Connection header of `message`.
-bool isHopHeader(std::string_view name, const HeaderList& message);
+bool isHopByHopHeader(std::string_view name, const HeaderList& message);
 
 /// Parses a decimal integer; false if `text` is anything else.
 bool parseMilliseconds(std::string_view text, std::uint64_t& milliseconds);
--- a/src/protocol/serving/leaf_messages.cpp
+++ b/src/protocol/serving/leaf_messages.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <vector>
 
-#include "protocol/serving/hop_headers.h"
+#include "protocol/serving/hop_by_hop_headers.h"
 
 namespace oakpier::serving {
 
@@ -13,7 +13,7 @@
 constexpr unsigned kMisdirected = 421;
 constexpr std::string_view kTimeoutParameter = "timeout=";
 /// Running, waiting, slots; the work time is optional.
-constexpr std::size_t kLeastLoadFigures = 3;
+constexpr std::size_t kMinLoadFields = 3;
 
 bool isSuccess(unsigned status) { return status >= 200 && status < 300; }
 
@@ -36,12 +36,12 @@
   if (text == nullptr) {
     return std::nullopt;
   }
-  const std::vector<std::string_view> figures = splitAtCommas(*text);
+  const std::vector<std::string_view> fields = splitAtCommas(*text);
   ReportedLoad load;
-  const bool whole = figures.size() >= kLeastLoadFigures && parseNumber(figures[0], load.running) &&
-                     parseNumber(figures[1], load.waiting) && parseNumber(figures[2], load.slots);
-  if (!whole || (figures.size() > kLeastLoadFigures &&
-                 !parseNumber(figures[kLeastLoadFigures], load.workTimePercent))) {
+  const bool complete = fields.size() >= kMinLoadFields && parseNumber(fields[0], load.running) &&
+                        parseNumber(fields[1], load.waiting) && parseNumber(fields[2], load.slots);
+  if (!complete ||
+      (fields.size() > kMinLoadFields && !parseNumber(fields[kMinLoadFields], load.workTimePercent))) {
     return std::nullopt;
   }
   return load;
@@ -76,7 +76,7 @@
     const bool replaced = sameHeaderName(header.name, names.deadline) ||
                           sameHeaderName(header.name, names.expectedInstance) ||
                           sameHeaderName(header.name, names.tenant) || sameHeaderName(header.name, "Expect");
-    if (replaced || isHopHeader(header.name, request.headers)) {
+    if (replaced || isHopByHopHeader(header.name, request.headers)) {
       continue;
     }
     head_.append(header.name).append(": ").append(header.value).append("\r\n");
@@ -133,10 +133,10 @@
   if (text == nullptr) {
     return std::nullopt;
   }
-  const std::size_t place = text->find(kTimeoutParameter);
+  const std::size_t position = text->find(kTimeoutParameter);
   unsigned seconds = 0;
-  if (place != std::string::npos &&
-      parseNumber(std::string_view(*text).substr(place + kTimeoutParameter.size()), seconds)) {
+  if (position != std::string::npos &&
+      parseNumber(std::string_view(*text).substr(position + kTimeoutParameter.size()), seconds)) {
     return std::chrono::seconds(seconds);
   }
   return std::nullopt;
--- a/src/protocol/serving/ending_requests_codec.cpp
+++ b/src/protocol/serving/quarantine_codec.cpp
@@ -1,4 +1,4 @@
-#include "protocol/serving/ending_requests_codec.h"
+#include "protocol/serving/quarantine_codec.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 /// Older records are rejected, as daemons do not keep them that long. Also keeps the conversion to `Moment`
 /// from overflowing.
-constexpr std::uint64_t kOldestAge = std::chrono::microseconds(std::chrono::hours(48)).count();
+constexpr std::uint64_t kMaxAge = std::chrono::microseconds(std::chrono::hours(48)).count();
 
 std::uint64_t ageOf(Moment moment, Moment now) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - moment).count()));
@@ -17,14 +17,14 @@
 Moment momentOf(std::uint64_t age, Moment now) { return now - Duration(static_cast<std::int64_t>(age)); }
 
 bool withinBounds(const EndingRequest& request) {
-  return request.last_ended_age_us() <= kOldestAge &&
-         (request.trials() == 0 || request.last_trial_age_us() <= kOldestAge) &&
+  return request.last_ended_age_us() <= kMaxAge &&
+         (request.trials() == 0 || request.last_trial_age_us() <= kMaxAge) &&
          static_cast<std::size_t>(request.ended_leafs_size()) <= RequestQuarantine::kMostEndedLeafs;
 }
 
 }  // namespace
 
-EndingRequests encodeEndingRequests(const std::vector<QuarantineRecord>& records, Moment now) {
+EndingRequests encodeQuarantineRecords(const std::vector<QuarantineRecord>& records, Moment now) {
   EndingRequests message;
   for (const QuarantineRecord& record : records) {
     EndingRequest* request = message.add_requests();
@@ -43,10 +43,10 @@
   return message;
 }
 
-std::vector<QuarantineRecord> decodeEndingRequests(const EndingRequests& message, Moment now) {
+std::vector<QuarantineRecord> decodeQuarantineRecords(const EndingRequests& message, Moment now) {
   std::vector<QuarantineRecord> records;
   for (const EndingRequest& request : message.requests()) {
-    if (!withinBounds(request) || records.size() >= kMostEndingRequestsInFrame) {
+    if (!withinBounds(request) || records.size() >= kMaxQuarantineRecordsPerFrame) {
       continue;
     }
     QuarantineRecord record;
--- a/src/protocol/serving/ending_requests_codec.h
+++ b/src/protocol/serving/quarantine_codec.h
@@ -11,10 +11,10 @@
 namespace oakpier::serving {
 
 /// Maximum number of records per frame, which is then about 5 KB.
-inline constexpr std::size_t kMostEndingRequestsInFrame = 64;
+inline constexpr std::size_t kMaxQuarantineRecordsPerFrame = 64;
 
-EndingRequests encodeEndingRequests(const std::vector<QuarantineRecord>& records, Moment now);
+EndingRequests encodeQuarantineRecords(const std::vector<QuarantineRecord>& records, Moment now);
 /// Skips records with out-of-range fields and those beyond the maximum number per frame.
-std::vector<QuarantineRecord> decodeEndingRequests(const EndingRequests& message, Moment now);
+std::vector<QuarantineRecord> decodeQuarantineRecords(const EndingRequests& message, Moment now);
 
 }  // namespace oakpier::serving
--- a/src/protocol/serving/news_codec.cpp
+++ b/src/protocol/serving/source_update_codec.cpp
@@ -1,4 +1,4 @@
-#include "protocol/serving/news_codec.h"
+#include "protocol/serving/source_update_codec.h"
 
 #include <zlib.h>
 
@@ -10,17 +10,17 @@
 namespace {
 
 /// Smaller updates are sent uncompressed.
-constexpr std::size_t kLeastPackedBytes = 600;
+constexpr std::size_t kCompressionThreshold = 600;
 /// Larger updates are rejected, so that a faulty peer cannot exhaust the memory.
-constexpr std::size_t kLargestNewsBytes = std::size_t{128} * 1024 * 1024;
+constexpr std::size_t kMaxUpdateBytes = std::size_t{128} * 1024 * 1024;
 /// zlib level, from 1 (fastest) to 9 (smallest).
 constexpr int kCompressionLevel = 3;
 
-std::optional<PackedSourceNews> compress(SourceNews news) {
+std::optional<PackedSourceNews> compress(SourceNews update) {
   PackedSourceNews packed;
-  packed.set_age_us(news.age_us());
-  news.clear_age_us();
-  const std::string plain = news.SerializeAsString();
+  packed.set_age_us(update.age_us());
+  update.clear_age_us();
+  const std::string plain = update.SerializeAsString();
   uLongf size = compressBound(plain.size());
   std::string bytes(size, '\0');
   const int result = compress2(reinterpret_cast<Bytef*>(bytes.data()), &size,
@@ -35,52 +35,52 @@
 }
 
 std::optional<SourceNews> decompress(const PackedSourceNews& packed) {
-  if (packed.size() > kLargestNewsBytes) {
+  if (packed.size() > kMaxUpdateBytes) {
     return std::nullopt;
   }
   std::string plain(packed.size(), '\0');
   uLongf size = plain.size();
   const int result = uncompress(reinterpret_cast<Bytef*>(plain.data()), &size,
                                 reinterpret_cast<const Bytef*>(packed.bytes().data()), packed.bytes().size());
-  SourceNews news;
-  if (result != Z_OK || size != plain.size() || !news.ParseFromString(plain)) {
+  SourceNews update;
+  if (result != Z_OK || size != plain.size() || !update.ParseFromString(plain)) {
     return std::nullopt;
   }
-  news.set_age_us(news.age_us() + packed.age_us());
-  return news;
+  update.set_age_us(update.age_us() + packed.age_us());
+  return update;
 }
 
 }  // namespace
 
-void packNews(const SourceNews& news, PeerEnvelope& envelope) {
-  if (news.ByteSizeLong() >= kLeastPackedBytes) {
-    if (const auto packed = compress(news)) {
+void encodeUpdate(const SourceNews& update, PeerEnvelope& envelope) {
+  if (update.ByteSizeLong() >= kCompressionThreshold) {
+    if (const auto packed = compress(update)) {
       *envelope.mutable_packed_source_news() = *packed;
       return;
     }
   }
-  *envelope.mutable_source_news() = news;
+  *envelope.mutable_source_news() = update;
 }
 
-NewsPacker::Identity NewsPacker::identityOf(const SourceNews& news) {
-  return {news.whole(),    news.epoch(),        news.after_revision(),
-          news.revision(), news.records_size(), news.reader()};
+UpdateEncoder::Identity UpdateEncoder::identityOf(const SourceNews& update) {
+  return {update.whole(),    update.epoch(),        update.after_revision(),
+          update.revision(), update.records_size(), update.reader()};
 }
 
-bool NewsPacker::sameAsLast(const Identity& identity) const {
+bool UpdateEncoder::sameAsLast(const Identity& identity) const {
   return identity.whole == last_.whole && identity.epoch == last_.epoch &&
          identity.afterRevision == last_.afterRevision && identity.revision == last_.revision &&
          identity.records == last_.records && identity.reader == last_.reader;
 }
 
-void NewsPacker::pack(const SourceNews& news, PeerEnvelope& envelope) {
-  Identity identity = identityOf(news);
+void UpdateEncoder::encode(const SourceNews& update, PeerEnvelope& envelope) {
+  Identity identity = identityOf(update);
   if (packed_.size() > 0 && sameAsLast(identity)) {
     *envelope.mutable_packed_source_news() = packed_;
-    envelope.mutable_packed_source_news()->set_age_us(news.age_us());
+    envelope.mutable_packed_source_news()->set_age_us(update.age_us());
     return;
   }
-  packNews(news, envelope);
+  encodeUpdate(update, envelope);
   if (envelope.has_packed_source_news()) {
     ++compressions_;
     packed_ = envelope.packed_source_news();
@@ -88,7 +88,7 @@
   }
 }
 
-std::optional<SourceNews> unpackNews(const PeerEnvelope& envelope) {
+std::optional<SourceNews> decodeUpdate(const PeerEnvelope& envelope) {
   if (envelope.has_source_news()) {
     return envelope.source_news();
   }
--- a/src/protocol/serving/news_codec.h
+++ b/src/protocol/serving/source_update_codec.h
@@ -12,13 +12,13 @@
 namespace oakpier::serving {
 
 /// Sets the envelope's body to the update, compressed if it is large.
-void packNews(const SourceNews& news, PeerEnvelope& envelope);
+void encodeUpdate(const SourceNews& update, PeerEnvelope& envelope);
 
-/// Works like `packNews`, but reuses the last compressed update if only the age differs, since an update is
-/// sent to several peers and a full state is large.
-class NewsPacker {
+/// Works like `encodeUpdate`, but reuses the last compressed update if only the age differs, since an update
+/// is sent to several peers and a full state is large.
+class UpdateEncoder {
  public:
-  void pack(const SourceNews& news, PeerEnvelope& envelope);
+  void encode(const SourceNews& update, PeerEnvelope& envelope);
   /// Number of updates that were compressed rather than reused.
   std::uint64_t compressions() const { return compressions_; }
 
@@ -32,7 +32,7 @@
     int records = 0;
     std::string reader;
   };
-  static Identity identityOf(const SourceNews& news);
+  static Identity identityOf(const SourceNews& update);
   bool sameAsLast(const Identity& identity) const;
 
   Identity last_;
@@ -41,6 +41,6 @@
 };
 
 /// The update in the envelope; empty if there is none or if it is corrupted.
-std::optional<SourceNews> unpackNews(const PeerEnvelope& envelope);
+std::optional<SourceNews> decodeUpdate(const PeerEnvelope& envelope);
 
 }  // namespace oakpier::serving
--- a/src/state/serving/leaf_directory.h
+++ b/src/state/serving/leaf_directory.h
@@ -38,7 +38,7 @@
   /// Position of this entry in the source's history; default if it was not read from a source.
   SourcePosition position;
 
-  bool sameAs(const LeafEntry& other) const {
+  bool sameDescription(const LeafEntry& other) const {
     return bornAt == other.bornAt && service == other.service && address == other.address &&
            zone == other.zone && slots == other.slots && draining == other.draining &&
            evacuated == other.evacuated;
@@ -47,7 +47,7 @@
   bool isOf(const LeafLife& life) const {
     return bornAt == life.bornAt && address == life.address && id == life.id;
   }
-  bool takesWork() const { return !draining && !evacuated; }
+  bool acceptsRequests() const { return !draining && !evacuated; }
 };
 
 using LeafsByService = std::unordered_map<std::string, std::vector<LeafEntry>>;
--- a/src/state/serving/serving_configuration.cpp
+++ b/src/state/serving/serving_configuration.cpp
@@ -11,8 +11,8 @@
 /// True for printable ASCII without leading or trailing spaces, which reaches leafs unchanged and cannot
 /// inject header lines.
 bool canBeHeaderValue(const std::string& text) {
-  const bool printable =
-      std::all_of(text.begin(), text.end(), [](char letter) { return letter >= ' ' && letter <= '~'; });
+  const bool printable = std::all_of(text.begin(), text.end(),
+                                     [](char character) { return character >= ' ' && character <= '~'; });
   return printable && (text.empty() || (text.front() != ' ' && text.back() != ' '));
 }
 
@@ -20,9 +20,9 @@
   return canBeHeaderValue(name) ? name : std::string("<invalid name>");
 }
 
-class ConfigurationCheck {
+class ConfigurationValidator {
  public:
-  explicit ConfigurationCheck(const ServingConfiguration& configuration) : configuration_(configuration) {
+  explicit ConfigurationValidator(const ServingConfiguration& configuration) : configuration_(configuration) {
     for (const ServiceDefinition& service : configuration.services) {
       services_.insert(service.name);
     }
@@ -43,13 +43,13 @@
     require(configuration_.limits.headerBytes > 0, "limits: the maximum header size is 0");
     require(configuration_.limits.headerTimeout.count() > 0, "limits: the header timeout is 0");
     require(configuration_.limits.idleTimeout.count() > 0, "limits: the idle timeout is 0");
-    return std::move(problems_);
+    return std::move(errors_);
   }
 
  private:
-  void require(bool holds, const std::string& problem) {
-    if (!holds) {
-      problems_.push_back(problem);
+  void require(bool condition, const std::string& error) {
+    if (!condition) {
+      errors_.push_back(error);
     }
   }
 
@@ -59,7 +59,7 @@
     const bool slashes = !prefix.empty() && prefix.front() == '/' && prefix.back() == '/';
     require(slashes, label + "the path prefix does not start and end with a slash");
     require(!route.host.empty(), label + "the host is empty");
-    require(routePlaces_.insert(route.host + prefix).second,
+    require(routeKeys_.insert(route.host + prefix).second,
             label + "another route has the same host and path prefix");
     require(route.timeout.count() > 0, label + "the timeout is 0");
     require(route.targetLatency.count() > 0, label + "the target latency is 0");
@@ -74,10 +74,10 @@
   void checkSingle(const SingleTarget& target, const std::string& label) {
     require(!target.services.empty(), label + "no service is given");
     double total = 0;
-    for (const WeightedService& part : target.services) {
-      checkService(part.service, label);
-      require(part.weight >= 0, label + "a weight is negative");
-      total += part.weight;
+    for (const WeightedService& weighted : target.services) {
+      checkService(weighted.service, label);
+      require(weighted.weight >= 0, label + "a weight is negative");
+      total += weighted.weight;
     }
     require(total > 0, label + "all weights are 0");
   }
@@ -91,9 +91,9 @@
     std::set<std::string> seen;
     for (const std::string& shard : target.shards) {
       checkService(shard, label);
-      std::string twice = label;
-      twice.append("shard ").append(shard).append(" is listed twice");
-      require(seen.insert(shard).second, twice);
+      std::string duplicate = label;
+      duplicate.append("shard ").append(shard).append(" is listed twice");
+      require(seen.insert(shard).second, duplicate);
     }
   }
 
@@ -109,26 +109,26 @@
     require(tenants_.insert(tenant.name).second, label + "another tenant has its name");
     require(tenant.limit.perSecond >= 0, label + "the rate is negative");
     require(tenant.limit.burst >= 0, label + "the burst is negative");
-    for (std::size_t place = 0; place < tenant.keys.size(); ++place) {
-      const std::string number = label + "its key number " + std::to_string(place + 1);
-      require(!tenant.keys[place].empty(), number + " is empty");
-      require(tenantKeys_.insert(tenant.keys[place]).second, number + " is named elsewhere as well");
+    for (std::size_t index = 0; index < tenant.keys.size(); ++index) {
+      const std::string number = label + "its key number " + std::to_string(index + 1);
+      require(!tenant.keys[index].empty(), number + " is empty");
+      require(tenantKeys_.insert(tenant.keys[index]).second, number + " is named elsewhere as well");
     }
   }
 
   const ServingConfiguration& configuration_;
   std::set<std::string> services_;
   /// The host and path prefix of each route, concatenated.
-  std::set<std::string> routePlaces_;
+  std::set<std::string> routeKeys_;
   std::set<std::string> tenants_;
   std::set<std::string_view> tenantKeys_;
-  std::vector<std::string> problems_;
+  std::vector<std::string> errors_;
 };
 
 }  // namespace
 
 std::vector<std::string> problemsOf(const ServingConfiguration& configuration) {
-  return ConfigurationCheck(configuration).run();
+  return ConfigurationValidator(configuration).run();
 }
 
 }  // namespace oakpier::serving
--- a/src/transport/serving/http_service.cpp
+++ b/src/transport/serving/http_service.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr int kListenQueue = 1024;
+constexpr int kListenBacklog = 1024;
 /// Delay after a failed accept, e.g. when the process is out of file descriptors.
-constexpr Duration kAcceptRetry = std::chrono::milliseconds(50);
+constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -41,7 +41,7 @@
     acceptor_.bind(toAsio(address), error);
   }
   if (!error) {
-    acceptor_.listen(kListenQueue, error);
+    acceptor_.listen(kListenBacklog, error);
   }
   if (error) {
     return "cannot listen at " + address.text() + ": " + error.message();
@@ -51,14 +51,14 @@
 }
 
 void HttpService::accept() {
-  const std::weak_ptr<void> life = life_;
+  const std::weak_ptr<void> lifetime = lifetime_;
   acceptor_.async_accept(
-      [this, life](const boost::system::error_code& error, boost::asio::ip::tcp::socket socket) {
-        if (life.expired() || error == boost::asio::error::operation_aborted) {
+      [this, lifetime](const boost::system::error_code& error, boost::asio::ip::tcp::socket socket) {
+        if (lifetime.expired() || error == boost::asio::error::operation_aborted) {
           return;
         }
         if (error) {
-          acceptAgainLater();
+          retryAccept();
           return;
         }
         std::make_shared<HttpSession>(*this, std::move(socket))->start();
@@ -66,13 +66,14 @@
       });
 }
 
-void HttpService::acceptAgainLater() {
-  acceptRetry_.expires_after(kAcceptRetry);
-  acceptRetry_.async_wait([this, life = std::weak_ptr<void>(life_)](const boost::system::error_code& error) {
-    if (!life.expired() && !error) {
-      accept();
-    }
-  });
+void HttpService::retryAccept() {
+  acceptRetry_.expires_after(kAcceptRetryDelay);
+  acceptRetry_.async_wait(
+      [this, lifetime = std::weak_ptr<void>(lifetime_)](const boost::system::error_code& error) {
+        if (!lifetime.expired() && !error) {
+          accept();
+        }
+      });
 }
 
 void HttpService::answerAll(const HttpReply& reply) {
--- a/src/transport/serving/http_service.h
+++ b/src/transport/serving/http_service.h
@@ -65,7 +65,7 @@
  private:
   friend class HttpSession;
   void accept();
-  void acceptAgainLater();
+  void retryAccept();
 
   boost::asio::io_context& context_;
   RequestHandler& handler_;
@@ -77,7 +77,7 @@
   bool closing_ = false;
   /// Expires with the service. Lets a completion handler detect that the service was destroyed while the
   /// handler was queued.
-  std::shared_ptr<void> life_ = std::make_shared<char>();
+  std::shared_ptr<void> lifetime_ = std::make_shared<char>();
 };
 
 }  // namespace oakpier::serving
--- a/src/transport/serving/http_session.cpp
+++ b/src/transport/serving/http_session.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kReadBytes = 4096;
 /// Maximum number of bytes buffered of requests that arrive while another is served.
-constexpr std::size_t kEarlyBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxPipelinedBytes = std::size_t{64} * 1024;
 constexpr Duration kLingerTime = std::chrono::seconds(1);
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kTooLarge = 413;
@@ -63,7 +63,7 @@
 
 void HttpSession::beginRequest() {
   state_ = State::kIdle;
-  confirmed_ = false;
+  continueSent_ = false;
   parser_.emplace();
   parser_->eager(true);
   const RequestLimits& limits = service_->limits();
@@ -83,13 +83,13 @@
       self->close();
     } else if (self->state_ == State::kReadingRequest) {
       self->keepAlive_ = false;
-      self->respond(ownReply(kRequestTimeout, "the request did not arrive in time"));
+      self->respond(textReply(kRequestTimeout, "the request did not arrive in time"));
     }
   });
 }
 
 void HttpSession::read() {
-  if (reading_ || ended_ || state_ == State::kClosed || buffer_.size() >= kEarlyBytes) {
+  if (reading_ || inputClosed_ || state_ == State::kClosed || buffer_.size() >= kMaxPipelinedBytes) {
     return;
   }
   reading_ = true;
@@ -106,7 +106,7 @@
     return;
   }
   if (error) {
-    ended_ = true;
+    inputClosed_ = true;
     if (state_ == State::kServing) {
       onCallerGone();
     } else if (state_ != State::kWriting) {
@@ -150,16 +150,16 @@
     return;
   }
   if (parser_->is_header_done()) {
-    confirmExpectation();
+    sendContinue();
   }
   read();
 }
 
-void HttpSession::confirmExpectation() {
-  if (confirmed_ || parser_->get()[http::field::expect] != "100-continue") {
+void HttpSession::sendContinue() {
+  if (continueSent_ || parser_->get()[http::field::expect] != "100-continue") {
     return;
   }
-  confirmed_ = true;
+  continueSent_ = true;
   auto self = shared_from_this();
   boost::asio::async_write(socket_, boost::asio::buffer(kContinue.data(), kContinue.size()),
                            [self](const boost::system::error_code&, std::size_t) {});
@@ -168,11 +168,11 @@
 void HttpSession::onParseError(const boost::system::error_code& error) {
   keepAlive_ = false;
   if (error == http::error::header_limit) {
-    respond(ownReply(kHeaderTooLarge, "the header is larger than allowed"));
+    respond(textReply(kHeaderTooLarge, "the header is larger than allowed"));
   } else if (error == http::error::body_limit) {
-    respond(ownReply(kTooLarge, "the body is larger than allowed"));
+    respond(textReply(kTooLarge, "the body is larger than allowed"));
   } else {
-    respond(ownReply(kBadRequest, "the request cannot be read: " + error.message()));
+    respond(textReply(kBadRequest, "the request cannot be read: " + error.message()));
   }
 }
 
@@ -187,19 +187,20 @@
   auto self = shared_from_this();
   // Keep reading to detect a disconnect; bytes of later requests stay in the buffer.
   read();
-  auto onGone = service_->handler_.onRequest(requestOf(std::move(message)), ResponseWriter(weak_from_this()));
+  auto onDisconnect =
+      service_->handler_.onRequest(requestOf(std::move(message)), ResponseWriter(weak_from_this()));
   if (state_ == State::kServing) {
-    onGone_ = std::move(onGone);
+    onDisconnect_ = std::move(onDisconnect);
   }
 }
 
 void HttpSession::onCallerGone() {
   --service_->inProgress_;
-  auto onGone = std::move(onGone_);
-  onGone_ = nullptr;
+  auto onDisconnect = std::move(onDisconnect_);
+  onDisconnect_ = nullptr;
   close();
-  if (onGone) {
-    onGone();
+  if (onDisconnect) {
+    onDisconnect();
   }
 }
 
@@ -210,7 +211,7 @@
   if (state_ == State::kServing) {
     --service_->inProgress_;
   }
-  onGone_ = nullptr;
+  onDisconnect_ = nullptr;
   timer_.cancel();
   keepAlive_ = keepAlive_ && !service_->closing();
   state_ = State::kWriting;
@@ -231,7 +232,7 @@
   if (service_ == nullptr || state_ != State::kWriting) {
     return;
   }
-  if (error || ended_) {
+  if (error || inputClosed_) {
     close();
     return;
   }
--- a/src/transport/serving/http_session.h
+++ b/src/transport/serving/http_session.h
@@ -41,7 +41,7 @@
   void onRead(const boost::system::error_code& error, std::size_t count);
   void parse();
   void onParseError(const boost::system::error_code& error);
-  void confirmExpectation();
+  void sendContinue();
   void serve();
   void onWritten(const boost::system::error_code& error);
   void armTimer(Duration duration);
@@ -56,12 +56,12 @@
   std::optional<Parser> parser_;
   State state_ = State::kIdle;
   bool reading_ = false;
-  bool ended_ = false;
+  bool inputClosed_ = false;
   bool keepAlive_ = true;
   bool isHead_ = false;
-  bool confirmed_ = false;
+  bool continueSent_ = false;
   std::string outgoing_;
-  std::function<void()> onGone_;
+  std::function<void()> onDisconnect_;
 };
 
 }  // namespace oakpier::serving
--- a/src/transport/serving/leaf_connection.cpp
+++ b/src/transport/serving/leaf_connection.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kReadBytes = 4096;
 /// A leaf that has reached its connection limit accepts further connections and resets them immediately. A
 /// new connection is used only after this time, so that no request is lost to such a reset.
-constexpr Duration kAcceptanceTime = std::chrono::microseconds(2500);
+constexpr Duration kEarlyResetWindow = std::chrono::microseconds(2500);
 
 }  // namespace
 
@@ -43,13 +43,13 @@
     self->wasAccepted_ = true;
     configureConnection(self->socket_, kUnacknowledgedLimit);
     self->read();
-    self->awaitAcceptance();
+    self->awaitEarlyReset();
   });
 }
 
-void LeafConnection::awaitAcceptance() {
+void LeafConnection::awaitEarlyReset() {
   auto self = shared_from_this();
-  connectTimer_.expires_after(kAcceptanceTime);
+  connectTimer_.expires_after(kEarlyResetWindow);
   connectTimer_.async_wait([self](const boost::system::error_code& error) {
     if (error || self->state_ != State::kConnecting) {
       return;
@@ -72,7 +72,7 @@
                            [self](const boost::system::error_code& error, std::size_t) {
                              self->writing_ = false;
                              if (error && self->state_ == State::kBusy && !self->reader_.started()) {
-                               self->onBroken(error);
+                               self->onConnectionLost(error);
                              }
                            });
 }
@@ -111,12 +111,12 @@
   }
   ReplyReader::State state = ReplyReader::State::kBroken;
   if (error == boost::asio::error::eof) {
-    state = reader_.onEnd();
+    state = reader_.onEof();
   } else if (!error) {
     state = reader_.advance();
   }
   if (state == ReplyReader::State::kBroken) {
-    onBroken(error);
+    onConnectionLost(error);
   } else if (state == ReplyReader::State::kNeedsMore) {
     read();
   } else {
@@ -126,7 +126,7 @@
 
 void LeafConnection::onReply() {
   auto reply = std::make_shared<const HttpReply>(reader_.take());
-  const bool reusable = reader_.keepsConnection() && !writing_;
+  const bool reusable = reader_.keepAlive() && !writing_;
   if (!filter_(*reply)) {
     // A duplicate reply to an earlier request; the expected one may follow.
     if (!reusable) {
@@ -149,10 +149,10 @@
   listener(*this, Event::kReplied, std::move(reply));
 }
 
-void LeafConnection::onBroken(const boost::system::error_code& error) {
+void LeafConnection::onConnectionLost(const boost::system::error_code& error) {
   const bool byPeer = error == boost::asio::error::eof || error == boost::asio::error::connection_reset ||
                       error == boost::asio::error::broken_pipe;
-  endedWithoutAnswer_ = byPeer && !reader_.started();
+  closedWithoutReply_ = byPeer && !reader_.started();
   fail();
 }
 
--- a/src/transport/serving/leaf_connection.h
+++ b/src/transport/serving/leaf_connection.h
@@ -46,20 +46,20 @@
   bool wasRefused() const { return wasRefused_; }
   /// The leaf's host closed or reset the connection before any byte of a reply to the request on it. False
   /// after a timeout.
-  bool endedWithoutAnswer() const { return endedWithoutAnswer_; }
+  bool closedWithoutReply() const { return closedWithoutReply_; }
   bool idle() const { return state_ == State::kIdle; }
   /// `now` is before the time at which the idle connection expires.
-  bool usableUntil(Moment now) const { return now < idleUntil_; }
-  void keepIdleFor(Duration duration, Moment now) { idleUntil_ = now + duration; }
+  bool usableAt(Moment now) const { return now < idleExpiresAt_; }
+  void setIdleTimeout(Duration duration, Moment now) { idleExpiresAt_ = now + duration; }
 
  private:
   enum class State { kConnecting, kIdle, kBusy, kClosed };
-  void awaitAcceptance();
+  void awaitEarlyReset();
   void read();
   void onRead(const boost::system::error_code& error, std::size_t count);
   void onReply();
   /// Closes the connection; the request in progress gets no reply on it.
-  void onBroken(const boost::system::error_code& error);
+  void onConnectionLost(const boost::system::error_code& error);
   void fail();
 
   boost::asio::ip::tcp::socket socket_;
@@ -76,8 +76,8 @@
   bool wasOpen_ = false;
   bool wasAccepted_ = false;
   bool wasRefused_ = false;
-  bool endedWithoutAnswer_ = false;
-  Moment idleUntil_ = kNever;
+  bool closedWithoutReply_ = false;
+  Moment idleExpiresAt_ = kNever;
 };
 
 }  // namespace oakpier::serving
--- a/src/transport/serving/leaf_pool.cpp
+++ b/src/transport/serving/leaf_pool.cpp
@@ -17,19 +17,19 @@
 /// a hundred times the latency between zones, and equal to the limit for unacknowledged data.
 constexpr Duration kConnectTimeout = kUnacknowledgedLimit;
 /// Delay between connection attempts to an unreachable leaf.
-constexpr Duration kReconnectPause = kConnectTimeout;
+constexpr Duration kReconnectDelay = kConnectTimeout;
 /// How long a cancelled exchange may still complete, so that its connection can be reused.
-constexpr Duration kAbandonGrace = std::chrono::milliseconds(320);
+constexpr Duration kCancelGracePeriod = std::chrono::milliseconds(320);
 /// Deadlines are sent in whole milliseconds; a shorter one could reach the leaf as 0.
-constexpr Duration kShortestDeadline = std::chrono::milliseconds(2);
+constexpr Duration kMinDeadline = std::chrono::milliseconds(2);
 /// How long an interrupted request waits for the crash check. A connection is accepted or refused within a
 /// few milliseconds, even across zones. The hedge of a request with a target latency of 50 ms is sent after
 /// about the same time.
-constexpr Duration kConfirmPatience = std::chrono::milliseconds(20);
-constexpr Duration kDefaultIdle = std::chrono::seconds(20);
+constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(20);
+constexpr Duration kDefaultIdleTimeout = std::chrono::seconds(20);
 /// An idle connection is not used during the last part of the leaf's idle timeout, as the leaf may be closing
 /// it.
-constexpr Duration kIdleReserve = std::chrono::milliseconds(900);
+constexpr Duration kIdleTimeoutMargin = std::chrono::milliseconds(900);
 
 LeafOutcome outcomeOf(LeafOutcome::Kind kind) {
   LeafOutcome outcome;
@@ -41,34 +41,34 @@
 
 /// The connections to one incarnation of a leaf and the requests queued for it.
 struct LeafPool::Channel {
-  struct Running {
+  struct InFlight {
     std::shared_ptr<LeafConnection> connection;
-    Order order;
+    ExchangeRequest request;
   };
 
   explicit Channel(LeafEntry entry) : leaf(std::move(entry)) {}
 
   LeafEntry leaf;
   std::size_t maximum = 1;
-  /// Not to be kept (see `LeafUse`): connections close once idle.
+  /// Not to be kept (see `RetainMode`): connections close once idle.
   bool retired = false;
   /// The last attempt to connect failed, and no connection is open.
   bool unreachable = false;
   std::vector<std::shared_ptr<LeafConnection>> connections;
   std::size_t connecting = 0;
-  std::vector<Running> running;
-  std::list<Order> waiting;
+  std::vector<InFlight> inFlight;
+  std::list<ExchangeRequest> queued;
   /// Requests whose connection closed without a reply, until the crash check completes.
-  std::vector<std::shared_ptr<RequestRecord>> brokenOff;
+  std::vector<std::shared_ptr<RequestRecord>> interrupted;
   /// Those of them whose listeners have not been called yet.
-  std::list<Order> unconfirmed;
+  std::list<ExchangeRequest> unconfirmed;
   /// The connection opened for the crash check was accepted and reset, and a second one was opened.
-  bool askedTwice = false;
+  bool crashCheckRepeated = false;
 
   std::shared_ptr<LeafConnection> idleConnection(Moment now) const {
     const auto found = std::find_if(connections.begin(), connections.end(),
                                     [&](const std::shared_ptr<LeafConnection>& candidate) {
-                                      return candidate->idle() && candidate->usableUntil(now);
+                                      return candidate->idle() && candidate->usableAt(now);
                                     });
     return found == connections.end() ? nullptr : *found;
   }
@@ -78,7 +78,7 @@
     : context_(context), names_(names) {}
 
 LeafPool::~LeafPool() {
-  for (auto& [life, channel] : channels_) {
+  for (auto& [incarnation, channel] : channels_) {
     for (auto& connection : channel->connections) {
       connection->close();
     }
@@ -94,16 +94,16 @@
   return channel;
 }
 
-void LeafPool::send(const LeafEntry& leaf, std::size_t maximum, Order order) {
+void LeafPool::send(const LeafEntry& leaf, std::size_t maximum, ExchangeRequest pending) {
   const ChannelPointer channel = channelOf(leaf, maximum);
-  exchanges_[order.exchange] = channel;
-  const auto position = std::find_if(channel->waiting.begin(), channel->waiting.end(),
-                                     [&](const Order& other) { return other.rank > order.rank; });
-  channel->waiting.insert(position, std::move(order));
+  exchanges_[pending.exchange] = channel;
+  const auto position = std::find_if(channel->queued.begin(), channel->queued.end(),
+                                     [&](const ExchangeRequest& other) { return other.rank > pending.rank; });
+  channel->queued.insert(position, std::move(pending));
   dispatch(channel);
 }
 
-void LeafPool::warm(const LeafEntry& leaf, std::size_t maximum) {
+void LeafPool::preconnect(const LeafEntry& leaf, std::size_t maximum) {
   const ChannelPointer channel = channelOf(leaf, maximum);
   if (channel->connections.empty()) {
     open(channel);
@@ -125,19 +125,19 @@
 void LeafPool::dispatch(const ChannelPointer& channel) {
   const Moment now = steadyNow();
   dropExpired(*channel, now);
-  while (!channel->waiting.empty()) {
+  while (!channel->queued.empty()) {
     const std::shared_ptr<LeafConnection> free = channel->idleConnection(now);
     if (!free) {
       break;
     }
-    Order order = std::move(channel->waiting.front());
-    channel->waiting.pop_front();
-    start(channel, free, std::move(order));
+    ExchangeRequest pending = std::move(channel->queued.front());
+    channel->queued.pop_front();
+    start(channel, free, std::move(pending));
   }
   auto& connections = channel->connections;
   std::size_t surplus = connections.size() > channel->maximum ? connections.size() - channel->maximum : 0;
   const auto closeUnwanted = [&](const std::shared_ptr<LeafConnection>& connection) {
-    const bool expired = !connection->usableUntil(now);
+    const bool expired = !connection->usableAt(now);
     if (!connection->idle() || !(channel->retired || expired || surplus > 0)) {
       return false;
     }
@@ -147,49 +147,49 @@
     return true;
   };
   connections.erase(std::remove_if(connections.begin(), connections.end(), closeUnwanted), connections.end());
-  while (channel->connecting < channel->waiting.size() && connections.size() < channel->maximum) {
+  while (channel->connecting < channel->queued.size() && connections.size() < channel->maximum) {
     open(channel);
   }
 }
 
 void LeafPool::dropExpired(Channel& channel, Moment now) {
-  std::list<Order> dropped;
-  for (auto order = channel.waiting.begin(); order != channel.waiting.end();) {
-    const auto next = std::next(order);
-    if (order->deadline - now < std::max(order->leastTime, kShortestDeadline)) {
-      dropped.splice(dropped.end(), channel.waiting, order);
+  std::list<ExchangeRequest> dropped;
+  for (auto pending = channel.queued.begin(); pending != channel.queued.end();) {
+    const auto next = std::next(pending);
+    if (pending->deadline - now < std::max(pending->leastTime, kMinDeadline)) {
+      dropped.splice(dropped.end(), channel.queued, pending);
     }
-    order = next;
+    pending = next;
   }
   counters_.expiredUnsent += dropped.size();
-  endUnsent(std::move(dropped), LeafOutcome::Kind::kExpired);
+  completeUnsent(std::move(dropped), LeafOutcome::Kind::kExpired);
 }
 
-void LeafPool::endUnsent(std::list<Order> orders, LeafOutcome::Kind kind) {
-  if (orders.empty()) {
+void LeafPool::completeUnsent(std::list<ExchangeRequest> pendingRequests, LeafOutcome::Kind kind) {
+  if (pendingRequests.empty()) {
     return;
   }
-  for (const Order& order : orders) {
-    exchanges_.erase(order.exchange);
+  for (const ExchangeRequest& pending : pendingRequests) {
+    exchanges_.erase(pending.exchange);
   }
-  const auto ended = std::make_shared<const std::list<Order>>(std::move(orders));
+  const auto ended = std::make_shared<const std::list<ExchangeRequest>>(std::move(pendingRequests));
   boost::asio::post(context_, [ended, kind] {
-    for (const Order& order : *ended) {
-      order.listener.onOutcome(outcomeOf(kind));
+    for (const ExchangeRequest& pending : *ended) {
+      pending.listener.onOutcome(outcomeOf(kind));
     }
   });
 }
 
 void LeafPool::start(const ChannelPointer& channel, const std::shared_ptr<LeafConnection>& connection,
-                     Order order) {
-  const auto remaining = std::chrono::duration_cast<Duration>(order.deadline - steadyNow());
-  const std::string bytes = order.request->bytesFor(channel->leaf.id, remaining);
+                     ExchangeRequest pending) {
+  const auto remaining = std::chrono::duration_cast<Duration>(pending.deadline - steadyNow());
+  const std::string bytes = pending.request->bytesFor(channel->leaf.id, remaining);
   ++counters_.exchanges;
-  if (order.listener.onWritten) {
-    order.listener.onWritten();
+  if (pending.listener.onWritten) {
+    pending.listener.onWritten();
   }
-  const auto request = order.request;
-  channel->running.push_back(Channel::Running{connection, std::move(order)});
+  const auto request = pending.request;
+  channel->inFlight.push_back(Channel::InFlight{connection, std::move(pending)});
   connection->exchange(bytes, request->isHead(), [this, request](const HttpReply& reply) {
     return repliesTo(reply, request->requestId(), names_);
   });
@@ -217,31 +217,32 @@
 
 void LeafPool::onReplied(const ChannelPointer& channel, LeafConnection& connection,
                          const std::shared_ptr<const HttpReply>& reply) {
-  auto& running = channel->running;
-  const auto found = std::find_if(running.begin(), running.end(), [&](const Channel::Running& candidate) {
+  auto& inFlight = channel->inFlight;
+  const auto found = std::find_if(inFlight.begin(), inFlight.end(), [&](const Channel::InFlight& candidate) {
     return candidate.connection.get() == &connection;
   });
-  if (found == running.end()) {
+  if (found == inFlight.end()) {
     return;
   }
-  Order order = std::move(found->order);
+  ExchangeRequest pending = std::move(found->request);
   const std::shared_ptr<LeafConnection> kept = found->connection;
-  running.erase(found);
-  exchanges_.erase(order.exchange);
+  inFlight.erase(found);
+  exchanges_.erase(pending.exchange);
   if (kept->idle()) {
-    const auto told = idleTimeoutOf(*reply);
-    kept->keepIdleFor(told ? std::max(*told - kIdleReserve, Duration(0)) : kDefaultIdle, steadyNow());
+    const auto reported = idleTimeoutOf(*reply);
+    kept->setIdleTimeout(
+        reported ? std::max(*reported - kIdleTimeoutMargin, Duration(0)) : kDefaultIdleTimeout, steadyNow());
   } else {
     ++counters_.closedWithReply;
     auto& connections = channel->connections;
     connections.erase(std::remove(connections.begin(), connections.end(), kept), connections.end());
   }
   const LeafOutcome outcome = classifyReply(reply, names_);
-  RequestRecord& record = *order.request->record();
+  RequestRecord& record = *pending.request->record();
   if (outcome.kind == LeafOutcome::Kind::kAnswered && !std::exchange(record.answered, true) && onAnswered_) {
     onAnswered_(record);
   }
-  order.listener.onOutcome(outcome);
+  pending.listener.onOutcome(outcome);
 }
 
 void LeafPool::onClosed(const ChannelPointer& channel, LeafConnection& connection) {
@@ -254,19 +255,19 @@
   }
   const std::shared_ptr<LeafConnection> kept = *position;
   connections.erase(position);
-  auto& running = channel->running;
-  const auto found = std::find_if(running.begin(), running.end(), [&](const Channel::Running& candidate) {
+  auto& inFlight = channel->inFlight;
+  const auto found = std::find_if(inFlight.begin(), inFlight.end(), [&](const Channel::InFlight& candidate) {
     return candidate.connection == kept;
   });
-  if (found != running.end()) {
-    Order order = std::move(found->order);
-    running.erase(found);
-    exchanges_.erase(order.exchange);
-    ++counters_.brokenUnderRequest;
-    if (kept->endedWithoutAnswer()) {
-      onBroken(channel, std::move(order));
+  if (found != inFlight.end()) {
+    ExchangeRequest pending = std::move(found->request);
+    inFlight.erase(found);
+    exchanges_.erase(pending.exchange);
+    ++counters_.closedInFlight;
+    if (kept->closedWithoutReply()) {
+      onInterrupted(channel, std::move(pending));
     } else {
-      order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNoAnswer));
+      pending.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNoAnswer));
     }
     return;
   }
@@ -276,75 +277,75 @@
     --channel->connecting;
     ++counters_.connectionsFailed;
     if (kept->wasRefused()) {
-      reportEnd(*channel);
-    } else if (asksAgain(*channel, *kept)) {
+      reportCrash(*channel);
+    } else if (repeatsCrashCheck(*channel, *kept)) {
       if (connections.empty()) {
-        refuseWaiting(channel);
+        failQueued(channel);
       }
       open(channel);
       return;
     } else {
-      channel->brokenOff.clear();
-      endBrokenOff(*channel, LeafOutcome::Kind::kNoAnswer);
+      channel->interrupted.clear();
+      completeUnconfirmed(*channel, LeafOutcome::Kind::kNoAnswer);
     }
     // Requests stay queued only while there is a connection that can serve them.
     if (connections.empty()) {
       if (!kept->wasAccepted()) {
         onUnreachable(channel);
       }
-      refuseWaiting(channel);
+      failQueued(channel);
     }
   }
 }
 
-bool LeafPool::asksAgain(Channel& channel, const LeafConnection& closed) {
-  if (channel.brokenOff.empty() || !closed.wasAccepted()) {
+bool LeafPool::repeatsCrashCheck(Channel& channel, const LeafConnection& closed) {
+  if (channel.interrupted.empty() || !closed.wasAccepted()) {
     return false;
   }
-  return !std::exchange(channel.askedTwice, true);
+  return !std::exchange(channel.crashCheckRepeated, true);
 }
 
-void LeafPool::onBroken(const ChannelPointer& channel, Order order) {
-  channel->askedTwice = channel->askedTwice && !channel->brokenOff.empty();
-  channel->brokenOff.push_back(order.request->record());
-  channel->unconfirmed.push_back(std::move(order));
+void LeafPool::onInterrupted(const ChannelPointer& channel, ExchangeRequest pending) {
+  channel->crashCheckRepeated = channel->crashCheckRepeated && !channel->interrupted.empty();
+  channel->interrupted.push_back(pending.request->record());
+  channel->unconfirmed.push_back(std::move(pending));
   if (channel->connecting == 0) {
     open(channel);
   }
-  const auto timer = std::make_shared<boost::asio::steady_timer>(context_, kConfirmPatience);
+  const auto timer = std::make_shared<boost::asio::steady_timer>(context_, kCrashCheckTimeout);
   const std::weak_ptr<Channel> weak = channel;
   timer->async_wait([timer, weak](const boost::system::error_code& error) {
     const ChannelPointer target = weak.lock();
     if (!error && target) {
-      endBrokenOff(*target, LeafOutcome::Kind::kNoAnswer);
+      completeUnconfirmed(*target, LeafOutcome::Kind::kNoAnswer);
     }
   });
 }
 
-void LeafPool::endBrokenOff(Channel& channel, LeafOutcome::Kind kind) {
-  const std::list<Order> ended = std::exchange(channel.unconfirmed, {});
-  for (const Order& order : ended) {
-    order.listener.onOutcome(outcomeOf(kind));
+void LeafPool::completeUnconfirmed(Channel& channel, LeafOutcome::Kind kind) {
+  const std::list<ExchangeRequest> ended = std::exchange(channel.unconfirmed, {});
+  for (const ExchangeRequest& pending : ended) {
+    pending.listener.onOutcome(outcomeOf(kind));
   }
 }
 
-void LeafPool::reportEnd(Channel& channel) {
-  const std::vector<std::shared_ptr<RequestRecord>> under = std::exchange(channel.brokenOff, {});
-  if (under.empty()) {
+void LeafPool::reportCrash(Channel& channel) {
+  const std::vector<std::shared_ptr<RequestRecord>> interrupted = std::exchange(channel.interrupted, {});
+  if (interrupted.empty()) {
     return;
   }
-  ++counters_.leafsEnded;
-  if (onLeafEnd_) {
-    onLeafEnd_(channel.leaf, under);
+  ++counters_.leafCrashes;
+  if (onLeafCrash_) {
+    onLeafCrash_(channel.leaf, interrupted);
   }
-  endBrokenOff(channel, LeafOutcome::Kind::kLeafEnded);
+  completeUnconfirmed(channel, LeafOutcome::Kind::kLeafEnded);
 }
 
 void LeafPool::onReady(const ChannelPointer& channel, LeafConnection& connection) {
   --channel->connecting;
-  channel->brokenOff.clear();
-  endBrokenOff(*channel, LeafOutcome::Kind::kNoAnswer);
-  connection.keepIdleFor(kDefaultIdle, steadyNow());
+  channel->interrupted.clear();
+  completeUnconfirmed(*channel, LeafOutcome::Kind::kNoAnswer);
+  connection.setIdleTimeout(kDefaultIdleTimeout, steadyNow());
   if (std::exchange(channel->unreachable, false) && onReachability_) {
     onReachability_(channel->leaf, true);
   }
@@ -355,7 +356,7 @@
   if (onReachability_) {
     onReachability_(channel->leaf, false);
   }
-  const auto timer = std::make_shared<boost::asio::steady_timer>(context_, kReconnectPause);
+  const auto timer = std::make_shared<boost::asio::steady_timer>(context_, kReconnectDelay);
   const std::weak_ptr<Channel> weak = channel;
   timer->async_wait([this, timer, weak](const boost::system::error_code& error) {
     const ChannelPointer target = weak.lock();
@@ -365,17 +366,17 @@
   });
 }
 
-void LeafPool::refuseWaiting(const ChannelPointer& channel) {
-  const std::list<Order> refused = std::exchange(channel->waiting, {});
-  for (const Order& order : refused) {
-    exchanges_.erase(order.exchange);
+void LeafPool::failQueued(const ChannelPointer& channel) {
+  const std::list<ExchangeRequest> failed = std::exchange(channel->queued, {});
+  for (const ExchangeRequest& pending : failed) {
+    exchanges_.erase(pending.exchange);
   }
-  for (const Order& order : refused) {
-    order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNotSent));
+  for (const ExchangeRequest& pending : failed) {
+    pending.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNotSent));
   }
 }
 
-void LeafPool::abandon(ExchangeId exchange) {
+void LeafPool::cancel(ExchangeId exchange) {
   const auto entry = exchanges_.find(exchange);
   if (entry == exchanges_.end()) {
     return;
@@ -385,64 +386,65 @@
     exchanges_.erase(entry);
     return;
   }
-  const auto waiting = std::find_if(channel->waiting.begin(), channel->waiting.end(),
-                                    [&](const Order& order) { return order.exchange == exchange; });
-  if (waiting != channel->waiting.end()) {
-    Order order = std::move(*waiting);
-    channel->waiting.erase(waiting);
+  const auto queued =
+      std::find_if(channel->queued.begin(), channel->queued.end(),
+                   [&](const ExchangeRequest& pending) { return pending.exchange == exchange; });
+  if (queued != channel->queued.end()) {
+    ExchangeRequest pending = std::move(*queued);
+    channel->queued.erase(queued);
     exchanges_.erase(exchange);
-    order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
+    pending.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
     return;
   }
-  auto timer = std::make_shared<boost::asio::steady_timer>(context_, kAbandonGrace);
+  auto timer = std::make_shared<boost::asio::steady_timer>(context_, kCancelGracePeriod);
   const std::weak_ptr<Channel> weak = channel;
   timer->async_wait([this, timer, weak, exchange](const boost::system::error_code& error) {
     const ChannelPointer target = weak.lock();
     if (!error && target) {
-      cutOff(target, exchange);
+      abortExchange(target, exchange);
     }
   });
 }
 
-void LeafPool::cutOff(const ChannelPointer& channel, ExchangeId exchange) {
-  auto& running = channel->running;
-  const auto found = std::find_if(running.begin(), running.end(), [&](const Channel::Running& candidate) {
-    return candidate.order.exchange == exchange;
+void LeafPool::abortExchange(const ChannelPointer& channel, ExchangeId exchange) {
+  auto& inFlight = channel->inFlight;
+  const auto found = std::find_if(inFlight.begin(), inFlight.end(), [&](const Channel::InFlight& candidate) {
+    return candidate.request.exchange == exchange;
   });
-  if (found == running.end()) {
+  if (found == inFlight.end()) {
     return;
   }
   const std::shared_ptr<LeafConnection> connection = found->connection;
-  Order order = std::move(found->order);
-  running.erase(found);
+  ExchangeRequest pending = std::move(found->request);
+  inFlight.erase(found);
   exchanges_.erase(exchange);
-  ++counters_.abandonedAtWork;
+  ++counters_.cancelledInFlight;
   connection->close();
   auto& connections = channel->connections;
   connections.erase(std::remove(connections.begin(), connections.end(), connection), connections.end());
-  order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
+  pending.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
   dispatch(channel);
 }
 
-void LeafPool::retain(const std::function<LeafUse(const LeafLife& leaf)>& useOf) {
-  std::vector<LeafLife> finished;
-  for (auto& [life, channel] : channels_) {
-    const LeafUse use = useOf(life);
-    channel->retired = use != LeafUse::kKeep;
+void LeafPool::retain(const std::function<RetainMode(const LeafLife& leaf)>& modeOf) {
+  std::vector<LeafLife> unused;
+  for (auto& [incarnation, channel] : channels_) {
+    const RetainMode mode = modeOf(incarnation);
+    channel->retired = mode != RetainMode::kKeep;
     if (!channel->retired) {
       continue;
     }
-    if (use == LeafUse::kStop) {
-      endUnsent(std::exchange(channel->waiting, {}), LeafOutcome::Kind::kNotSent);
+    if (mode == RetainMode::kFailQueued) {
+      completeUnsent(std::exchange(channel->queued, {}), LeafOutcome::Kind::kNotSent);
     }
     dispatch(channel);
-    if (channel->connections.empty() && channel->running.empty() && channel->waiting.empty() &&
+    if (channel->connections.empty() && channel->inFlight.empty() && channel->queued.empty() &&
         channel->unconfirmed.empty()) {
-      finished.push_back(life);
+      unused.push_back(incarnation);
     }
   }
-  for (const LeafLife& life : finished) {
-    channels_.erase(life);
+  for (const LeafLife& incarnation : unused) {
+    channels_.erase(incarnation);
   }
 }
 
--- a/src/transport/serving/leaf_pool.h
+++ b/src/transport/serving/leaf_pool.h
@@ -23,7 +23,7 @@
   std::uint64_t connectionsOpened = 0;
   std::uint64_t connectionsFailed = 0;
   /// Cancelled requests whose connection was closed before the leaf replied.
-  std::uint64_t abandonedAtWork = 0;
+  std::uint64_t cancelledInFlight = 0;
   /// Dropped from the queue, as too little time was left until the deadline.
   std::uint64_t expiredUnsent = 0;
   /// Closed connections by reason, other than cancellations.
@@ -33,9 +33,9 @@
   std::uint64_t closedIdleByLeaf = 0;
   /// Not reusable after a reply.
   std::uint64_t closedWithReply = 0;
-  std::uint64_t brokenUnderRequest = 0;
+  std::uint64_t closedInFlight = 0;
   /// Leafs that crashed while processing requests of this daemon.
-  std::uint64_t leafsEnded = 0;
+  std::uint64_t leafCrashes = 0;
 };
 
 class LeafPool {
@@ -45,7 +45,7 @@
     std::function<void()> onWritten;
     std::function<void(const LeafOutcome&)> onOutcome;
   };
-  struct Order {
+  struct ExchangeRequest {
     ExchangeId exchange = 0;
     std::shared_ptr<const LeafRequestTemplate> request;
     /// Priority; 0 is the highest.
@@ -69,33 +69,33 @@
   void setReachabilityListener(ReachabilityListener listener) { onReachability_ = std::move(listener); }
 
   /// Called when a leaf has crashed: connections closed under requests without a byte of a reply, and a new
-  /// connection is refused. `under`: these requests. A timeout, a single closed connection or a failure to
-  /// connect in time is no evidence of a crash.
-  using LeafEndListener =
-      std::function<void(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under)>;
-  void setLeafEndListener(LeafEndListener listener) { onLeafEnd_ = std::move(listener); }
+  /// connection is refused. `interrupted`: these requests. A timeout, a single closed connection or a failure
+  /// to connect in time is no evidence of a crash.
+  using LeafCrashListener = std::function<void(
+      const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& interrupted)>;
+  void setLeafCrashListener(LeafCrashListener listener) { onLeafCrash_ = std::move(listener); }
   /// Called once for each request that a leaf has answered successfully, however many attempts succeed.
   using AnswerListener = std::function<void(const RequestRecord& request)>;
   void setAnswerListener(AnswerListener listener) { onAnswered_ = std::move(listener); }
 
   /// `maximum`: the number of connections that this daemon may have to the leaf.
-  void send(const LeafEntry& leaf, std::size_t maximum, Order order);
+  void send(const LeafEntry& leaf, std::size_t maximum, ExchangeRequest pending);
   /// Cancels a request. A queued one is dropped immediately; one that was sent is aborted by closing its
   /// connection, unless the reply arrives within a grace period.
-  void abandon(ExchangeId exchange);
+  void cancel(ExchangeId exchange);
   /// Opens a connection to a leaf in advance, if there is none.
-  void warm(const LeafEntry& leaf, std::size_t maximum);
+  void preconnect(const LeafEntry& leaf, std::size_t maximum);
   /// How to proceed with the connections to a leaf and the requests queued for it.
-  enum class LeafUse {
+  enum class RetainMode {
     kKeep,
     /// Queued requests are still sent; then the connections close.
-    kFinish,
+    kSendQueued,
     /// Queued requests complete as kNotSent, so that they can go to another leaf; connections close once
     /// idle.
-    kStop,
+    kFailQueued,
   };
-  /// Applies `useOf` to each leaf and drops those that are neither kept nor in use.
-  void retain(const std::function<LeafUse(const LeafLife& leaf)>& useOf);
+  /// Applies `modeOf` to each leaf and drops those that are neither kept nor in use.
+  void retain(const std::function<RetainMode(const LeafLife& leaf)>& modeOf);
 
   const LeafPoolCounters& counters() const { return counters_; }
 
@@ -110,30 +110,31 @@
   /// since a listener must not be called from within its own call of `send`.
   void dropExpired(Channel& channel, Moment now);
   /// Completes requests that were not sent. Listeners are called asynchronously.
-  void endUnsent(std::list<Order> orders, LeafOutcome::Kind kind);
-  void start(const ChannelPointer& channel, const std::shared_ptr<LeafConnection>& connection, Order order);
+  void completeUnsent(std::list<ExchangeRequest> pendingRequests, LeafOutcome::Kind kind);
+  void start(const ChannelPointer& channel, const std::shared_ptr<LeafConnection>& connection,
+             ExchangeRequest pending);
   void onEvent(const std::weak_ptr<Channel>& weak, LeafConnection& connection, LeafConnection::Event event,
                const std::shared_ptr<const HttpReply>& reply);
   void onClosed(const ChannelPointer& channel, LeafConnection& connection);
   /// A connection closed without a reply to the request on it. A new connection shows whether the leaf has
   /// crashed; the next request needs one anyway.
-  void onBroken(const ChannelPointer& channel, Order order);
+  void onInterrupted(const ChannelPointer& channel, ExchangeRequest pending);
   /// True if a second connection is needed to find out whether the leaf has crashed. The system may reset a
   /// crashing process's connections before it closes the listening socket. A connection opened in between is
   /// accepted and reset, as by a running leaf that has reached its connection limit.
-  static bool asksAgain(Channel& channel, const LeafConnection& closed);
+  static bool repeatsCrashCheck(Channel& channel, const LeafConnection& closed);
   /// Handles a refused connection: nothing listens at the leaf's address any more.
-  void reportEnd(Channel& channel);
+  void reportCrash(Channel& channel);
   /// Completes the interrupted requests that await the crash check.
-  static void endBrokenOff(Channel& channel, LeafOutcome::Kind kind);
+  static void completeUnconfirmed(Channel& channel, LeafOutcome::Kind kind);
   /// The last attempt to connect has failed, and no connection is left.
   void onUnreachable(const ChannelPointer& channel);
   /// Completes all queued requests as kNotSent.
-  void refuseWaiting(const ChannelPointer& channel);
+  void failQueued(const ChannelPointer& channel);
   void onReady(const ChannelPointer& channel, LeafConnection& connection);
   void onReplied(const ChannelPointer& channel, LeafConnection& connection,
                  const std::shared_ptr<const HttpReply>& reply);
-  void cutOff(const ChannelPointer& channel, ExchangeId exchange);
+  void abortExchange(const ChannelPointer& channel, ExchangeId exchange);
 
   boost::asio::io_context& context_;
   const HeaderNames& names_;
@@ -143,7 +144,7 @@
   std::unordered_map<ExchangeId, std::weak_ptr<Channel>> exchanges_;
   LeafPoolCounters counters_;
   ReachabilityListener onReachability_;
-  LeafEndListener onLeafEnd_;
+  LeafCrashListener onLeafCrash_;
   AnswerListener onAnswered_;
 };
 
--- a/src/transport/serving/reply_reader.cpp
+++ b/src/transport/serving/reply_reader.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 /// Larger replies are rejected, so that a faulty leaf or source cannot exhaust the memory.
-constexpr std::uint64_t kLargestBody = std::uint64_t{16} * 1024 * 1024;
-constexpr std::uint32_t kLargestHeader = 64 * 1024;
+constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{16} * 1024 * 1024;
+constexpr std::uint32_t kMaxHeaderBytes = 64 * 1024;
 constexpr unsigned kFirstFinalStatus = 200;
 
 }  // namespace
 
-void ReplyReader::begin(bool toHead) {
-  toHead_ = toHead;
+void ReplyReader::begin(bool isHeadRequest) {
+  isHeadRequest_ = isHeadRequest;
   parser_.emplace();
   parser_->eager(true);
-  parser_->skip(toHead);
-  parser_->body_limit(kLargestBody);
-  parser_->header_limit(kLargestHeader);
+  parser_->skip(isHeadRequest);
+  parser_->body_limit(kMaxBodyBytes);
+  parser_->header_limit(kMaxHeaderBytes);
 }
 
 ReplyReader::State ReplyReader::advance() {
@@ -42,7 +42,7 @@
   return parser_->is_done() ? finishMessage() : State::kNeedsMore;
 }
 
-ReplyReader::State ReplyReader::onEnd() {
+ReplyReader::State ReplyReader::onEof() {
   if (!parser_->got_some()) {
     return State::kBroken;
   }
@@ -53,10 +53,10 @@
 
 ReplyReader::State ReplyReader::finishMessage() {
   if (parser_->get().result_int() < kFirstFinalStatus) {
-    begin(toHead_);
+    begin(isHeadRequest_);
     return advance();
   }
-  keepsConnection_ = parser_->keep_alive();
+  keepAlive_ = parser_->keep_alive();
   return State::kComplete;
 }
 
--- a/src/transport/serving/reply_reader.h
+++ b/src/transport/serving/reply_reader.h
@@ -16,19 +16,19 @@
  public:
   enum class State { kNeedsMore, kComplete, kBroken };
 
-  /// Prepares for the next reply. `toHead`: it answers a HEAD request, so it has no body.
-  void begin(bool toHead);
+  /// Prepares for the next reply. `isHeadRequest`: it answers a HEAD request, so it has no body.
+  void begin(bool isHeadRequest);
   /// Received bytes are appended here before `advance` is called.
   boost::beast::flat_buffer& buffer() { return buffer_; }
   /// Parses the buffered bytes.
   State advance();
   /// The other end has closed the connection in an orderly way (FIN), which completes a reply without a
   /// length.
-  State onEnd();
+  State onEof();
   /// Returns the reply. Call only after kComplete.
   HttpReply take();
   /// The last reply permits another request on the connection.
-  bool keepsConnection() const { return keepsConnection_; }
+  bool keepAlive() const { return keepAlive_; }
   /// At least one byte of the current reply has been parsed.
   bool started() const { return parser_ && parser_->got_some(); }
   /// Bytes remain in the buffer after the reply, which belong to no request.
@@ -40,8 +40,8 @@
 
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
-  bool toHead_ = false;
-  bool keepsConnection_ = false;
+  bool isHeadRequest_ = false;
+  bool keepAlive_ = false;
 };
 
 }  // namespace oakpier::serving
--- a/src/transport/serving/source_client.cpp
+++ b/src/transport/serving/source_client.cpp
@@ -92,7 +92,7 @@
         connection->reader.buffer().commit(count);
         ReplyReader::State state = ReplyReader::State::kBroken;
         if (error == boost::asio::error::eof) {
-          state = connection->reader.onEnd();
+          state = connection->reader.onEof();
         } else if (!error) {
           state = connection->reader.advance();
         }
@@ -108,7 +108,7 @@
 
 void SourceClient::finish(std::optional<HttpReply> reply) {
   timer_.cancel();
-  if (!reply || !connection_->reader.keepsConnection() || connection_->reader.hasSurplus()) {
+  if (!reply || !connection_->reader.keepAlive() || connection_->reader.hasSurplus()) {
     boost::system::error_code ignored;
     if (connection_) {
       connection_->socket.close(ignored);
--- a/tests/platform_model/leaf_standin.cpp
+++ b/tests/platform_model/leaf_standin.cpp
@@ -135,11 +135,11 @@
     return nullptr;
   }
   if (textOf(request, names().expectedInstance) != settings_.id) {
-    writer.write(withId(ownReply(421, "another leaf"), id));
+    writer.write(withId(textReply(421, "another leaf"), id));
     return nullptr;
   }
   if (queue_.size() >= kQueue) {
-    HttpReply full = withId(ownReply(503, "full"), id);
+    HttpReply full = withId(textReply(503, "full"), id);
     full.headers.push_back({names().notExecuted, "1"});
     writer.write(full);
     return nullptr;
--- a/tests/platform_model/store_standin.cpp
+++ b/tests/platform_model/store_standin.cpp
@@ -70,7 +70,7 @@
 
 void StoreStandin::restore(Duration age, Duration writtenAgainWithin) {
   for (const Watch& watch : watches_) {
-    watch.writer.write(told(ownReply(503, "down")));
+    watch.writer.write(told(textReply(503, "down")));
   }
   watches_.clear();
   const Moment copiedAt = steadyNow() - age;
@@ -132,13 +132,13 @@
   ++calls_;
   const Query query = queryOf(request.target);
   if (down_) {
-    writer.write(told(ownReply(503, "down")));
+    writer.write(told(textReply(503, "down")));
   } else if (startsWith(request.target, "/kv-range")) {
     writer.write(told(range(query)));
   } else if (startsWith(request.target, "/kv-watch")) {
     watch(query, std::move(writer));
   } else {
-    writer.write(told(ownReply(404, "no such call")));
+    writer.write(told(textReply(404, "no such call")));
   }
   return nullptr;
 }
@@ -166,7 +166,7 @@
 void StoreStandin::watch(const Query& query, ResponseWriter writer) {
   const std::uint64_t after = numberOf(query, "after");
   if (after < forgottenRevision_ || after > revision_) {
-    writer.write(told(ownReply(410, "history is gone")));
+    writer.write(told(textReply(410, "history is gone")));
     return;
   }
   Watch& watch = watches_.emplace_back(context_, std::move(writer));
--- a/tests/serving/coordination/leaf_lives_test.cpp
+++ b/tests/serving/coordination/leaf_lives_test.cpp
@@ -93,7 +93,7 @@
   }
   REQUIRE(knowledge.onLeaf(bornAt(kSecondBirth), inFirstEpoch(3)));
   knowledge.onTime(at(5000));
-  REQUIRE(believed(knowledge).takesWork());
+  REQUIRE(believed(knowledge).acceptsRequests());
 }
 
 TEST_CASE(
--- a/tests/serving/coordination/request_quarantine_test.cpp
+++ b/tests/serving/coordination/request_quarantine_test.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <catch2/catch.hpp>
 
-#include "protocol/serving/ending_requests_codec.h"
+#include "protocol/serving/quarantine_codec.h"
 #include "serving/support/serving_fixtures.h"
 #include "support/property.h"
 
@@ -147,7 +147,7 @@
       // Also by way of a frame, and twice.
       for (int time = 0; time < 2; ++time) {
         for (const QuarantineRecord& decoded :
-             decodeEndingRequests(encodeEndingRequests({record}, at(now)), at(now))) {
+             decodeQuarantineRecords(encodeQuarantineRecords({record}, at(now)), at(now))) {
           other.merge(decoded);
         }
       }
@@ -157,17 +157,17 @@
 }
 
 TEST_CASE("records that break a bound are not believed", "[serving]") {
-  EndingRequests message = encodeEndingRequests({suspecting(3).newest(1)}, at(2000));
-  REQUIRE(decodeEndingRequests(message, at(2000)).size() == 1);
+  EndingRequests message = encodeQuarantineRecords({suspecting(3).newest(1)}, at(2000));
+  REQUIRE(decodeQuarantineRecords(message, at(2000)).size() == 1);
   SECTION("an age beyond all memory") {
     message.mutable_requests(0)->set_last_ended_age_us(std::uint64_t{1} << 62);
-    REQUIRE(decodeEndingRequests(message, at(2000)).empty());
+    REQUIRE(decodeQuarantineRecords(message, at(2000)).empty());
   }
   SECTION("too many leafs") {
     for (std::uint64_t leaf = 0; leaf < 9; ++leaf) {
       message.mutable_requests(0)->add_ended_leafs(leaf);
     }
-    REQUIRE(decodeEndingRequests(message, at(2000)).empty());
+    REQUIRE(decodeQuarantineRecords(message, at(2000)).empty());
   }
 }
 
--- a/tests/serving/coordination/restored_knowledge_test.cpp
+++ b/tests/serving/coordination/restored_knowledge_test.cpp
@@ -119,12 +119,12 @@
   draining.draining = true;
   restored.knowledge.onLeaf(draining, before(60));
   restored.restore({leafBorn(7)});
-  REQUIRE_FALSE(restored.believed().takesWork());
+  REQUIRE_FALSE(restored.believed().acceptsRequests());
   restored.knowledge.onTime(at(kRestoredAt + 60'000));
-  REQUIRE_FALSE(restored.believed().takesWork());
+  REQUIRE_FALSE(restored.believed().acceptsRequests());
   SECTION("another life does not") {
     restored.knowledge.onLeaf(leafBorn(9), after(31));
-    REQUIRE(restored.believed().takesWork());
+    REQUIRE(restored.believed().acceptsRequests());
   }
 }
 
@@ -133,7 +133,7 @@
   LeafEntry draining = leafBorn(7);
   draining.draining = true;
   restored.restore({draining});
-  REQUIRE_FALSE(restored.believed().takesWork());
+  REQUIRE_FALSE(restored.believed().acceptsRequests());
 }
 
 TEST_CASE("an earlier life that the copy tells waits for the later one to be written again",
--- a/tests/serving/coordination/source_epoch_test.cpp
+++ b/tests/serving/coordination/source_epoch_test.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "coordination/serving/source_follower.h"
-#include "protocol/serving/news_codec.h"
+#include "protocol/serving/source_update_codec.h"
 #include "serving/support/serving_fixtures.h"
 #include "serving/support/source_fleet.h"
 
@@ -275,7 +275,7 @@
 }
 
 TEST_CASE("news of one revision in two epochs is packed twice", "[serving][epoch]") {
-  NewsPacker packer;
+  UpdateEncoder encoder;
   SourceNews news;
   news.set_epoch(kEpoch);
   news.set_revision(78);
@@ -283,13 +283,13 @@
   const std::size_t largeEnough = 5000;
   news.add_records()->set_value(std::string(largeEnough, 'a'));
   PeerEnvelope first;
-  packer.pack(news, first);
+  encoder.encode(news, first);
   news.set_epoch(kEpoch + 1);
   news.mutable_records(0)->set_value(std::string(largeEnough, 'b'));
   PeerEnvelope second;
-  packer.pack(news, second);
-  REQUIRE(unpackNews(second)->records(0).value().front() == 'b');
-  REQUIRE(unpackNews(second)->epoch() == kEpoch + 1);
+  encoder.encode(news, second);
+  REQUIRE(decodeUpdate(second)->records(0).value().front() == 'b');
+  REQUIRE(decodeUpdate(second)->epoch() == kEpoch + 1);
 }
 
 TEST_CASE("one listing serves many daemons when the source comes back", "[serving][epoch]") {
--- a/tests/serving/coordination/source_test.cpp
+++ b/tests/serving/coordination/source_test.cpp
@@ -76,7 +76,7 @@
     std::set<std::string> ids;
     const auto view = knowledge.takeChangedView();
     for (const LeafEntry& leaf : view->leafs->at("s")) {
-      if (leaf.takesWork()) {
+      if (leaf.acceptsRequests()) {
         ids.insert(leaf.id);
       }
     }
--- a/tests/serving/protocol/caller_credentials_test.cpp
+++ b/tests/serving/protocol/caller_credentials_test.cpp
@@ -67,8 +67,8 @@
   const std::string bytes = LeafRequestTemplate(request, names).bytesFor("leaf-1", std::chrono::seconds(1));
   REQUIRE(contains(bytes, "X-Other: 1\r\n"));
   REQUIRE(contains(bytes, "Oakpier-Tenant: amber\r\n") == !tenant.empty());
-  for (const char* gone : {"secret", "forged", "uthorization"}) {
-    REQUIRE_FALSE(contains(bytes, gone));
+  for (const char* removed : {"secret", "forged", "uthorization"}) {
+    REQUIRE_FALSE(contains(bytes, removed));
   }
 }
 
--- a/tests/serving/protocol/messages_test.cpp
+++ b/tests/serving/protocol/messages_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "protocol/serving/caller_messages.h"
-#include "protocol/serving/hop_headers.h"
+#include "protocol/serving/hop_by_hop_headers.h"
 #include "protocol/serving/leaf_messages.h"
 
 namespace oakpier::serving {
@@ -109,7 +109,7 @@
 }
 
 TEST_CASE("a reply has a Content-Length unless its status forbids it, and no body for HEAD", "[serving]") {
-  HttpReply reply = ownReply(200, "text");
+  HttpReply reply = textReply(200, "text");
   REQUIRE(contains(serialize(reply, true, false), "Content-Length: 5\r\nConnection: close\r\n\r\ntext\n"));
   const std::string head = serialize(reply, false, true);
   REQUIRE(head.substr(head.size() - 4) == "\r\n\r\n");
--- a/tests/serving/transport/http_service_test.cpp
+++ b/tests/serving/transport/http_service_test.cpp
@@ -12,33 +12,33 @@
 namespace {
 
 /// Stores requests until the test replies to them.
-class HeldRequests : public RequestHandler {
+class RecordingHandler : public RequestHandler {
  public:
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override {
     requests.push_back(std::move(request));
     writers.push_back(std::move(writer));
-    return [this] { ++gone; };
+    return [this] { ++disconnects; };
   }
 
   std::vector<HttpRequest> requests;
   std::vector<ResponseWriter> writers;
-  int gone = 0;
+  int disconnects = 0;
 };
 
 struct ServiceWorld {
-  ServiceWorld() : service(context, held), address(freeEndpoint()) {
+  ServiceWorld() : service(context, handler), address(freeEndpoint()) {
     REQUIRE(service.listen(address).empty());
   }
 
   void awaitRequests(std::size_t count) {
-    runUntil(context, [&] { return held.requests.size() >= count; });
+    runUntil(context, [&] { return handler.requests.size() >= count; });
   }
   void awaitText(const RawClient& client, const std::string& text) {
     runUntil(context, [&] { return client.received().find(text) != std::string::npos; });
   }
 
   boost::asio::io_context context;
-  HeldRequests held;
+  RecordingHandler handler;
   HttpService service;
   Endpoint address;
 };
@@ -53,13 +53,13 @@
   client.write(kGet +
                "POST /y HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
   world.awaitRequests(1);
-  world.held.writers[0].write(ownReply(200, "first"));
+  world.handler.writers[0].write(textReply(200, "first"));
   world.awaitRequests(2);
-  REQUIRE(world.held.requests[1].body == "abc");
-  world.held.writers[1].write(ownReply(200, "second"));
+  REQUIRE(world.handler.requests[1].body == "abc");
+  world.handler.writers[1].write(textReply(200, "second"));
   world.awaitText(client, "second");
   REQUIRE(client.received().find("first") < client.received().find("second"));
-  REQUIRE(world.held.gone == 0);
+  REQUIRE(world.handler.disconnects == 0);
 }
 
 TEST_CASE("a disconnect of the caller while its request is in progress is detected", "[serving]") {
@@ -68,9 +68,9 @@
   client.write(kGet);
   world.awaitRequests(1);
   client.reset();
-  runUntil(world.context, [&] { return world.held.gone == 1; });
+  runUntil(world.context, [&] { return world.handler.disconnects == 1; });
   REQUIRE(world.service.inProgress() == 0);
-  world.held.writers[0].write(ownReply(200, "too late"));
+  world.handler.writers[0].write(textReply(200, "too late"));
 }
 
 TEST_CASE("oversized and malformed requests get the matching error status", "[serving]") {
@@ -90,7 +90,7 @@
   REQUIRE(answerTo("nonsense\r\n\r\n") == "HTTP/1.1 400");
   REQUIRE(answerTo("POST /x HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n") ==
           "HTTP/1.1 400");
-  REQUIRE(world.held.requests.empty());
+  REQUIRE(world.handler.requests.empty());
 }
 
 TEST_CASE("an incomplete request and an idle connection time out", "[serving]") {
@@ -117,7 +117,7 @@
   world.service.startClosing();
   world.service.stopAccepting();
   runUntil(world.context, [&] { return idle.ended(); });
-  world.held.writers[0].write(ownReply(200, "done"));
+  world.handler.writers[0].write(textReply(200, "done"));
   runUntil(world.context, [&] { return busy.ended(); });
   REQUIRE(busy.received().find("Connection: close") != std::string::npos);
   REQUIRE(busy.received().find("done") != std::string::npos);
@@ -131,7 +131,7 @@
   RawClient idle(world.context, world.address);
   runUntil(world.context, [&] { return world.service.connections() == 2; });
   world.service.startClosing();
-  world.service.answerAll(ownReply(504, "stopped"));
+  world.service.answerAll(textReply(504, "stopped"));
   runUntil(world.context, [&] { return busy.ended(); });
   REQUIRE(busy.received().find("HTTP/1.1 504") == 0);
   REQUIRE(busy.received().find("stopped") != std::string::npos);
@@ -146,13 +146,13 @@
   world.awaitText(client, "HTTP/1.1 100 Continue\r\n\r\n");
   client.write("abc");
   world.awaitRequests(1);
-  REQUIRE(world.held.requests[0].body == "abc");
+  REQUIRE(world.handler.requests[0].body == "abc");
 }
 
 namespace {
 
 /// Destroys a service and overwrites its memory before freeing it, so that a use after free fails.
-struct EndAndOverwrite {
+struct DestroyAndOverwrite {
   void operator()(HttpService* service) const {
     service->~HttpService();
     std::memset(static_cast<void*>(service), 0xA5, sizeof(HttpService));
@@ -167,8 +167,8 @@
 TEST_CASE("a connection accepted right before the service is destroyed is closed without being served",
           "[serving]") {
   boost::asio::io_context context;
-  HeldRequests held;
-  std::unique_ptr<HttpService, EndAndOverwrite> service(new HttpService(context, held));
+  RecordingHandler handler;
+  std::unique_ptr<HttpService, DestroyAndOverwrite> service(new HttpService(context, handler));
   const Endpoint address = freeEndpoint();
   REQUIRE(service->listen(address).empty());
   std::vector<boost::asio::ip::tcp::socket> callers;
@@ -182,7 +182,7 @@
   context.run_one();
   service.reset();
   context.poll();
-  REQUIRE(held.requests.empty());
+  REQUIRE(handler.requests.empty());
   for (auto& caller : callers) {
     char byte = 0;
     boost::system::error_code error;
--- a/tests/serving/transport/leaf_pool_test.cpp
+++ b/tests/serving/transport/leaf_pool_test.cpp
@@ -21,14 +21,14 @@
   void send(ExchangeId exchange, const std::string& requestId, const std::string& body = "",
             Duration timeLeft = std::chrono::seconds(30), Duration leastTime = Duration(0)) {
     HttpRequest request{"GET", "/x", {{"Host", "h"}, {names.requestId, requestId}}, body};
-    LeafPool::Order order;
-    order.exchange = exchange;
-    order.request = std::make_shared<const LeafRequestTemplate>(request, names);
-    order.deadline = steadyNow() + timeLeft;
-    order.leastTime = leastTime;
-    order.listener.onWritten = [this] { ++written; };
-    order.listener.onOutcome = [this](const LeafOutcome& outcome) { outcomes.push_back(outcome); };
-    pool.send(leaf, 1, std::move(order));
+    LeafPool::ExchangeRequest pending;
+    pending.exchange = exchange;
+    pending.request = std::make_shared<const LeafRequestTemplate>(request, names);
+    pending.deadline = steadyNow() + timeLeft;
+    pending.leastTime = leastTime;
+    pending.listener.onWritten = [this] { ++written; };
+    pending.listener.onOutcome = [this](const LeafOutcome& outcome) { outcomes.push_back(outcome); };
+    pool.send(leaf, 1, std::move(pending));
   }
 
   std::string reply(const std::string& requestId, const std::string& body) const {
@@ -120,8 +120,8 @@
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
-  const std::string whole = world.reply("one", "0123456789");
-  world.connection(0).write(whole.substr(0, whole.size() - 4));
+  const std::string complete = world.reply("one", "0123456789");
+  world.connection(0).write(complete.substr(0, complete.size() - 4));
   world.connection(0).end();
   world.awaitOutcomes(1);
   REQUIRE(world.outcomes[0].kind == Kind::kNoAnswer);
@@ -155,8 +155,8 @@
 TEST_CASE("a request to a leaf that refuses connections is not sent", "[serving]") {
   PoolWorld world;
   {
-    RawServer gone(world.context);
-    world.leaf.address = gone.address();
+    RawServer closedServer(world.context);
+    world.leaf.address = closedServer.address();
   }
   world.send(1, "one");
   world.awaitOutcomes(1);
@@ -178,7 +178,7 @@
   world.send(1, "one");
   world.send(2, "two");
   world.awaitRequests(1);
-  world.pool.abandon(2);
+  world.pool.cancel(2);
   REQUIRE(world.outcomes.size() == 1);
   REQUIRE(world.outcomes[0].kind == Kind::kWithdrawn);
   world.connection(0).write(world.reply("one", ""));
@@ -214,7 +214,7 @@
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
-  world.pool.abandon(1);
+  world.pool.cancel(1);
   runUntil(world.context, [&] { return world.connection(0).ended; });
   REQUIRE(world.outcomes[0].kind == Kind::kWithdrawn);
 }
@@ -238,11 +238,11 @@
   world.send(1, "one");
   world.awaitRequests(1);
   world.send(2, "two");
-  const auto retainAs = [&](LeafPool::LeafUse use) {
-    world.pool.retain([use](const LeafLife&) { return use; });
+  const auto retainAs = [&](LeafPool::RetainMode mode) {
+    world.pool.retain([mode](const LeafLife&) { return mode; });
   };
   SECTION("the leaf accepts no new requests") {
-    retainAs(LeafPool::LeafUse::kStop);
+    retainAs(LeafPool::RetainMode::kFailQueued);
     world.awaitOutcomes(1);
     REQUIRE(world.outcomes[0].kind == Kind::kNotSent);
     world.connection(0).write(world.reply("one", "body"));
@@ -251,7 +251,7 @@
     REQUIRE(world.written == 1);
   }
   SECTION("the leaf is now assigned to another daemon") {
-    retainAs(LeafPool::LeafUse::kFinish);
+    retainAs(LeafPool::RetainMode::kSendQueued);
     world.connection(0).write(world.reply("one", "body"));
     world.awaitRequests(2);
     REQUIRE(world.outcomes[0].kind == Kind::kAnswered);
@@ -264,8 +264,8 @@
   LeafRegistry registry;
   const auto reconcile = [&] {
     registry.reconcile(LeafsByService{{"s", {world.leaf}}}, steadyNow());
-    world.pool.retain([&](const LeafLife& life) {
-      return world.leaf.isOf(life) ? LeafPool::LeafUse::kKeep : LeafPool::LeafUse::kStop;
+    world.pool.retain([&](const LeafLife& incarnation) {
+      return world.leaf.isOf(incarnation) ? LeafPool::RetainMode::kKeep : LeafPool::RetainMode::kFailQueued;
     });
   };
   world.leaf.bornAt = 1760000000000;
@@ -274,9 +274,9 @@
   world.awaitRequests(1);
   world.connection(0).write(world.reply("one", "body"));
   world.awaitOutcomes(1);
-  RawServer moved(world.context);
-  const bool elsewhere = GENERATE(false, true);
-  RawServer& server = elsewhere ? moved : world.server;
+  RawServer otherServer(world.context);
+  const bool newAddress = GENERATE(false, true);
+  RawServer& server = newAddress ? otherServer : world.server;
   SECTION("the earlier connection is idle") {}
   SECTION("one request is in progress there and one is queued") {
     world.send(2, "two");
@@ -291,10 +291,10 @@
   reconcile();
   world.send(4, "four");
   runUntil(world.context, [&] { return server.connections().size() > connectionsBefore; });
-  RawServer::Connection& fresh = *server.connections().back();
-  runUntil(world.context, [&] { return !fresh.received.empty(); });
-  REQUIRE(fresh.received.find("four") != std::string::npos);
-  REQUIRE(fresh.received.find(world.names.expectedInstance + ": leaf-1\r\n") != std::string::npos);
+  RawServer::Connection& newest = *server.connections().back();
+  runUntil(world.context, [&] { return !newest.received.empty(); });
+  REQUIRE(newest.received.find("four") != std::string::npos);
+  REQUIRE(newest.received.find(world.names.expectedInstance + ": leaf-1\r\n") != std::string::npos);
   REQUIRE(world.connection(0).received.find("four") == std::string::npos);
   // The request queued for the earlier incarnation was never written.
   REQUIRE(world.written == sentBefore + 1);
@@ -304,45 +304,47 @@
 
 TEST_CASE("an unreachable leaf is retried until it accepts a connection", "[serving]") {
   PoolWorld world;
-  std::vector<bool> told;
-  world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { told.push_back(reachable); });
+  std::vector<bool> reports;
+  world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { reports.push_back(reachable); });
   world.server.close();
   world.send(1, "one");
-  runUntil(world.context, [&] { return told.size() >= 2; });
-  REQUIRE(told == std::vector<bool>{false, false});
+  runUntil(world.context, [&] { return reports.size() >= 2; });
+  REQUIRE(reports == std::vector<bool>{false, false});
   REQUIRE(world.outcomes.size() == 1);
   REQUIRE(world.outcomes[0].kind == Kind::kNotSent);
   world.server.reopen();
-  runUntil(world.context, [&] { return told.back(); });
+  runUntil(world.context, [&] { return reports.back(); });
   REQUIRE(world.outcomes.size() == 1);
 }
 
 TEST_CASE("a leaf that accepts and resets connections counts as reachable", "[serving]") {
   PoolWorld world;
-  std::vector<bool> told;
-  world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { told.push_back(reachable); });
+  std::vector<bool> reports;
+  world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { reports.push_back(reachable); });
   world.server.resetNewConnections();
   world.send(1, "one");
   world.awaitOutcomes(1);
   REQUIRE(world.outcomes[0].kind == Kind::kNotSent);
-  REQUIRE(told.empty());
+  REQUIRE(reports.empty());
 }
 
 TEST_CASE("a leaf counts as crashed only if connections are refused after requests were interrupted",
           "[serving]") {
   PoolWorld world;
-  std::vector<std::shared_ptr<RequestRecord>> under;
-  world.pool.setLeafEndListener(
-      [&](const LeafEntry&, const std::vector<std::shared_ptr<RequestRecord>>& records) { under = records; });
+  std::vector<std::shared_ptr<RequestRecord>> interrupted;
+  world.pool.setLeafCrashListener(
+      [&](const LeafEntry&, const std::vector<std::shared_ptr<RequestRecord>>& records) {
+        interrupted = records;
+      });
   world.send(1, "one");
   world.awaitRequests(1);
   SECTION("the process has crashed") {
     world.server.close();
     world.connection(0).reset();
-    runUntil(world.context, [&] { return world.pool.counters().leafsEnded == 1; });
+    runUntil(world.context, [&] { return world.pool.counters().leafCrashes == 1; });
     const HttpRequest same{"GET", "/x", {{"Host", "h"}, {world.names.requestId, "another"}}, ""};
-    REQUIRE(under.size() == 1);
-    REQUIRE(under[0]->fingerprint == fingerprintOf(same));
+    REQUIRE(interrupted.size() == 1);
+    REQUIRE(interrupted[0]->fingerprint == fingerprintOf(same));
   }
   SECTION("only the connection was reset") {
     world.connection(0).reset();
@@ -356,7 +358,7 @@
     runUntil(world.context, [&] { return world.pool.counters().closedIdleByLeaf == 1; });
     world.send(3, "three");
     world.awaitOutcomes(3);
-    REQUIRE(world.pool.counters().leafsEnded == 0);
+    REQUIRE(world.pool.counters().leafCrashes == 0);
   }
   SECTION("the process resets its connections, including a new one, before it stops listening") {
     world.server.resetNewConnections();
@@ -365,7 +367,7 @@
     world.server.close();
     world.awaitOutcomes(1);
     REQUIRE(world.outcomes[0].kind == Kind::kLeafEnded);
-    REQUIRE(under.size() == 1);
+    REQUIRE(interrupted.size() == 1);
   }
   SECTION("the leaf is running and resets all new connections") {
     world.server.resetNewConnections();
@@ -376,7 +378,7 @@
     world.server.close();
     world.send(2, "two");
     world.awaitOutcomes(2);
-    REQUIRE(world.pool.counters().leafsEnded == 0);
+    REQUIRE(world.pool.counters().leafCrashes == 0);
   }
   SECTION("part of a reply had arrived") {
     world.server.close();
@@ -385,7 +387,7 @@
     world.awaitOutcomes(1);
     world.send(2, "two");
     world.awaitOutcomes(2);
-    REQUIRE(world.pool.counters().leafsEnded == 0);
+    REQUIRE(world.pool.counters().leafCrashes == 0);
   }
 }
 
