--- a/src/transport/serving/leaf_pool.h
+++ b/src/transport/serving/leaf_pool.h
@@ -26,14 +26,19 @@
   std::uint64_t cancelledInFlight = 0;
   /// Dropped from the queue, as too little time was left until the deadline.
   std::uint64_t expiredUnsent = 0;
-  /// Closed connections by reason, other than cancellations.
+
+  // Closed connections by reason, except those closed by cancellations.
+
+  /// Idle for longer than their idle timeout.
   std::uint64_t expiredIdle = 0;
-  /// Idle connections above the maximum.
+  /// Idle connections in excess of the maximum.
   std::uint64_t surplus = 0;
   std::uint64_t closedIdleByLeaf = 0;
   /// Not reusable after a reply.
   std::uint64_t closedWithReply = 0;
+  /// Lost while a request was in progress.
   std::uint64_t closedInFlight = 0;
+
   /// Leafs that crashed while processing requests of this daemon.
   std::uint64_t leafCrashes = 0;
 };
@@ -94,7 +99,8 @@
     /// idle.
     kFailQueued,
   };
-  /// Applies `modeOf` to each leaf and drops those that are neither kept nor in use.
+  /// Applies the mode that `modeOf` returns for each incarnation, and removes those from the pool that are
+  /// not to be kept and have neither connections nor requests left.
   void retain(const std::function<RetainMode(const LeafLife& leaf)>& modeOf);
 
   const LeafPoolCounters& counters() const { return counters_; }
