--- a/src/programs/gateway/leaf_sender.cpp
+++ b/src/programs/gateway/leaf_sender.cpp
@@ -13,14 +13,14 @@
 
 void LeafSender::send(const LeafSend& send, QueryContext& context, LeafPool::Listener listener) {
   const LeafEntry& leaf = send.action.leaf->entry();
-  LeafPool::ExchangeRequest pending;
-  pending.exchange = send.action.exchange;
-  pending.request = send.request;
-  pending.rank = send.rank;
-  pending.deadline = send.action.deadline;
-  pending.leastTime = send.action.leastTime;
-  pending.listener.onWritten = std::move(listener.onWritten);
-  pending.listener.onOutcome = [&context, action = send.action, route = send.route, started = steadyNow(),
+  LeafPool::ExchangeRequest request;
+  request.exchange = send.action.exchange;
+  request.request = send.request;
+  request.rank = send.rank;
+  request.deadline = send.action.deadline;
+  request.leastTime = send.action.leastTime;
+  request.listener.onWritten = std::move(listener.onWritten);
+  request.listener.onOutcome = [&context, action = send.action, route = send.route, started = steadyNow(),
                                 notify = std::move(listener.onOutcome)](const LeafOutcome& outcome) {
     const Moment now = steadyNow();
     action.leaf->onFinished(action.exchange, outcome.kind, now);
@@ -35,7 +35,7 @@
     }
     notify(outcome);
   };
-  pool_.send(leaf, connectionsTo(leaf.service), std::move(pending));
+  pool_.send(leaf, connectionsTo(leaf.service), std::move(request));
 }
 
 }  // namespace oakpier::serving
--- a/src/transport/serving/leaf_pool.cpp
+++ b/src/transport/serving/leaf_pool.cpp
@@ -94,12 +94,12 @@
   return channel;
 }
 
-void LeafPool::send(const LeafEntry& leaf, std::size_t maximum, ExchangeRequest pending) {
+void LeafPool::send(const LeafEntry& leaf, std::size_t maximum, ExchangeRequest request) {
   const ChannelPointer channel = channelOf(leaf, maximum);
-  exchanges_[pending.exchange] = channel;
+  exchanges_[request.exchange] = channel;
   const auto position = std::find_if(channel->queued.begin(), channel->queued.end(),
-                                     [&](const ExchangeRequest& other) { return other.rank > pending.rank; });
-  channel->queued.insert(position, std::move(pending));
+                                     [&](const ExchangeRequest& other) { return other.rank > request.rank; });
+  channel->queued.insert(position, std::move(request));
   dispatch(channel);
 }
 
@@ -130,9 +130,9 @@
     if (!free) {
       break;
     }
-    ExchangeRequest pending = std::move(channel->queued.front());
+    ExchangeRequest request = std::move(channel->queued.front());
     channel->queued.pop_front();
-    start(channel, free, std::move(pending));
+    start(channel, free, std::move(request));
   }
   auto& connections = channel->connections;
   std::size_t surplus = connections.size() > channel->maximum ? connections.size() - channel->maximum : 0;
@@ -154,44 +154,44 @@
 
 void LeafPool::dropExpired(Channel& channel, Moment now) {
   std::list<ExchangeRequest> dropped;
-  for (auto pending = channel.queued.begin(); pending != channel.queued.end();) {
-    const auto next = std::next(pending);
-    if (pending->deadline - now < std::max(pending->leastTime, kMinDeadline)) {
-      dropped.splice(dropped.end(), channel.queued, pending);
+  for (auto request = channel.queued.begin(); request != channel.queued.end();) {
+    const auto next = std::next(request);
+    if (request->deadline - now < std::max(request->leastTime, kMinDeadline)) {
+      dropped.splice(dropped.end(), channel.queued, request);
     }
-    pending = next;
+    request = next;
   }
   counters_.expiredUnsent += dropped.size();
   completeUnsent(std::move(dropped), LeafOutcome::Kind::kExpired);
 }
 
-void LeafPool::completeUnsent(std::list<ExchangeRequest> pendingRequests, LeafOutcome::Kind kind) {
-  if (pendingRequests.empty()) {
+void LeafPool::completeUnsent(std::list<ExchangeRequest> requests, LeafOutcome::Kind kind) {
+  if (requests.empty()) {
     return;
   }
-  for (const ExchangeRequest& pending : pendingRequests) {
-    exchanges_.erase(pending.exchange);
+  for (const ExchangeRequest& request : requests) {
+    exchanges_.erase(request.exchange);
   }
-  const auto ended = std::make_shared<const std::list<ExchangeRequest>>(std::move(pendingRequests));
+  const auto ended = std::make_shared<const std::list<ExchangeRequest>>(std::move(requests));
   boost::asio::post(context_, [ended, kind] {
-    for (const ExchangeRequest& pending : *ended) {
-      pending.listener.onOutcome(outcomeOf(kind));
+    for (const ExchangeRequest& request : *ended) {
+      request.listener.onOutcome(outcomeOf(kind));
     }
   });
 }
 
 void LeafPool::start(const ChannelPointer& channel, const std::shared_ptr<LeafConnection>& connection,
-                     ExchangeRequest pending) {
-  const auto remaining = std::chrono::duration_cast<Duration>(pending.deadline - steadyNow());
-  const std::string bytes = pending.request->bytesFor(channel->leaf.id, remaining);
+                     ExchangeRequest request) {
+  const auto remaining = std::chrono::duration_cast<Duration>(request.deadline - steadyNow());
+  const std::string bytes = request.request->bytesFor(channel->leaf.id, remaining);
   ++counters_.exchanges;
-  if (pending.listener.onWritten) {
-    pending.listener.onWritten();
+  if (request.listener.onWritten) {
+    request.listener.onWritten();
   }
-  const auto request = pending.request;
-  channel->inFlight.push_back(Channel::InFlight{connection, std::move(pending)});
-  connection->exchange(bytes, request->isHead(), [this, request](const HttpReply& reply) {
-    return repliesTo(reply, request->requestId(), names_);
+  const auto leafRequest = request.request;
+  channel->inFlight.push_back(Channel::InFlight{connection, std::move(request)});
+  connection->exchange(bytes, leafRequest->isHead(), [this, leafRequest](const HttpReply& reply) {
+    return repliesTo(reply, leafRequest->requestId(), names_);
   });
 }
 
@@ -224,10 +224,10 @@
   if (found == inFlight.end()) {
     return;
   }
-  ExchangeRequest pending = std::move(found->request);
+  ExchangeRequest request = std::move(found->request);
   const std::shared_ptr<LeafConnection> kept = found->connection;
   inFlight.erase(found);
-  exchanges_.erase(pending.exchange);
+  exchanges_.erase(request.exchange);
   if (kept->idle()) {
     const auto reported = idleTimeoutOf(*reply);
     kept->setIdleTimeout(
@@ -238,11 +238,11 @@
     connections.erase(std::remove(connections.begin(), connections.end(), kept), connections.end());
   }
   const LeafOutcome outcome = classifyReply(reply, names_);
-  RequestRecord& record = *pending.request->record();
+  RequestRecord& record = *request.request->record();
   if (outcome.kind == LeafOutcome::Kind::kAnswered && !std::exchange(record.answered, true) && onAnswered_) {
     onAnswered_(record);
   }
-  pending.listener.onOutcome(outcome);
+  request.listener.onOutcome(outcome);
 }
 
 void LeafPool::onClosed(const ChannelPointer& channel, LeafConnection& connection) {
@@ -260,14 +260,14 @@
     return candidate.connection == kept;
   });
   if (found != inFlight.end()) {
-    ExchangeRequest pending = std::move(found->request);
+    ExchangeRequest request = std::move(found->request);
     inFlight.erase(found);
-    exchanges_.erase(pending.exchange);
+    exchanges_.erase(request.exchange);
     ++counters_.closedInFlight;
     if (kept->closedWithoutReply()) {
-      onInterrupted(channel, std::move(pending));
+      onInterrupted(channel, std::move(request));
     } else {
-      pending.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNoAnswer));
+      request.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNoAnswer));
     }
     return;
   }
@@ -305,10 +305,10 @@
   return !std::exchange(channel.crashCheckRepeated, true);
 }
 
-void LeafPool::onInterrupted(const ChannelPointer& channel, ExchangeRequest pending) {
+void LeafPool::onInterrupted(const ChannelPointer& channel, ExchangeRequest request) {
   channel->crashCheckRepeated = channel->crashCheckRepeated && !channel->interrupted.empty();
-  channel->interrupted.push_back(pending.request->record());
-  channel->unconfirmed.push_back(std::move(pending));
+  channel->interrupted.push_back(request.request->record());
+  channel->unconfirmed.push_back(std::move(request));
   if (channel->connecting == 0) {
     open(channel);
   }
@@ -324,8 +324,8 @@
 
 void LeafPool::completeUnconfirmed(Channel& channel, LeafOutcome::Kind kind) {
   const std::list<ExchangeRequest> ended = std::exchange(channel.unconfirmed, {});
-  for (const ExchangeRequest& pending : ended) {
-    pending.listener.onOutcome(outcomeOf(kind));
+  for (const ExchangeRequest& request : ended) {
+    request.listener.onOutcome(outcomeOf(kind));
   }
 }
 
@@ -368,11 +368,11 @@
 
 void LeafPool::failQueued(const ChannelPointer& channel) {
   const std::list<ExchangeRequest> failed = std::exchange(channel->queued, {});
-  for (const ExchangeRequest& pending : failed) {
-    exchanges_.erase(pending.exchange);
+  for (const ExchangeRequest& request : failed) {
+    exchanges_.erase(request.exchange);
   }
-  for (const ExchangeRequest& pending : failed) {
-    pending.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNotSent));
+  for (const ExchangeRequest& request : failed) {
+    request.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNotSent));
   }
 }
 
@@ -388,12 +388,12 @@
   }
   const auto queued =
       std::find_if(channel->queued.begin(), channel->queued.end(),
-                   [&](const ExchangeRequest& pending) { return pending.exchange == exchange; });
+                   [&](const ExchangeRequest& request) { return request.exchange == exchange; });
   if (queued != channel->queued.end()) {
-    ExchangeRequest pending = std::move(*queued);
+    ExchangeRequest request = std::move(*queued);
     channel->queued.erase(queued);
     exchanges_.erase(exchange);
-    pending.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
+    request.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
     return;
   }
   auto timer = std::make_shared<boost::asio::steady_timer>(context_, kCancelGracePeriod);
@@ -415,14 +415,14 @@
     return;
   }
   const std::shared_ptr<LeafConnection> connection = found->connection;
-  ExchangeRequest pending = std::move(found->request);
+  ExchangeRequest request = std::move(found->request);
   inFlight.erase(found);
   exchanges_.erase(exchange);
   ++counters_.cancelledInFlight;
   connection->close();
   auto& connections = channel->connections;
   connections.erase(std::remove(connections.begin(), connections.end(), connection), connections.end());
-  pending.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
+  request.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
   dispatch(channel);
 }
 
--- a/src/transport/serving/leaf_pool.h
+++ b/src/transport/serving/leaf_pool.h
@@ -84,7 +84,7 @@
   void setAnswerListener(AnswerListener listener) { onAnswered_ = std::move(listener); }
 
   /// `maximum`: the number of connections that this daemon may have to the leaf.
-  void send(const LeafEntry& leaf, std::size_t maximum, ExchangeRequest pending);
+  void send(const LeafEntry& leaf, std::size_t maximum, ExchangeRequest request);
   /// Cancels a request. A queued one is dropped immediately; one that was sent is aborted by closing its
   /// connection, unless the reply arrives within a grace period.
   void cancel(ExchangeId exchange);
@@ -116,15 +116,15 @@
   /// since a listener must not be called from within its own call of `send`.
   void dropExpired(Channel& channel, Moment now);
   /// Completes requests that were not sent. Listeners are called asynchronously.
-  void completeUnsent(std::list<ExchangeRequest> pendingRequests, LeafOutcome::Kind kind);
+  void completeUnsent(std::list<ExchangeRequest> requests, LeafOutcome::Kind kind);
   void start(const ChannelPointer& channel, const std::shared_ptr<LeafConnection>& connection,
-             ExchangeRequest pending);
+             ExchangeRequest request);
   void onEvent(const std::weak_ptr<Channel>& weak, LeafConnection& connection, LeafConnection::Event event,
                const std::shared_ptr<const HttpReply>& reply);
   void onClosed(const ChannelPointer& channel, LeafConnection& connection);
   /// A connection closed without a reply to the request on it. A new connection shows whether the leaf has
   /// crashed; the next request needs one anyway.
-  void onInterrupted(const ChannelPointer& channel, ExchangeRequest pending);
+  void onInterrupted(const ChannelPointer& channel, ExchangeRequest request);
   /// True if a second connection is needed to find out whether the leaf has crashed. The system may reset a
   /// crashing process's connections before it closes the listening socket. A connection opened in between is
   /// accepted and reset, as by a running leaf that has reached its connection limit.
--- a/tests/serving/transport/leaf_pool_test.cpp
+++ b/tests/serving/transport/leaf_pool_test.cpp
@@ -21,14 +21,14 @@
   void send(ExchangeId exchange, const std::string& requestId, const std::string& body = "",
             Duration timeLeft = std::chrono::seconds(30), Duration leastTime = Duration(0)) {
     HttpRequest request{"GET", "/x", {{"Host", "h"}, {names.requestId, requestId}}, body};
-    LeafPool::ExchangeRequest pending;
-    pending.exchange = exchange;
-    pending.request = std::make_shared<const LeafRequestTemplate>(request, names);
-    pending.deadline = steadyNow() + timeLeft;
-    pending.leastTime = leastTime;
-    pending.listener.onWritten = [this] { ++written; };
-    pending.listener.onOutcome = [this](const LeafOutcome& outcome) { outcomes.push_back(outcome); };
-    pool.send(leaf, 1, std::move(pending));
+    LeafPool::ExchangeRequest exchangeRequest;
+    exchangeRequest.exchange = exchange;
+    exchangeRequest.request = std::make_shared<const LeafRequestTemplate>(request, names);
+    exchangeRequest.deadline = steadyNow() + timeLeft;
+    exchangeRequest.leastTime = leastTime;
+    exchangeRequest.listener.onWritten = [this] { ++written; };
+    exchangeRequest.listener.onOutcome = [this](const LeafOutcome& outcome) { outcomes.push_back(outcome); };
+    pool.send(leaf, 1, std::move(exchangeRequest));
   }
 
   std::string reply(const std::string& requestId, const std::string& body) const {
