--- a/src/coordination/ballot.h
+++ b/src/coordination/ballot.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The order of ballots: by round, then by proposer.
+/// Total order of Paxos ballots: by round, then by proposer id.
 
 #include "oakpier/peer.pb.h"
 
--- a/src/coordination/control_plane.cpp
+++ b/src/coordination/control_plane.cpp
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr Duration kChangesAskPeriod = std::chrono::milliseconds(300);
-/// Each daemon on the platform's list waits its turn to found the cluster, so that they rarely collide.
+/// The bootstrap voters propose revision 1 staggered by this delay, so that their proposals rarely compete.
 constexpr Duration kFoundingTurn = std::chrono::milliseconds(500);
-/// After a pause a daemon that hears from nobody serves again after this long: it may be cut off.
+/// After a pause a daemon that receives no confirmation from a peer is ready again after this long: it may be
+/// alone on its side of a network partition.
 constexpr Duration kRevalidationLimit = std::chrono::seconds(2);
-/// How long the fate of an undecided change is watched for.
+/// How long the revision of an undecided change is waited for.
 constexpr Duration kAwaitTime = std::chrono::seconds(3);
 constexpr std::size_t kMostWaitingRequests = 32;
 constexpr std::uint32_t kControlTimeToLiveMs = 3000;
@@ -66,14 +67,14 @@
       lease_.hear(envelope.probe_reply().voter_beats(), store_.voters(), now);
       carryOut(membership_.onReply(sender, envelope.probe_reply(), now));
       hearRevision(sender, envelope.probe_reply().revision(), now);
-      // Only an answer to a probe sent since the pause tells what is in force now.
+      // Only a reply to a probe sent since the pause confirms that the configuration is current.
       revalidating_ = revalidating_ && !(answersUs && envelope.probe_reply().revision() <= store_.revision());
       return;
     }
     default:
       break;
   }
-  // Below, only daemons of one cluster understand each other; a daemon that holds nothing yet belongs to any.
+  // The other messages are valid only within a cluster; a daemon without a configuration accepts any.
   const bool sameCluster =
       envelope.cluster() == 0 || store_.cluster() == 0 || envelope.cluster() == store_.cluster();
   if (sameCluster) {
@@ -193,7 +194,7 @@
   return known == revisions_.end() ? 0 : known->second;
 }
 
-/// A process that was stopped wakes with old news in its queues and must not act on them.
+/// After a pause the process's queues hold stale messages, which it must not act on.
 void ControlPlane::detectPause(Moment now) {
   if (lastTimeAt_ != Moment{} && now - lastTimeAt_ > settings_.pauseThreshold) {
     ++pauses_;
@@ -232,7 +233,8 @@
   }
 }
 
-/// Tells a few random members what was learnt; each that did not know passes it on again.
+/// Forwards the changes since `formerRevision` to a few random members. Members that did not have them
+/// forward them in turn.
 void ControlPlane::passOn(std::uint64_t formerRevision) {
   if (formerRevision == 0) {
     return;
@@ -252,7 +254,8 @@
   }
 }
 
-/// Revision 1 is decided among daemons on the platform's list, from the platform's configuration.
+/// Proposes revision 1, with the platform's configuration, if this daemon is a bootstrap voter and its turn
+/// has come.
 void ControlPlane::maybeFoundCluster(Moment now) {
   if (store_.revision() != 0 || !platform_.configuration || !proposer_.idle()) {
     return;
@@ -286,7 +289,7 @@
   }
 }
 
-/// A proposer may have died between the voters' acceptance and telling anybody.
+/// Completes a proposal whose proposer may have crashed after voters accepted it.
 void ControlPlane::completeOpenProposal(Moment now) {
   const auto openSince = voter_.openSince();
   if (openSince && now - *openSince >= settings_.completionDelay && proposer_.idle() &&
@@ -366,7 +369,7 @@
       report(request, ChangeEnd::kAccepted);
       return;
     case ProposalEnd::kOtherChosen:
-      // A request that names no base follows whatever came in between.
+      // A request without a base revision is retried on top of the other change.
       if (request.baseRevision == 0) {
         waiting_.push_front(request);
       } else {
@@ -385,7 +388,8 @@
   }
 }
 
-/// An undecided change is settled once its revision is known: it holds this change or another one.
+/// Reports undecided requests whose revision is now in the store, with this change or another one, and those
+/// that timed out.
 void ControlPlane::resolveAwaited(Moment now) {
   for (std::size_t position = 0; position < awaited_.size();) {
     const Awaited& awaited = awaited_[position];
@@ -451,7 +455,7 @@
     std::vector<OutgoingEnvelope> batch;
     batch.swap(outbox_);
     for (auto& outgoing : batch) {
-      // The verdict on a reservation is for the entry role, also when it is this daemon's own.
+      // Replies to reservations are handled by the caller, also those from this daemon itself.
       if (outgoing.to == selfAddress_ && !outgoing.envelope.has_reserve_reply()) {
         handle(selfAddress_, outgoing.envelope, now);
       } else {
--- a/src/coordination/control_plane.h
+++ b/src/coordination/control_plane.h
@@ -1,10 +1,12 @@
 #pragma once
 
-/// The control side of one daemon as a state machine: membership, agreement on configuration changes, and
-/// their spread. The daemon and the property tests run this same code.
+/// Control plane of one daemon as a state machine without I/O: membership, agreement on configuration changes
+/// and their propagation. The daemon and the simulated fleet of the tests run the same code.
 ///
-/// Invariants: the revision in force never falls; a change is reported accepted only after a majority of the
-/// voters accepted it; the platform's configuration is used only to decide revision 1.
+/// Invariants:
+///  - the revision in effect never decreases;
+///  - a change is reported as accepted only after a majority of the voters has accepted it;
+///  - the platform's configuration is used only to decide revision 1.
 
 #include <deque>
 #include <optional>
@@ -25,19 +27,20 @@
 struct ControlSettings {
   MembershipSettings membership;
   RepeatGuardSettings repeatGuard;
-  /// Daemons that vote on configuration changes.
+  /// Target number of voters.
   std::size_t voters = 5;
-  /// Members that a newly learnt change is passed on to.
+  /// Number of random members to which a new change is forwarded.
   std::size_t changeFanout = 3;
-  /// How often the voter set is looked over.
+  /// How often the voter set and pending proposals are checked.
   Duration voterCheckPeriod = std::chrono::seconds(1);
-  /// An accepted change that is not heard to be chosen is completed by a voter after this long.
+  /// A voter completes a proposal that it accepted but does not know to be chosen after this long.
   Duration completionDelay = std::chrono::seconds(2);
-  /// A gap between two calls of `onTime` longer than this is a pause of the process.
+  /// A longer gap between two calls of `onTime` or `onMessage` is treated as a pause of the process.
   Duration pauseThreshold = std::chrono::milliseconds(1500);
 };
 
-/// What the platform's read-only services said last. They lag; nothing here overrules what daemons accepted.
+/// Last answers of the platform's read-only services. They may be stale and never override a configuration
+/// that the daemons have accepted.
 struct PlatformReport {
   std::vector<Endpoint> daemons;
   std::optional<Configuration> configuration;
@@ -50,20 +53,20 @@
 
 enum class ChangeEnd {
   kAccepted,
-  /// Another change came first; the operator must look again.
+  /// Another change took effect first; the operator must review the current configuration.
   kConflict,
-  /// No majority of voters was reached; nothing was changed.
+  /// No majority of the voters answered, or too many requests are queued; the change has no effect.
   kNoMajority,
-  /// No majority answered in time; the change may yet take effect.
+  /// The change is not known to be accepted; it may still take effect.
   kUndecided,
-  /// This daemon holds no accepted configuration yet.
+  /// This daemon has no accepted configuration yet.
   kNotReady,
 };
 
 struct ChangeResult {
   std::uint64_t token = 0;
   ChangeEnd end = ChangeEnd::kNoMajority;
-  /// The revision in force here afterwards.
+  /// The revision in effect at this daemon when the request ended.
   std::uint64_t revision = 0;
 };
 
@@ -72,12 +75,12 @@
   std::vector<ChangeResult> results;
 };
 
-/// A change an operator asks for.
+/// A configuration change requested by an operator.
 struct ChangeRequest {
-  /// Chosen by the caller; comes back in the result.
+  /// Chosen by the caller; returned in the result.
   std::uint64_t token = 0;
   ConfigurationChange change;
-  /// Refused unless this is the revision in force. 0 = any.
+  /// The request fails with kConflict unless this is the revision in effect. 0 = any.
   std::uint64_t baseRevision = 0;
 };
 
@@ -86,29 +89,30 @@
   ControlPlane(const SelfMember& self, const ControlSettings& settings, std::uint64_t randomSeed);
 
   void setPlatformReport(const PlatformReport& report);
-  /// Peers known from settings, besides those on the platform's list.
+  /// Seeds from the settings, in addition to the platform's list.
   void setStaticSeeds(std::vector<Endpoint> seeds);
 
   ControlActions onMessage(const PeerEnvelope& envelope, Moment now);
   /// Call at least every 50 ms.
   ControlActions onTime(Moment now);
   ControlActions submit(ChangeRequest request, Moment now);
-  /// Begins a planned stop: a voter first sees to its replacement.
+  /// Begins a planned stop: a voter proposes a voter set without itself.
   void prepareLeave() { self_.leaving = true; }
-  /// No voter any more, or nobody is there to take over.
+  /// This daemon is not a voter, or there is no other serving member to replace it.
   bool mayLeave() const;
-  /// Planned stop: tells members that this process leaves.
+  /// Completes a planned stop: notifies members.
   ControlActions leave(Moment now);
 
   const ConfigurationStore& store() const { return store_; }
   const Membership& membership() const { return membership_; }
-  /// Holds an accepted configuration and, after a pause, the one that its peers have in force.
+  /// Has an accepted configuration that, after a pause, a peer has confirmed to be current. A daemon that
+  /// receives no confirmation is ready again after a time limit.
   bool ready() const { return store_.revision() > 0 && !revalidating_; }
-  /// This daemon grants reservations of ids of requests not to be repeated.
+  /// Whether this daemon can grant reservations of request ids (see repeat_guard.h).
   bool guardsIds(Moment now) const { return guard_.settled() && lease_.held(store_.voters(), now); }
   std::uint64_t pauses() const { return pauses_; }
   bool revalidating() const { return revalidating_; }
-  /// The revision that `address` last named.
+  /// The revision that `address` last reported; 0 if unknown.
   std::uint64_t revisionOf(const Endpoint& address) const;
 
  private:
@@ -141,7 +145,7 @@
   PeerEnvelope envelopeOf() const;
   void send(const Endpoint& to, PeerEnvelope envelope);
   void carryOut(MembershipActions actions);
-  /// Delivers what was sent to this daemon itself, then hands out the rest.
+  /// Handles messages addressed to this daemon itself and returns the others with the results.
   ControlActions flush(Moment now);
 
   SelfMember self_;
@@ -158,9 +162,9 @@
   std::vector<Endpoint> staticSeeds_;
 
   std::deque<ChangeRequest> waiting_;
-  /// The request that the running proposal carries.
+  /// The request that the current proposal carries.
   std::optional<ChangeRequest> running_;
-  /// Requests whose fate the next revision will tell.
+  /// Requests with an undecided proposal; its revision, once known, decides them.
   std::vector<Awaited> awaited_;
   std::unordered_map<Endpoint, std::uint64_t> revisions_;
   std::vector<OutgoingEnvelope> outbox_;
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr Duration kForgetPeriod = std::chrono::seconds(30);
-/// A probe is given up after this many time-outs, the indirect ones included.
+/// A probe fails after this many probe timeouts; indirect probes are sent after the first.
 constexpr int kProbeLifetimeTimeouts = 3;
-/// Members told directly of a planned leave.
+/// Number of probes that report a planned stop.
 constexpr int kLeaveNotices = 5;
 
 }  // namespace
@@ -130,7 +130,7 @@
 void Membership::onPause(Moment now) {
   updates_.clear();
   pending_.clear();
-  // Suspicions start again: during the pause nobody could refute them here.
+  // Refutations could not be received during the pause.
   suspicions_.restart(now + suspicionTime());
   nextProbeAt_ = now;
   nextReconnectAt_ = now;
@@ -227,7 +227,8 @@
   }
 }
 
-/// Tries one seed and one dead member: only so do two sides of a healed cut hear of each other again.
+/// Probes one seed and one dead member. Without this the sides of a healed network partition would not probe
+/// each other again.
 void Membership::reconnect(Moment now, MembershipActions& actions) {
   std::vector<Endpoint> candidates;
   if (!seeds_.empty()) {
@@ -264,7 +265,6 @@
   return std::chrono::duration_cast<Duration>(settings_.probePeriod * periods);
 }
 
-/// Queues what is now believed of `subject` to be sent a bounded number of times.
 std::optional<Endpoint> Membership::randomServing() {
   const auto& records = members_.records();
   constexpr int kDraws = 20;
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -1,11 +1,15 @@
 #pragma once
 
-/// Membership between daemons by probing: each period one member is probed, directly and then through others;
-/// what changes rides on probes and replies. The cost to a daemon does not grow with the number of daemons.
+/// SWIM-style membership and failure detection. Each period a daemon probes one member, directly and, without
+/// an answer, indirectly through other members; updates are piggybacked on probes and replies. The number of
+/// messages per daemon does not depend on the number of daemons.
 ///
-/// Invariants: only a member itself raises its refutation; a dead or left process never becomes alive again
-/// except by its own refutation (dead) or as a later process (higher incarnation); every update is sent a
-/// bounded number of times; for one process and refutation a member tells at most one capacity.
+/// Invariants:
+///  - only the member itself raises its refutation number;
+///  - a dead member becomes alive again only by its own refutation or with a higher incarnation;
+///  - a member that left becomes alive again only with a higher incarnation;
+///  - every update is sent a bounded number of times;
+///  - a member reports at most one capacity per incarnation and refutation number.
 
 #include <optional>
 #include <string>
@@ -24,24 +28,26 @@
 struct MembershipSettings {
   Duration probePeriod = std::chrono::seconds(1);
   Duration probeTimeout = std::chrono::milliseconds(300);
-  /// Members asked to probe on our behalf when a member does not answer.
+  /// Members that are asked to probe an unresponsive member (indirect probes).
   std::size_t indirectProbes = 3;
-  /// A suspect is dead after this many probe periods times log10(members + 1).
+  /// A suspected member is declared dead after this many probe periods times max(1, log10(members + 1)),
+  /// where members includes this daemon. The time is longer while probes of this daemon fail.
   double suspicionPeriods = 3.0;
-  /// Each update is sent this many times log10(members + 1).
+  /// Each update is sent this many times max(1, log10(members + 1)).
   double updateTransmissions = 4.0;
   UpdateQueueSettings updates;
-  /// How often one dead member or seed is tried, so that healed cuts merge.
+  /// How often one dead member and one seed are probed, so that the sides of a healed network partition
+  /// merge. A daemon that has not joined does so every quarter of the probe period.
   Duration reconnectPeriod = std::chrono::seconds(5);
-  /// How often at most a daemon compares its table with that of another whose digest differs.
+  /// Minimum time between comparisons of the member table with that of a peer whose digest differs.
   Duration comparePeriod = std::chrono::seconds(5);
   /// For this long after its start a daemon probes and compares tables every `settlingProbePeriod`.
   Duration settlingTime = std::chrono::seconds(60);
   Duration settlingProbePeriod = std::chrono::seconds(1);
-  /// How long the dead are remembered, so that old news cannot revive them.
+  /// How long records of dead and departed members are kept, so that stale updates cannot revive them.
   Duration tombstoneLifetime = std::chrono::minutes(15);
-  /// Take a higher incarnation than an earlier process at the same address had. Its clock may have been
-  /// ahead; otherwise nobody would believe that this process lives.
+  /// On an update about a higher incarnation at this daemon's address, adopt a still higher one. An earlier
+  /// process may have had a clock that was ahead; peers would ignore all updates of this process otherwise.
   bool adoptHigherIncarnation = false;
 };
 
@@ -74,32 +80,34 @@
   Membership(const Endpoint& self, const std::string& zone, std::uint64_t incarnation,
              const MembershipSettings& settings, RandomEngine random);
 
-  /// What this daemon can carry, in hundredths of a processor core. Told to all; a change is a refutation, so
-  /// that it supersedes what they know. 0, not told, changes nothing.
+  /// Sets the capacity that this daemon reports to its peers, in hundredths of a processor core. A change of
+  /// a known capacity raises the refutation number, so that it supersedes the earlier value. 0 (unknown) is
+  /// ignored.
   void setCapacity(std::uint32_t capacity);
   std::uint32_t capacity() const { return capacity_; }
-  /// Addresses to try when no member is known; from settings and the platform's list.
+  /// Addresses to probe while they are not serving members: from the settings and the platform's list.
   void setSeeds(std::vector<Endpoint> seeds);
 
   MembershipActions onProbe(const Endpoint& sender, const Probe& probe, Moment now);
   MembershipActions onReply(const Endpoint& sender, const ProbeReply& reply, Moment now);
   MembershipActions onTime(Moment now);
-  /// All that is known of the members, for a daemon that has just started.
+  /// The complete member table, for a daemon that has just started.
   ProbeReply introduction(const Endpoint& receiver);
 
-  /// After a pause: all that waited to be sent is old, and probes on the way prove nothing.
+  /// After a pause of the process: discards queued updates and pending probes, which are stale, and restarts
+  /// suspicions.
   void onPause(Moment now);
-  /// Tells a few members that this process leaves in good order.
+  /// Notifies a few members of a planned stop. After that `onTime` does nothing.
   MembershipActions leave(Moment now);
 
-  /// A probe of that number is on the way; after a pause only probes sent since then are.
+  /// Whether a reply to the probe `sequence` is pending. Probes sent before a pause are not.
   bool awaits(std::uint64_t sequence) const { return pending_.count(sequence) != 0; }
 
   const MemberTable& members() const { return members_; }
   std::size_t servingCount() const { return members_.servingCount(); }
-  /// Raised with every change that placement or readiness depends on.
+  /// Incremented with every change that placement or readiness depends on.
   std::uint64_t version() const { return version_; }
-  /// Some other member or seed was heard from.
+  /// A message from another member or a seed has been received.
   bool joined() const { return joined_; }
   const MembershipCounters& counters() const { return counters_; }
   const Endpoint& self() const { return self_; }
@@ -110,9 +118,9 @@
     Endpoint target;
     Moment sentAt{};
     bool indirectSent = false;
-    /// A try whether the target is back; its silence means nothing.
+    /// Sent to a dead member or a seed: a missing reply raises no suspicion.
     bool reconnecting = false;
-    /// Set when probing for another member.
+    /// For an indirect probe: the member that requested it, and the sequence number of its request.
     std::optional<Endpoint> askedBy;
     std::uint64_t askedSequence = 0;
   };
@@ -131,14 +139,14 @@
   void forgetTombstones(Moment now);
   std::optional<Endpoint> randomServing();
 
-  // What members tell each other of members: membership_updates.cpp.
+  // Dissemination and comparison of member records: membership_updates.cpp.
   template <typename Message>
   void receive(const Message& message, bool bulk, Moment now);
   void merge(const MemberUpdate& update, bool bulk, Moment now);
   void mergeSelf(const MemberUpdate& update);
-  /// `bulk`: the sender did not pass this on as news, so neither do we.
+  /// `bulk`: the record comes from a table exchange and is not disseminated further.
   void mergeRecord(const MemberRecord& update, bool bulk, Moment now);
-  /// Some daemons pass on what they hear of a member without its capacity.
+  /// Adds the capacity to a record that was received without it: some daemons do not forward capacities.
   void learnCapacity(const MemberRecord& update, const MemberRecord& known, bool bulk);
   void compareTables(const Endpoint& sender, const ProbeReply& reply, Moment now, MembershipActions& actions);
   std::uint64_t partDigest(std::size_t part) const;
@@ -177,8 +185,8 @@
   Moment nextForgetAt_{};
   Moment nextCompareAt_{};
   Moment startedAt_{};
-  /// Grows while probes of ours fail and refutations reach us: then the fault may be here, and we judge
-  /// slower.
+  /// Raised when a probe of this daemon fails or it must refute a suspicion, lowered by each reply. The fault
+  /// may then be at this daemon, so it probes and declares members dead more slowly (cf. Lifeguard).
   int ownTrouble_ = 0;
   static constexpr int kMostOwnTrouble = 5;
   MembershipCounters counters_;
--- a/src/coordination/membership_updates.cpp
+++ b/src/coordination/membership_updates.cpp
@@ -1,5 +1,5 @@
-/// What members tell each other of members: news that rides on probes and replies, and comparisons of whole
-/// tables.
+/// Dissemination of member records: updates piggybacked on probes and replies, and anti-entropy by comparing
+/// member tables.
 
 #include <algorithm>
 #include <cmath>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Records exchanged in one comparison, about; and the fewest parts.
+/// Approximate number of records sent in one table comparison, and the minimum number of table parts.
 constexpr std::size_t kRecordsPerComparison = 200;
 constexpr std::size_t kLeastPartsPerComparison = 2;
 
@@ -43,7 +43,7 @@
   mergeRecord(record, bulk, now);
 }
 
-/// News about this process: anything but alive is refuted, unless it is true.
+/// Handles an update about this daemon: refutes any condition but alive, unless the daemon is leaving.
 void Membership::mergeSelf(const MemberUpdate& update) {
   if (settings_.adoptHigherIncarnation && update.incarnation() > incarnation_) {
     incarnation_ = update.incarnation() + 1;
@@ -106,13 +106,15 @@
   }
 }
 
+/// Queues the record of `subject` to be sent a bounded number of times.
 void Membership::spread(const Endpoint& subject) {
   const int transmissions = static_cast<int>(std::ceil(settings_.updateTransmissions * logMembers()));
   updates_.add(subject, transmissions);
 }
 
-/// The sender's own record always rides along, so the receiver knows whom it hears; and what is believed of
-/// the receiver, when that is bad, so that it can refute it.
+/// Always adds the sender's own record, so that the receiver knows the sender's state, and the record of the
+/// receiver if it is not alive, so that the receiver can refute it. `everything` adds the complete table
+/// instead of queued updates.
 template <typename Message>
 void Membership::attachUpdates(const Endpoint& receiver, Message& message, bool everything) {
   *message.add_updates() = describeSelf();
@@ -134,8 +136,8 @@
   }
 }
 
-/// News can be lost. A daemon whose table differs in some parts is sent our records of them and answers with
-/// its own; both then hold the newer of each.
+/// Anti-entropy, because updates can be lost: sends the records of some table parts whose digests differ. The
+/// peer replies with its own, and both keep the newer record of each member.
 void Membership::compareTables(const Endpoint& sender, const ProbeReply& reply, Moment now,
                                MembershipActions& actions) {
   if (reply.part_digests_size() != static_cast<int>(kTableParts) || now < nextCompareAt_) {
@@ -176,7 +178,7 @@
   }
 }
 
-/// Of the serving members and this daemon itself.
+/// Covers the serving members and this daemon, which is not in its own table.
 std::uint64_t Membership::partDigest(std::size_t part) const {
   MemberRecord own;
   own.address = self_;
--- a/src/coordination/proposer.cpp
+++ b/src/coordination/proposer.cpp
@@ -8,9 +8,8 @@
 
 namespace {
 
-/// One attempt ends after this long.
 constexpr Duration kAttemptTime = std::chrono::seconds(4);
-/// Unanswered messages are sent again; voters answer repeats alike.
+/// Without a majority within this period the proposal is prepared again with a higher round.
 constexpr Duration kResendPeriod = std::chrono::milliseconds(300);
 constexpr std::int64_t kMostBackOffUs = 200'000;
 
@@ -120,7 +119,8 @@
   return now >= resendAt_ ? prepare(now) : ProposerActions{};
 }
 
-/// Another proposer is ahead: leave it some time, then outbid it.
+/// Another proposer uses a higher ballot: waits a random time, so that one of them can finish, then prepares
+/// with a higher round.
 ProposerActions Proposer::backOff(const Ballot& promised, Moment now) {
   phase_ = Phase::kWaiting;
   ballot_.set_round(std::max(ballot_.round(), promised.round()));
@@ -133,7 +133,7 @@
   ProposalResult result;
   result.end = end;
   result.ahead = ahead;
-  // Seen at a voter already: if ours was sent, it may be what that voter holds.
+  // The revision that the voter has may contain this daemon's proposal if that was sent to any voter.
   if (end == ProposalEnd::kBehind && ownWasSent_) {
     result.end = ProposalEnd::kUndecided;
   }
--- a/src/coordination/proposer.h
+++ b/src/coordination/proposer.h
@@ -1,10 +1,12 @@
 #pragma once
 
-/// The proposer's part of the agreement on the next revision. Any daemon may propose; the voters decide.
+/// Proposer role of the agreement on configuration revisions (see voter.h). Any daemon may propose.
 ///
-///   kIdle --start--> kPreparing --majority promised--> kAccepting --majority accepted--> ended
-///                        ^                                |
-///                        +------ a higher ballot: wait, try a higher round ----+
+///   kIdle --start--> kPreparing --majority promised--> kAccepting --majority accepted--> kIdle
+///   kPreparing, kAccepting --higher ballot seen--> kWaiting --random backoff, higher round--> kPreparing
+///   kPreparing, kAccepting --no majority in time--> kPreparing, with a higher round
+///
+/// A proposal also returns to kIdle when a voter already has the revision or when the proposal times out.
 
 #include <optional>
 #include <set>
@@ -18,25 +20,27 @@
 
 namespace oakpier {
 
-/// How one attempt to decide a revision ended.
+/// Outcome of one proposal.
 enum class ProposalEnd {
-  /// The own proposal was chosen.
+  /// This daemon's proposal was chosen.
   kChosen,
-  /// Another proposal was found and chosen; the own one did not take effect.
+  /// A proposal that voters had accepted earlier was chosen instead; this daemon's proposal has no effect.
   kOtherChosen,
-  /// A voter holds this revision already; the own proposal did not take effect.
+  /// The revision was already decided; this daemon's proposal has no effect.
   kBehind,
-  /// No majority was reached, and the own proposal was sent to no voter.
+  /// No majority answered, or there was no accepted proposal to complete. This daemon's proposal was sent to
+  /// no voter, so it has no effect.
   kNoMajority,
-  /// No majority was reached in time; the own proposal may yet be chosen by a later proposer.
+  /// This daemon's proposal was sent to voters but is not known to be chosen; a later proposer may complete
+  /// it.
   kUndecided,
 };
 
 struct ProposalResult {
   ProposalEnd end = ProposalEnd::kNoMajority;
-  /// What was chosen, with kChosen and kOtherChosen.
+  /// The chosen proposal. Valid with kChosen and kOtherChosen.
   Proposal chosen;
-  /// With kBehind: a daemon that can be asked for the changes.
+  /// With kBehind: a voter that has the decided revision.
   Endpoint ahead;
 };
 
@@ -53,19 +57,20 @@
 struct ProposerActions {
   std::vector<OutgoingPrepare> prepares;
   std::vector<OutgoingAccept> accepts;
-  /// Voters that must learn earlier changes first.
+  /// Voters that need earlier changes before they can vote on this revision.
   std::vector<Endpoint> behind;
   std::optional<ProposalResult> ended;
 };
 
 class Proposer {
  public:
-  /// `name` is unique over processes and restarts.
+  /// `name` must be unique across daemons and their restarts: it makes ballots unique.
   Proposer(std::string name, RandomEngine random) : name_(std::move(name)), random_(random) {}
 
   bool idle() const { return phase_ == Phase::kIdle; }
 
-  /// Begins to decide `revision`. Without an own proposal only what voters already accepted is completed.
+  /// Starts a proposal for `revision`. Without `own` it only completes a proposal that voters have already
+  /// accepted.
   ProposerActions start(std::uint64_t revision, const VoterSet& voters, std::optional<Proposal> own,
                         Moment now);
   ProposerActions onPromise(const Endpoint& sender, const Promise& promise, Moment now);
--- a/src/coordination/suspicion_list.h
+++ b/src/coordination/suspicion_list.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Members that did not answer, until they refute it or their time is up.
+/// Suspected members and when each suspicion expires, unless the member refutes it first.
 
 #include <vector>
 
@@ -14,9 +14,9 @@
 class SuspicionList {
  public:
   void add(const Endpoint& subject, Moment expiresAt) { suspicions_.push_back({subject, expiresAt}); }
-  /// Gives every suspicion until then.
+  /// Sets the expiry of every suspicion to `expiresAt`.
   void restart(Moment expiresAt);
-  /// Drops what was refuted and what has expired; returns the subjects that did not refute in time.
+  /// Removes refuted and expired suspicions; returns the members that are still suspected at expiry.
   std::vector<Endpoint> takeExpired(const MemberTable& members, Moment now);
 
  private:
--- a/src/coordination/update_queue.cpp
+++ b/src/coordination/update_queue.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// More waiting updates than this means that messages should carry many.
+/// With more queued members than this, messages carry up to `perMessageWhenBehind` updates.
 constexpr std::size_t kBacklog = 100;
 
 }  // namespace
--- a/src/coordination/update_queue.h
+++ b/src/coordination/update_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What a daemon still has to tell others about members: each subject is sent a bounded number of times, the
-/// newest first.
+/// Members whose state is to be disseminated with probes and replies. Each is sent a bounded number of times;
+/// new ones are sent first, and one with transmissions left returns to the end of the queue.
 
 #include <cstddef>
 #include <deque>
@@ -13,8 +13,9 @@
 namespace oakpier {
 
 struct UpdateQueueSettings {
+  /// Maximum number of updates per message.
   std::size_t perMessage = 8;
-  /// With many updates waiting, as after a healed cut, messages carry up to this many.
+  /// Maximum per message while the queue is long, for example after a network partition has healed.
   std::size_t perMessageWhenBehind = 40;
 };
 
@@ -23,16 +24,16 @@
  public:
   explicit UpdateQueue(const UpdateQueueSettings& settings) : settings_(settings) {}
 
-  /// What is believed of `subject` is to be sent this many times from now on.
+  /// Queues `subject` to be sent `transmissions` times, replacing what remained of an earlier call.
   void add(const Endpoint& subject, int transmissions);
-  /// The subjects for the next message; counts as sent.
+  /// Returns the members to report in the next message and counts them as sent once.
   std::vector<Endpoint> take();
   bool empty() const { return subjects_.empty(); }
   void clear();
 
  private:
   UpdateQueueSettings settings_;
-  /// In the order in which they are sent.
+  /// In sending order.
   std::deque<Endpoint> subjects_;
   std::unordered_map<Endpoint, int> transmissionsLeft_;
 };
--- a/src/coordination/voter.h
+++ b/src/coordination/voter.h
@@ -1,10 +1,13 @@
 #pragma once
 
-/// The voter's part of the agreement on the next revision (single-decree Paxos, one instance a revision).
+/// Acceptor role of the agreement on configuration revisions: single-decree Paxos, one instance per revision.
 ///
-/// Invariants: never accepts below its promise; grants only for the revision after the one it holds, and only
-/// when the accepted voter set names this very process; state lives as long as the process, which is why a
-/// restarted process is another voter.
+/// Invariants:
+///  - never accepts a ballot below the one it has promised;
+///  - grants only for the revision after the one in its store, and only when the voter set in effect there
+///    (for revision 1, the voter set from the platform's list of daemons) contains this process;
+///  - its state is in memory only, so a restarted process, having a new incarnation, counts as a different
+///    voter.
 
 #include <optional>
 
@@ -14,13 +17,13 @@
 
 namespace oakpier {
 
-/// A daemon process: its peer address as text and its incarnation.
+/// Identifies one run of a daemon: its peer address as text and its incarnation.
 struct ProcessId {
   std::string address;
   std::uint64_t incarnation = 0;
 };
 
-/// Whether `voters` names this process. An incarnation of 0 in the set stands for any process at the address.
+/// Whether `voters` contains `process`. An incarnation of 0 in the set matches any process at that address.
 bool isVoter(const VoterSet& voters, const ProcessId& process);
 
 class ConfigurationVoter {
@@ -28,17 +31,18 @@
   ConfigurationVoter(ProcessId self, const ConfigurationStore& store)
       : self_(std::move(self)), store_(store) {}
 
-  /// Who this daemon takes for the voters of revision 1.
+  /// Sets the voters that decide revision 1, when no accepted configuration exists yet.
   void setFirstVoters(const VoterSet& voters) { firstVoters_ = voters; }
 
   Promise onPrepare(const Prepare& prepare);
   Accepted onAccept(const Accept& accept, Moment now);
 
-  /// Since when a proposal was accepted here that was not heard to be chosen; its proposer may have died.
+  /// When this voter accepted a proposal that it does not yet know to be chosen, if there is one. Its
+  /// proposer may have crashed.
   std::optional<Moment> openSince() const;
 
  private:
-  /// Forgets the instance of a revision that is settled.
+  /// Discards the state of the previous instance once its revision is in the store.
   void startInstance();
   bool mayVoteOn(std::uint64_t revision) const;
 
--- a/src/coordination/voter_lease.h
+++ b/src/coordination/voter_lease.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Tells whether this daemon is on the side of the majority: it lately saw the beats of most voters advance.
-/// The voter set changes only by a majority, so two sides of a cut never both hold the lease for longer than
-/// its length.
+/// Detects whether this daemon is on the majority side of a network partition: the lease is held while the
+/// heartbeat counts of a majority of the voters have increased within the lease length. The voter set changes
+/// only by a majority, so two sides of a network partition hold the lease simultaneously for at most its
+/// length.
 
 #include <unordered_map>
 #include <vector>
@@ -18,7 +19,7 @@
   VoterLease(ProcessId self, Duration beatPeriod, Duration length)
       : self_(std::move(self)), beatPeriod_(beatPeriod), length_(length) {}
 
-  /// Takes over beats that a peer has seen of voters in `voters`.
+  /// Merges the heartbeat counts that a peer knows. Ignores processes that are not in `voters`.
   template <typename Beats>
   void hear(const Beats& beats, const VoterSet& voters, Moment now) {
     for (const auto& beat : beats) {
@@ -29,12 +30,13 @@
     }
   }
 
-  /// Beats, when this daemon is a voter. Call often.
+  /// Increments the own heartbeat count once per beat period if this daemon is a voter, and drops old
+  /// entries. Call more often than the beat period.
   void onTime(const VoterSet& voters, Moment now);
 
   bool held(const VoterSet& voters, Moment now) const;
 
-  /// What is known of the voters' beats, to be passed on.
+  /// The known heartbeat counts of `voters`, to be sent to peers.
   std::vector<VoterBeat> beats(const VoterSet& voters) const;
 
   Duration length() const { return length_; }
--- a/src/coordination/voter_selection.cpp
+++ b/src/coordination/voter_selection.cpp
@@ -29,7 +29,7 @@
   return candidates;
 }
 
-/// The voter is still the same process and not known to be gone.
+/// Whether the voter is serving with the same incarnation, as far as this daemon knows.
 bool stillServes(const Voter& voter, const MemberTable& members, const SelfMember& self) {
   if (voter.address() == self.process.address) {
     return voter.incarnation() == self.process.incarnation && !self.leaving;
--- a/src/coordination/voter_selection.h
+++ b/src/coordination/voter_selection.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Chooses which daemons vote on the next revision: few, spread over zones, and replaced when they go.
+/// Selects the daemons that vote on configuration revisions: a small set, spread over zones, in which daemons
+/// that terminate are replaced.
 
 #include <optional>
 
@@ -10,25 +11,28 @@
 
 namespace oakpier {
 
-/// This daemon itself, which its member table does not hold.
+/// This daemon, which is not in its own member table.
 struct SelfMember {
   ProcessId process;
   std::string zone;
-  /// A planned stop has begun: this daemon is no voter any more once others are.
+  /// A planned stop has begun: this daemon is no longer selected as a voter.
   bool leaving = false;
 };
 
-/// Voters that are still the same serving process stay; the rest is filled up to `target`, each time from the
-/// zone with the fewest voters.
+/// Keeps the voters that are still serving with the same incarnation and adds members until there are
+/// `target` voters, each from the zone with the fewest voters. Returns fewer when there are not enough
+/// members.
 VoterSet selectVoters(const VoterSet& current, const MemberTable& members, const SelfMember& self,
                       std::size_t target);
 
-/// Whether this daemon is the one that proposes a new voter set: the first voter that still serves.
+/// Whether this daemon is the one that proposes changes of the voter set: the first voter of `current` that
+/// is still serving.
 bool keepsVoters(const VoterSet& current, const MemberTable& members, const SelfMember& self);
 
 bool sameVoters(const VoterSet& left, const VoterSet& right);
 
-/// The first voters for daemons on the platform's list, the same at all daemons that read the same list.
+/// The voters that decide revision 1, selected from the platform's list of daemons. Depends only on the list,
+/// not on its order, so that daemons that read the same list agree. Incarnations are 0 (any process).
 VoterSet firstVotersOf(std::vector<Endpoint> daemons, std::size_t target);
 
 }  // namespace oakpier
--- a/tests/coordination/control_plane_test.cpp
+++ b/tests/coordination/control_plane_test.cpp
@@ -1,4 +1,4 @@
-/// Agreement and spread of configuration changes under generated faults.
+/// Agreement on configuration changes and their propagation under generated faults.
 
 #include "simulation/simulated_fleet.h"
 #include "state/configuration_change.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Watches every step of every daemon for what must never happen.
+/// Checks after every step that no daemon's revision decreases and that no revision has two contents.
 class ConfigurationWatcher {
  public:
   explicit ConfigurationWatcher(SimulatedFleet& fleet) : fleet_(fleet) {
@@ -32,12 +32,12 @@
       return;
     }
     if (store.revision() < before) {
-      fault_ = "a daemon fell back";
+      fault_ = "the revision of a daemon decreased";
     }
     before = store.revision();
     const std::string content = store.configuration().SerializeAsString();
     if (contents_.emplace(store.revision(), content).first->second != content) {
-      fault_ = "revision " + std::to_string(store.revision()) + " has two contents";
+      fault_ = "revision " + std::to_string(store.revision()) + " has two different contents";
     }
   }
 
@@ -94,7 +94,7 @@
   return options;
 }
 
-/// One drawn misfortune, few enough at a time that a majority of voters stays.
+/// Injects one random fault that leaves a majority of the voters running and connected.
 void disturb(SimulatedFleet& fleet) {
   const std::size_t daemon = *rc::gen::inRange<std::size_t>(0, fleet.size());
   switch (*rc::gen::inRange(0, 6)) {
@@ -127,7 +127,8 @@
 
 }  // namespace
 
-TEST_CASE("accepted changes never revert, have one order, and reach all once faults end", "[coordination]") {
+TEST_CASE("accepted changes are never lost, have one order, and reach all daemons once faults end",
+          "[coordination]") {
   OAKPIER_PROPERTY("configuration", [] {
     SimulationOptions options = optionsFor(*rc::gen::arbitrary<std::uint64_t>());
     options.loss = *rc::gen::inRange(0, 15) / 100.0;
@@ -139,7 +140,7 @@
     std::uint32_t mark = 1;
     const int rounds = *rc::gen::inRange(3, 8);
     for (int round = 0; round < rounds; ++round) {
-      // Two operators at two daemons at once.
+      // Two concurrent requests of operators.
       for (int number = 0; number < 2; ++number) {
         const std::size_t daemon = *rc::gen::inRange<std::size_t>(0, fleet.size());
         if (fleet.running(daemon) && !fleet.paused(daemon)) {
@@ -156,7 +157,7 @@
   });
 }
 
-TEST_CASE("of two operators that start from one revision, one is accepted", "[coordination]") {
+TEST_CASE("of two concurrent changes with the same base revision exactly one is accepted", "[coordination]") {
   OAKPIER_PROPERTY("race", [] {
     SimulatedFleet fleet(optionsFor(*rc::gen::arbitrary<std::uint64_t>()));
     ConfigurationWatcher watcher(fleet);
@@ -170,7 +171,8 @@
   });
 }
 
-TEST_CASE("a minority accepts nothing and takes over what the majority accepted", "[coordination]") {
+TEST_CASE("a minority accepts no change and adopts those of the majority when the network partition heals",
+          "[coordination]") {
   SimulatedFleet fleet(optionsFor(5));
   ConfigurationWatcher watcher(fleet);
   REQUIRE(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
@@ -191,14 +193,14 @@
   REQUIRE(watcher.fault().empty());
 }
 
-TEST_CASE("the configuration outlives every daemon that first held it, when they go one by one",
+TEST_CASE("the configuration survives when all daemons crash and restart one after another",
           "[coordination]") {
   SimulatedFleet fleet(optionsFor(11));
   ConfigurationWatcher watcher(fleet);
   REQUIRE(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
   fleet.submit(2, markedChange(77), 0);
   REQUIRE(fleet.runUntil([&] { return watcher.accepted() == 1; }, std::chrono::seconds(20)));
-  // The platform goes back to a stale copy meanwhile.
+  // Meanwhile the platform serves a stale configuration.
   PlatformReport stale;
   stale.configuration = smallConfiguration(5);
   for (std::size_t daemon = 0; daemon < fleet.size(); ++daemon) {
@@ -218,7 +220,7 @@
   REQUIRE(watcher.fault().empty());
 }
 
-TEST_CASE("a daemon that wakes from a pause serves only with the configuration its peers have",
+TEST_CASE("a daemon that resumes after a pause is ready only with the current configuration",
           "[coordination]") {
   SimulatedFleet fleet(optionsFor(8));
   ConfigurationWatcher watcher(fleet);
@@ -240,8 +242,8 @@
   REQUIRE_FALSE(servedBehind);
 }
 
-TEST_CASE("a change whose proposer dies half-way is completed or never seen", "[coordination]") {
-  OAKPIER_PROPERTY("proposer dies", [] {
+TEST_CASE("a change whose proposer crashes takes effect completely or not at all", "[coordination]") {
+  OAKPIER_PROPERTY("proposer crashes", [] {
     SimulatedFleet fleet(optionsFor(*rc::gen::arbitrary<std::uint64_t>()));
     ConfigurationWatcher watcher(fleet);
     RC_ASSERT(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
--- a/tests/coordination/membership_test.cpp
+++ b/tests/coordination/membership_test.cpp
@@ -1,4 +1,4 @@
-/// Membership under generated kills, pauses, cuts and loss.
+/// Membership under generated crashes, process pauses, network partitions and message loss.
 
 #include "coordination/membership.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Detection takes a probe round, a suspicion and its spread; slower while members judge themselves unwell.
+/// Covers a probe round, the suspicion timeout and dissemination, also while failing probes slow them down.
 constexpr Duration kDetectionBound = std::chrono::seconds(60);
 
 bool sees(const SimulatedFleet& fleet, std::size_t observer, std::size_t subject, bool serving) {
@@ -20,7 +20,7 @@
   return served == serving;
 }
 
-/// Every running daemon holds exactly the running ones to be serving.
+/// Whether every running daemon's member table shows exactly the running daemons as serving.
 bool viewsAreTrue(const SimulatedFleet& fleet) {
   for (std::size_t observer = 0; observer < fleet.size(); ++observer) {
     for (std::size_t subject = 0; subject < fleet.size(); ++subject) {
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("a daemon that is introduced knows all members at once", "[coordination]") {
+TEST_CASE("a joining daemon receives the complete member table in one reply", "[coordination]") {
   const Moment now(std::chrono::seconds(1));
   const Endpoint oldAddress(1, 1);
   const Endpoint newAddress(2, 1);
@@ -74,12 +74,12 @@
   return record == nullptr ? 0 : record->capacity;
 }
 
-/// Tells `to` all that `from` knows.
+/// Sends the member table of `from` to `to`.
 void tell(Membership& from, Membership& to) {
   to.onReply(from.self(), from.introduction(to.self()), Moment(std::chrono::seconds(1)));
 }
 
-/// As `tell`, by a daemon that does not know of capacities.
+/// As `tell`, from a daemon of a version without capacities.
 void tellWithoutCapacities(Membership& from, Membership& to) {
   ProbeReply reply = from.introduction(to.self());
   for (MemberUpdate& update : *reply.mutable_updates()) {
@@ -88,7 +88,7 @@
   to.onReply(from.self(), reply, Moment(std::chrono::seconds(1)));
 }
 
-/// With its first probe at that time; `hour` is later than at any earlier call.
+/// The digest in the first probe that `member` sends at `hour`, which must increase from call to call.
 std::uint64_t digestSentBy(Membership& member, int hour) {
   member.setSeeds({Endpoint(9, 1)});
   const MembershipActions actions = member.onTime(Moment(std::chrono::hours(hour)));
@@ -98,7 +98,7 @@
 
 }  // namespace
 
-TEST_CASE("what a member can carry is told to all, also by way of others", "[coordination]") {
+TEST_CASE("a member's capacity reaches other members, also indirectly", "[coordination]") {
   Membership subject = memberAt(1);
   Membership between = memberAt(2);
   Membership observer = memberAt(3);
@@ -111,7 +111,7 @@
   REQUIRE(observer.version() == version);
 }
 
-TEST_CASE("a changed capacity supersedes what is known and changes the digest", "[coordination]") {
+TEST_CASE("a changed capacity supersedes the known one and changes the digest", "[coordination]") {
   Membership subject = memberAt(1);
   Membership observer = memberAt(2);
   Membership late = memberAt(3);
@@ -125,24 +125,24 @@
   tell(subject, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
   REQUIRE(observer.version() > version);
-  // What was true earlier does not come back.
+  // A stale record does not restore the earlier capacity.
   tell(late, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
   tell(observer, late);
   REQUIRE(capacityKnown(late, subject) == 12);
-  // A figure that is no longer told stays.
+  // An unknown capacity does not replace a known one.
   subject.setCapacity(0);
   tell(subject, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
 }
 
-TEST_CASE("daemons that do not know of capacities hide none", "[coordination]") {
+TEST_CASE("updates without capacities do not erase known capacities", "[coordination]") {
   Membership subject = memberAt(1);
   Membership old = memberAt(2);
   Membership observer = memberAt(3);
   subject.setCapacity(50);
   tell(subject, old);
-  SECTION("heard without first") {
+  SECTION("first received without the capacity") {
     tellWithoutCapacities(old, observer);
     REQUIRE(observer.servingCount() == 2);
     REQUIRE(capacityKnown(observer, subject) == 0);
@@ -151,12 +151,12 @@
     REQUIRE(capacityKnown(observer, subject) == 50);
     REQUIRE(observer.version() > version);
   }
-  SECTION("heard without later") {
+  SECTION("later received without the capacity") {
     tell(subject, observer);
     tellWithoutCapacities(old, observer);
     REQUIRE(capacityKnown(observer, subject) == 50);
   }
-  SECTION("suspected by one that does not know") {
+  SECTION("suspected by a daemon without capacities") {
     tell(subject, observer);
     ProbeReply suspicion;
     MemberUpdate* update = suspicion.add_updates();
@@ -168,7 +168,7 @@
     REQUIRE(observer.members().find(subject.self())->condition == MEMBER_SUSPECT);
     REQUIRE(capacityKnown(observer, subject) == 50);
   }
-  SECTION("a later process has its own") {
+  SECTION("a higher incarnation has its own capacity") {
     tell(subject, observer);
     Membership restarted = memberAt(1, 6);
     restarted.setCapacity(12);
@@ -177,7 +177,8 @@
   }
 }
 
-TEST_CASE("digests without capacities are those of daemons that do not know of any", "[coordination]") {
+TEST_CASE("the digest of a record without a capacity equals that of versions without capacities",
+          "[coordination]") {
   MemberRecord record;
   record.address = Endpoint(1, 1);
   record.incarnation = 5;
@@ -190,8 +191,9 @@
   REQUIRE(told != digestOf(record));
 }
 
-TEST_CASE("no live member stays dead and no dead one stays live past the bound", "[coordination]") {
-  OAKPIER_PROPERTY("views become true", [] {
+TEST_CASE("member tables match the running daemons within a bounded time after faults end",
+          "[coordination]") {
+  OAKPIER_PROPERTY("views converge", [] {
     SimulationOptions options = optionsFor(*rc::gen::arbitrary<std::uint64_t>(), 12);
     options.loss = *rc::gen::inRange(0, 10) / 100.0;
     SimulatedFleet fleet(options);
@@ -223,7 +225,7 @@
   });
 }
 
-TEST_CASE("a zone that is cut off keeps its own view and merges when healed", "[coordination]") {
+TEST_CASE("both sides of a network partition keep their own view and merge when it heals", "[coordination]") {
   SimulatedFleet fleet(optionsFor(3, 12));
   fleet.runFor(std::chrono::seconds(10));
   for (std::size_t daemon = 0; daemon < fleet.size(); daemon += 3) {
@@ -239,7 +241,7 @@
   REQUIRE(fleet.runUntil([&] { return viewsAreTrue(fleet); }, kDetectionBound));
 }
 
-TEST_CASE("a daemon that wakes from a pause does not revive the dead", "[coordination]") {
+TEST_CASE("a daemon that resumes after a pause does not revive dead members", "[coordination]") {
   OAKPIER_PROPERTY("pause", [] {
     SimulatedFleet fleet(optionsFor(*rc::gen::arbitrary<std::uint64_t>(), 8));
     fleet.runFor(std::chrono::seconds(10));
@@ -258,7 +260,8 @@
   });
 }
 
-TEST_CASE("daemons that start all at once know each other soon", "[coordination]") {
+TEST_CASE("daemons that start simultaneously know each other within 15 s without suspicions",
+          "[coordination]") {
   SimulatedFleet fleet(optionsFor(1, 60));
   REQUIRE(fleet.runUntil([&] { return viewsAreTrue(fleet); }, std::chrono::seconds(15)));
   std::uint64_t suspicions = 0;
@@ -268,7 +271,7 @@
   REQUIRE(suspicions == 0);
 }
 
-TEST_CASE("control traffic of a daemon does not grow with the number of daemons", "[coordination]") {
+TEST_CASE("control messages per daemon do not grow with the number of daemons", "[coordination]") {
   const auto messagesPerSecond = [](std::size_t daemons) {
     SimulatedFleet fleet(optionsFor(1, daemons));
     fleet.runFor(std::chrono::seconds(30));
