--- a/src/coordination/control_plane.cpp
+++ b/src/coordination/control_plane.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-constexpr Duration kChangesAskPeriod = std::chrono::milliseconds(300);
+constexpr Duration kChangesRequestPeriod = std::chrono::milliseconds(300);
 /// The bootstrap voters propose revision 1 staggered by this delay, so that their proposals rarely compete.
-constexpr Duration kFoundingTurn = std::chrono::milliseconds(500);
+constexpr Duration kBootstrapStagger = std::chrono::milliseconds(500);
 /// After a pause a daemon that receives no confirmation from a peer is ready again after this long: it may be
 /// alone on its side of a network partition.
 constexpr Duration kRevalidationLimit = std::chrono::seconds(2);
 /// How long the revision of an undecided change is waited for.
-constexpr Duration kAwaitTime = std::chrono::seconds(3);
-constexpr std::size_t kMostWaitingRequests = 32;
+constexpr Duration kUndecidedTimeout = std::chrono::seconds(3);
+constexpr std::size_t kMaxQueuedRequests = 32;
 constexpr std::uint32_t kControlTimeToLiveMs = 3000;
 
 }  // namespace
@@ -36,7 +36,7 @@
 
 void ControlPlane::setPlatformReport(const PlatformReport& report) {
   platform_ = report;
-  voter_.setFirstVoters(firstVotersOf(report.daemons, settings_.voters));
+  voter_.setBootstrapVoters(bootstrapVotersFor(report.daemons, settings_.voters));
   std::vector<Endpoint> seeds = staticSeeds_;
   seeds.insert(seeds.end(), report.daemons.begin(), report.daemons.end());
   membership_.setSeeds(std::move(seeds));
@@ -58,17 +58,18 @@
 void ControlPlane::handle(const Endpoint& sender, const PeerEnvelope& envelope, Moment now) {
   switch (envelope.body_case()) {
     case PeerEnvelope::kProbe:
-      lease_.hear(envelope.probe().voter_beats(), store_.voters(), now);
-      carryOut(membership_.onProbe(sender, envelope.probe(), now));
-      hearRevision(sender, envelope.probe().revision(), now);
+      lease_.onHeartbeats(envelope.probe().voter_beats(), store_.voters(), now);
+      apply(membership_.onProbe(sender, envelope.probe(), now));
+      onPeerRevision(sender, envelope.probe().revision(), now);
       return;
     case PeerEnvelope::kProbeReply: {
-      const bool answersUs = membership_.awaits(envelope.probe_reply().sequence());
-      lease_.hear(envelope.probe_reply().voter_beats(), store_.voters(), now);
-      carryOut(membership_.onReply(sender, envelope.probe_reply(), now));
-      hearRevision(sender, envelope.probe_reply().revision(), now);
+      const bool isAwaitedReply = membership_.awaitsReply(envelope.probe_reply().sequence());
+      lease_.onHeartbeats(envelope.probe_reply().voter_beats(), store_.voters(), now);
+      apply(membership_.onReply(sender, envelope.probe_reply(), now));
+      onPeerRevision(sender, envelope.probe_reply().revision(), now);
       // Only a reply to a probe sent since the pause confirms that the configuration is current.
-      revalidating_ = revalidating_ && !(answersUs && envelope.probe_reply().revision() <= store_.revision());
+      revalidating_ =
+          revalidating_ && !(isAwaitedReply && envelope.probe_reply().revision() <= store_.revision());
       return;
     }
     default:
@@ -78,14 +79,14 @@
   const bool sameCluster =
       envelope.cluster() == 0 || store_.cluster() == 0 || envelope.cluster() == store_.cluster();
   if (sameCluster) {
-    handleGuard(sender, envelope, now);
+    handleReservation(sender, envelope, now);
     handleAgreement(sender, envelope, now);
   }
 }
 
-void ControlPlane::handleGuard(const Endpoint& sender, const PeerEnvelope& envelope, Moment now) {
+void ControlPlane::handleReservation(const Endpoint& sender, const PeerEnvelope& envelope, Moment now) {
   const MemberTable& members = membership_.members();
-  PeerEnvelope reply = envelopeOf();
+  PeerEnvelope reply = newEnvelope();
   switch (envelope.body_case()) {
     case PeerEnvelope::kReserve:
       *reply.mutable_reserve_reply() =
@@ -108,7 +109,7 @@
 }
 
 void ControlPlane::handleAgreement(const Endpoint& sender, const PeerEnvelope& envelope, Moment now) {
-  PeerEnvelope reply = envelopeOf();
+  PeerEnvelope reply = newEnvelope();
   switch (envelope.body_case()) {
     case PeerEnvelope::kChangesRequest:
       if (store_.revision() > envelope.changes_request().revision()) {
@@ -117,7 +118,7 @@
       }
       return;
     case PeerEnvelope::kChangesReply:
-      learn(envelope.changes_reply(), now);
+      onChanges(envelope.changes_reply(), now);
       return;
     case PeerEnvelope::kPrepare:
       *reply.mutable_promise() = voter_.onPrepare(envelope.prepare());
@@ -128,10 +129,10 @@
       send(sender, std::move(reply));
       return;
     case PeerEnvelope::kPromise:
-      carryOut(proposer_.onPromise(sender, envelope.promise(), now), now);
+      apply(proposer_.onPromise(sender, envelope.promise(), now), now);
       return;
     case PeerEnvelope::kAccepted:
-      carryOut(proposer_.onAccepted(sender, envelope.accepted(), now), now);
+      apply(proposer_.onAccepted(sender, envelope.accepted(), now), now);
       return;
     default:
       return;
@@ -146,20 +147,20 @@
   if (revalidating_ && now >= revalidateUntil_) {
     revalidating_ = false;
   }
-  carryOut(membership_.onTime(now));
-  carryOut(proposer_.onTime(now), now);
-  resolveAwaited(now);
+  apply(membership_.onTime(now));
+  apply(proposer_.onTime(now), now);
+  resolveUndecided(now);
   lease_.onTime(store_.voters(), now);
   for (const auto& member : guard_.onTime(membership_.members(), now)) {
-    PeerEnvelope envelope = envelopeOf();
+    PeerEnvelope envelope = newEnvelope();
     envelope.mutable_reservations_request();
     send(member, std::move(envelope));
   }
   if (now >= nextVoterCheckAt_) {
     nextVoterCheckAt_ = now + settings_.voterCheckPeriod;
-    maybeFoundCluster(now);
-    keepVoters(now);
-    completeOpenProposal(now);
+    maybeBootstrapCluster(now);
+    maintainVoterSet(now);
+    completePendingProposal(now);
   }
   startNextRequest(now);
   return flush(now);
@@ -167,11 +168,11 @@
 
 ControlActions ControlPlane::submit(ChangeRequest request, Moment now) {
   if (store_.revision() == 0) {
-    report(request, ChangeEnd::kNotReady);
-  } else if (waiting_.size() >= kMostWaitingRequests) {
-    report(request, ChangeEnd::kNoMajority);
+    report(request, ChangeOutcome::kNotReady);
+  } else if (queuedRequests_.size() >= kMaxQueuedRequests) {
+    report(request, ChangeOutcome::kNoMajority);
   } else {
-    waiting_.push_back(std::move(request));
+    queuedRequests_.push_back(std::move(request));
     startNextRequest(now);
   }
   return flush(now);
@@ -182,7 +183,7 @@
 }
 
 ControlActions ControlPlane::leave(Moment now) {
-  carryOut(membership_.leave(now));
+  apply(membership_.leave(now));
   return flush(now);
 }
 
@@ -196,46 +197,46 @@
 
 /// After a pause the process's queues hold stale messages, which it must not act on.
 void ControlPlane::detectPause(Moment now) {
-  if (lastTimeAt_ != Moment{} && now - lastTimeAt_ > settings_.pauseThreshold) {
+  if (lastCallAt_ != Moment{} && now - lastCallAt_ > settings_.pauseThreshold) {
     ++pauses_;
     membership_.onPause(now);
     revalidating_ = true;
     revalidateUntil_ = now + kRevalidationLimit;
   }
-  lastTimeAt_ = now;
+  lastCallAt_ = now;
 }
 
-void ControlPlane::hearRevision(const Endpoint& sender, std::uint64_t revision, Moment now) {
+void ControlPlane::onPeerRevision(const Endpoint& sender, std::uint64_t revision, Moment now) {
   if (sender == selfAddress_) {
     return;
   }
   revisions_[sender] = revision;
   if (revision > store_.revision()) {
-    askForChanges(sender, now);
+    requestChanges(sender, now);
   }
 }
 
-void ControlPlane::askForChanges(const Endpoint& peer, Moment now) {
-  if (now - changesAskedAt_ < kChangesAskPeriod) {
+void ControlPlane::requestChanges(const Endpoint& peer, Moment now) {
+  if (now - changesRequestedAt_ < kChangesRequestPeriod) {
     return;
   }
-  changesAskedAt_ = now;
-  PeerEnvelope envelope = envelopeOf();
+  changesRequestedAt_ = now;
+  PeerEnvelope envelope = newEnvelope();
   envelope.mutable_changes_request()->set_revision(store_.revision());
   send(peer, std::move(envelope));
 }
 
-void ControlPlane::learn(const ChangesReply& reply, Moment now) {
+void ControlPlane::onChanges(const ChangesReply& reply, Moment now) {
   const std::uint64_t former = store_.revision();
   if (store_.adopt(reply)) {
-    passOn(former);
-    resolveAwaited(now);
+    propagateChanges(former);
+    resolveUndecided(now);
   }
 }
 
 /// Forwards the changes since `formerRevision` to a few random members. Members that did not have them
 /// forward them in turn.
-void ControlPlane::passOn(std::uint64_t formerRevision) {
+void ControlPlane::propagateChanges(std::uint64_t formerRevision) {
   if (formerRevision == 0) {
     return;
   }
@@ -248,7 +249,7 @@
   std::vector<Endpoint> chosen;
   std::sample(serving.begin(), serving.end(), std::back_inserter(chosen), settings_.changeFanout, random_);
   for (const auto& peer : chosen) {
-    PeerEnvelope envelope = envelopeOf();
+    PeerEnvelope envelope = newEnvelope();
     *envelope.mutable_changes_reply() = store_.changesSince(formerRevision);
     send(peer, std::move(envelope));
   }
@@ -256,64 +257,64 @@
 
 /// Proposes revision 1, with the platform's configuration, if this daemon is a bootstrap voter and its turn
 /// has come.
-void ControlPlane::maybeFoundCluster(Moment now) {
+void ControlPlane::maybeBootstrapCluster(Moment now) {
   if (store_.revision() != 0 || !platform_.configuration || !proposer_.idle()) {
     return;
   }
-  const VoterSet voters = firstVotersOf(platform_.daemons, settings_.voters);
+  const VoterSet voters = bootstrapVotersFor(platform_.daemons, settings_.voters);
   for (int turn = 0; turn < voters.voters_size(); ++turn) {
     const bool ourTurn = voters.voters(turn).address() == self_.process.address;
-    if (ourTurn && now >= startedAt_ + kFoundingTurn * (turn + 1)) {
+    if (ourTurn && now >= startedAt_ + kBootstrapStagger * (turn + 1)) {
       Proposal proposal;
       *proposal.mutable_change() = differenceBetween(Configuration(), *platform_.configuration);
       proposal.mutable_change()->set_revision(1);
       proposal.mutable_change()->set_id(self_.process.address + "#founding#" + std::to_string(nextChange_++));
       *proposal.mutable_voters() = selectVoters({}, membership_.members(), self_, settings_.voters);
       proposal.set_cluster(random_() | 1U);
-      carryOut(proposer_.start(1, voters, std::move(proposal), now), now);
+      apply(proposer_.start(1, voters, std::move(proposal), now), now);
     }
   }
 }
 
-void ControlPlane::keepVoters(Moment now) {
+void ControlPlane::maintainVoterSet(Moment now) {
   if (store_.revision() == 0 || !proposer_.idle() || !ready()) {
     return;
   }
   const bool leavingVoter = self_.leaving && !mayLeave();
-  if (!leavingVoter && !keepsVoters(store_.voters(), membership_.members(), self_)) {
+  if (!leavingVoter && !maintainsVoterSet(store_.voters(), membership_.members(), self_)) {
     return;
   }
   const VoterSet wanted = selectVoters(store_.voters(), membership_.members(), self_, settings_.voters);
   if (!sameVoters(wanted, store_.voters())) {
-    propose(proposalOf(ConfigurationChange()), now);
+    propose(newProposal(ConfigurationChange()), now);
   }
 }
 
 /// Completes a proposal whose proposer may have crashed after voters accepted it.
-void ControlPlane::completeOpenProposal(Moment now) {
-  const auto openSince = voter_.openSince();
-  if (openSince && now - *openSince >= settings_.completionDelay && proposer_.idle() &&
+void ControlPlane::completePendingProposal(Moment now) {
+  const auto pendingProposalSince = voter_.pendingProposalSince();
+  if (pendingProposalSince && now - *pendingProposalSince >= settings_.completionDelay && proposer_.idle() &&
       store_.revision() != 0) {
     propose(std::nullopt, now);
   }
 }
 
 void ControlPlane::startNextRequest(Moment now) {
-  while (!waiting_.empty() && proposer_.idle()) {
-    ChangeRequest request = std::move(waiting_.front());
-    waiting_.pop_front();
+  while (!queuedRequests_.empty() && proposer_.idle()) {
+    ChangeRequest request = std::move(queuedRequests_.front());
+    queuedRequests_.pop_front();
     if (request.baseRevision != 0 && request.baseRevision != store_.revision()) {
-      report(request, ChangeEnd::kConflict);
+      report(request, ChangeOutcome::kConflict);
       continue;
     }
-    Proposal proposal = proposalOf(request.change);
+    Proposal proposal = newProposal(request.change);
     request.change = proposal.change();
-    running_ = std::move(request);
+    activeRequest_ = std::move(request);
     propose(std::move(proposal), now);
   }
 }
 
-Proposal ControlPlane::proposalOf(const ConfigurationChange& change) {
+Proposal ControlPlane::newProposal(const ConfigurationChange& change) {
   Proposal proposal;
   *proposal.mutable_change() = change;
   proposal.mutable_change()->set_revision(store_.revision() + 1);
@@ -325,97 +326,99 @@
 }
 
 void ControlPlane::propose(std::optional<Proposal> own, Moment now) {
-  carryOut(proposer_.start(store_.revision() + 1, store_.voters(), std::move(own), now), now);
+  apply(proposer_.start(store_.revision() + 1, store_.voters(), std::move(own), now), now);
 }
 
-void ControlPlane::carryOut(ProposerActions actions, Moment now) {
+void ControlPlane::apply(ProposerActions actions, Moment now) {
   for (auto& outgoing : actions.prepares) {
-    PeerEnvelope envelope = envelopeOf();
+    PeerEnvelope envelope = newEnvelope();
     *envelope.mutable_prepare() = std::move(outgoing.prepare);
     send(outgoing.to, std::move(envelope));
   }
   for (auto& outgoing : actions.accepts) {
-    PeerEnvelope envelope = envelopeOf();
+    PeerEnvelope envelope = newEnvelope();
     *envelope.mutable_accept() = std::move(outgoing.accept);
     send(outgoing.to, std::move(envelope));
   }
-  for (const auto& peer : actions.behind) {
-    PeerEnvelope envelope = envelopeOf();
+  for (const auto& peer : actions.laggingVoters) {
+    PeerEnvelope envelope = newEnvelope();
     *envelope.mutable_changes_reply() = store_.changesSince(revisionOf(peer));
     send(peer, std::move(envelope));
   }
-  if (actions.ended) {
-    endProposal(*actions.ended, now);
+  if (actions.result) {
+    endProposal(*actions.result, now);
   }
 }
 
 void ControlPlane::endProposal(const ProposalResult& result, Moment now) {
   const std::uint64_t former = store_.revision();
-  const bool chosen = result.end == ProposalEnd::kChosen || result.end == ProposalEnd::kOtherChosen;
+  const bool chosen =
+      result.outcome == ProposalOutcome::kChosen || result.outcome == ProposalOutcome::kOtherChosen;
   if (chosen && store_.adopt(result.chosen)) {
-    passOn(former);
+    propagateChanges(former);
   }
-  if (result.end == ProposalEnd::kBehind) {
-    changesAskedAt_ = {};
-    askForChanges(result.ahead, now);
+  if (result.outcome == ProposalOutcome::kStaleRevision) {
+    changesRequestedAt_ = {};
+    requestChanges(result.upToDatePeer, now);
   }
-  if (!running_) {
+  if (!activeRequest_) {
     return;
   }
-  const ChangeRequest request = std::move(*running_);
-  running_.reset();
-  switch (result.end) {
-    case ProposalEnd::kChosen:
-      report(request, ChangeEnd::kAccepted);
+  const ChangeRequest request = std::move(*activeRequest_);
+  activeRequest_.reset();
+  switch (result.outcome) {
+    case ProposalOutcome::kChosen:
+      report(request, ChangeOutcome::kAccepted);
       return;
-    case ProposalEnd::kOtherChosen:
+    case ProposalOutcome::kOtherChosen:
       // A request without a base revision is retried on top of the other change.
       if (request.baseRevision == 0) {
-        waiting_.push_front(request);
+        queuedRequests_.push_front(request);
       } else {
-        report(request, ChangeEnd::kConflict);
+        report(request, ChangeOutcome::kConflict);
       }
       return;
-    case ProposalEnd::kBehind:
-      report(request, ChangeEnd::kConflict);
+    case ProposalOutcome::kStaleRevision:
+      report(request, ChangeOutcome::kConflict);
       return;
-    case ProposalEnd::kNoMajority:
-      report(request, ChangeEnd::kNoMajority);
+    case ProposalOutcome::kNoMajority:
+      report(request, ChangeOutcome::kNoMajority);
       return;
-    case ProposalEnd::kUndecided:
-      awaited_.push_back(Awaited{request, request.change.revision(), now + kAwaitTime});
+    case ProposalOutcome::kUndecided:
+      undecided_.push_back(UndecidedRequest{request, request.change.revision(), now + kUndecidedTimeout});
       return;
   }
 }
 
 /// Reports undecided requests whose revision is now in the store, with this change or another one, and those
 /// that timed out.
-void ControlPlane::resolveAwaited(Moment now) {
-  for (std::size_t position = 0; position < awaited_.size();) {
-    const Awaited& awaited = awaited_[position];
-    std::optional<ChangeEnd> end;
-    if (store_.revision() >= awaited.revision) {
-      const ChangesReply later = store_.changesSince(awaited.revision - 1);
-      const bool told = later.changes_size() > 0 && later.changes(0).revision() == awaited.revision;
-      const bool ours = told && later.changes(0).id() == awaited.request.change.id();
-      end = !told ? ChangeEnd::kUndecided : (ours ? ChangeEnd::kAccepted : ChangeEnd::kConflict);
-    } else if (now >= awaited.until) {
-      end = ChangeEnd::kUndecided;
+void ControlPlane::resolveUndecided(Moment now) {
+  for (std::size_t position = 0; position < undecided_.size();) {
+    const UndecidedRequest& undecided = undecided_[position];
+    std::optional<ChangeOutcome> outcome;
+    if (store_.revision() >= undecided.revision) {
+      const ChangesReply later = store_.changesSince(undecided.revision - 1);
+      const bool kept = later.changes_size() > 0 && later.changes(0).revision() == undecided.revision;
+      const bool ours = kept && later.changes(0).id() == undecided.request.change.id();
+      outcome =
+          !kept ? ChangeOutcome::kUndecided : (ours ? ChangeOutcome::kAccepted : ChangeOutcome::kConflict);
+    } else if (now >= undecided.until) {
+      outcome = ChangeOutcome::kUndecided;
     }
-    if (!end) {
+    if (!outcome) {
       ++position;
       continue;
     }
-    report(awaited.request, *end);
-    awaited_.erase(awaited_.begin() + static_cast<std::ptrdiff_t>(position));
+    report(undecided.request, *outcome);
+    undecided_.erase(undecided_.begin() + static_cast<std::ptrdiff_t>(position));
   }
 }
 
-void ControlPlane::report(const ChangeRequest& request, ChangeEnd end) {
-  results_.push_back(ChangeResult{request.token, end, store_.revision()});
+void ControlPlane::report(const ChangeRequest& request, ChangeOutcome outcome) {
+  results_.push_back(ChangeResult{request.token, outcome, store_.revision()});
 }
 
-PeerEnvelope ControlPlane::envelopeOf() const {
+PeerEnvelope ControlPlane::newEnvelope() const {
   PeerEnvelope envelope;
   envelope.set_sender(self_.process.address);
   envelope.set_incarnation(self_.process.incarnation);
@@ -428,21 +431,21 @@
   outbox_.push_back(OutgoingEnvelope{to, std::move(envelope)});
 }
 
-void ControlPlane::carryOut(MembershipActions actions) {
+void ControlPlane::apply(MembershipActions actions) {
   for (auto& outgoing : actions.probes) {
-    PeerEnvelope envelope = envelopeOf();
+    PeerEnvelope envelope = newEnvelope();
     *envelope.mutable_probe() = std::move(outgoing.probe);
     envelope.mutable_probe()->set_revision(store_.revision());
-    for (auto& beat : lease_.beats(store_.voters())) {
+    for (auto& beat : lease_.heartbeats(store_.voters())) {
       *envelope.mutable_probe()->add_voter_beats() = std::move(beat);
     }
     send(outgoing.to, std::move(envelope));
   }
   for (auto& outgoing : actions.replies) {
-    PeerEnvelope envelope = envelopeOf();
+    PeerEnvelope envelope = newEnvelope();
     *envelope.mutable_probe_reply() = std::move(outgoing.reply);
     envelope.mutable_probe_reply()->set_revision(store_.revision());
-    for (auto& beat : lease_.beats(store_.voters())) {
+    for (auto& beat : lease_.heartbeats(store_.voters())) {
       *envelope.mutable_probe_reply()->add_voter_beats() = std::move(beat);
     }
     send(outgoing.to, std::move(envelope));
--- a/src/coordination/control_plane.h
+++ b/src/coordination/control_plane.h
@@ -51,7 +51,7 @@
   PeerEnvelope envelope;
 };
 
-enum class ChangeEnd {
+enum class ChangeOutcome {
   kAccepted,
   /// Another change took effect first; the operator must review the current configuration.
   kConflict,
@@ -65,7 +65,7 @@
 
 struct ChangeResult {
   std::uint64_t token = 0;
-  ChangeEnd end = ChangeEnd::kNoMajority;
+  ChangeOutcome outcome = ChangeOutcome::kNoMajority;
   /// The revision in effect at this daemon when the request ended.
   std::uint64_t revision = 0;
 };
@@ -109,42 +109,42 @@
   /// receives no confirmation is ready again after a time limit.
   bool ready() const { return store_.revision() > 0 && !revalidating_; }
   /// Whether this daemon can grant reservations of request ids (see repeat_guard.h).
-  bool guardsIds(Moment now) const { return guard_.settled() && lease_.held(store_.voters(), now); }
+  bool grantsReservations(Moment now) const { return guard_.settled() && lease_.held(store_.voters(), now); }
   std::uint64_t pauses() const { return pauses_; }
   bool revalidating() const { return revalidating_; }
   /// The revision that `address` last reported; 0 if unknown.
   std::uint64_t revisionOf(const Endpoint& address) const;
 
  private:
-  struct Awaited {
+  struct UndecidedRequest {
     ChangeRequest request;
     std::uint64_t revision = 0;
     Moment until{};
   };
 
   void handle(const Endpoint& sender, const PeerEnvelope& envelope, Moment now);
-  void handleGuard(const Endpoint& sender, const PeerEnvelope& envelope, Moment now);
+  void handleReservation(const Endpoint& sender, const PeerEnvelope& envelope, Moment now);
   void handleAgreement(const Endpoint& sender, const PeerEnvelope& envelope, Moment now);
-  void hearRevision(const Endpoint& sender, std::uint64_t revision, Moment now);
-  void askForChanges(const Endpoint& peer, Moment now);
-  void learn(const ChangesReply& reply, Moment now);
-  void passOn(std::uint64_t formerRevision);
+  void onPeerRevision(const Endpoint& sender, std::uint64_t revision, Moment now);
+  void requestChanges(const Endpoint& peer, Moment now);
+  void onChanges(const ChangesReply& reply, Moment now);
+  void propagateChanges(std::uint64_t formerRevision);
 
   void detectPause(Moment now);
-  void maybeFoundCluster(Moment now);
-  void keepVoters(Moment now);
-  void completeOpenProposal(Moment now);
+  void maybeBootstrapCluster(Moment now);
+  void maintainVoterSet(Moment now);
+  void completePendingProposal(Moment now);
   void startNextRequest(Moment now);
   void propose(std::optional<Proposal> own, Moment now);
-  void carryOut(ProposerActions actions, Moment now);
+  void apply(ProposerActions actions, Moment now);
   void endProposal(const ProposalResult& result, Moment now);
-  void resolveAwaited(Moment now);
-  void report(const ChangeRequest& request, ChangeEnd end);
-  Proposal proposalOf(const ConfigurationChange& change);
+  void resolveUndecided(Moment now);
+  void report(const ChangeRequest& request, ChangeOutcome outcome);
+  Proposal newProposal(const ConfigurationChange& change);
 
-  PeerEnvelope envelopeOf() const;
+  PeerEnvelope newEnvelope() const;
   void send(const Endpoint& to, PeerEnvelope envelope);
-  void carryOut(MembershipActions actions);
+  void apply(MembershipActions actions);
   /// Handles messages addressed to this daemon itself and returns the others with the results.
   ControlActions flush(Moment now);
 
@@ -161,18 +161,18 @@
   PlatformReport platform_;
   std::vector<Endpoint> staticSeeds_;
 
-  std::deque<ChangeRequest> waiting_;
+  std::deque<ChangeRequest> queuedRequests_;
   /// The request that the current proposal carries.
-  std::optional<ChangeRequest> running_;
+  std::optional<ChangeRequest> activeRequest_;
   /// Requests with an undecided proposal; its revision, once known, decides them.
-  std::vector<Awaited> awaited_;
+  std::vector<UndecidedRequest> undecided_;
   std::unordered_map<Endpoint, std::uint64_t> revisions_;
   std::vector<OutgoingEnvelope> outbox_;
   std::vector<ChangeResult> results_;
   std::uint64_t nextChange_ = 1;
   Moment startedAt_{};
-  Moment lastTimeAt_{};
-  Moment changesAskedAt_{};
+  Moment lastCallAt_{};
+  Moment changesRequestedAt_{};
   Moment nextVoterCheckAt_{};
   Moment revalidateUntil_{};
   bool revalidating_ = false;
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Duration kForgetPeriod = std::chrono::seconds(30);
+constexpr Duration kTombstoneSweepPeriod = std::chrono::seconds(30);
 /// A probe fails after this many probe timeouts; indirect probes are sent after the first.
 constexpr int kProbeLifetimeTimeouts = 3;
 /// Number of probes that report a planned stop.
@@ -48,8 +48,8 @@
     const auto target = Endpoint::parse(probe.target());
     if (target && *target != self_) {
       PendingProbe onBehalf;
-      onBehalf.askedBy = sender;
-      onBehalf.askedSequence = probe.sequence();
+      onBehalf.requester = sender;
+      onBehalf.requesterSequence = probe.sequence();
       sendProbe(*target, now, actions, &onBehalf);
     }
     return actions;
@@ -59,11 +59,11 @@
   outgoing.reply.set_subject(self_.text());
   if (bulk) {
     outgoing.reply.set_bulk(true);
-    attachParts(outgoing.reply, {probe.compared_parts().begin(), probe.compared_parts().end()});
+    attachTableParts(outgoing.reply, {probe.compared_parts().begin(), probe.compared_parts().end()});
   } else {
     outgoing.reply.set_bulk(probe.joining());
     attachUpdates(sender, outgoing.reply, probe.joining());
-    if (!probe.joining() && probe.digest() != wholeDigest() && (updates_.empty() || probe.settling())) {
+    if (!probe.joining() && probe.digest() != tableDigest() && (updates_.empty() || probe.settling())) {
       for (std::size_t part = 0; part < kTableParts; ++part) {
         outgoing.reply.add_part_digests(partDigest(part));
       }
@@ -83,12 +83,12 @@
   }
   const PendingProbe pending = found->second;
   pending_.erase(found);
-  ownTrouble_ = std::max(0, ownTrouble_ - 1);
-  if (pending.askedBy) {
-    OutgoingProbeReply outgoing{*pending.askedBy, {}};
-    outgoing.reply.set_sequence(pending.askedSequence);
+  localHealthMultiplier_ = std::max(0, localHealthMultiplier_ - 1);
+  if (pending.requester) {
+    OutgoingProbeReply outgoing{*pending.requester, {}};
+    outgoing.reply.set_sequence(pending.requesterSequence);
     outgoing.reply.set_subject(reply.subject());
-    attachUpdates(*pending.askedBy, outgoing.reply);
+    attachUpdates(*pending.requester, outgoing.reply);
     actions.replies.push_back(std::move(outgoing));
   }
   return actions;
@@ -105,21 +105,21 @@
   checkPending(now, actions);
   expireSuspicions(now);
   if (now >= nextProbeAt_) {
-    nextProbeAt_ = now + probePeriod(now) * (1 + ownTrouble_);
+    nextProbeAt_ = now + probePeriod(now) * (1 + localHealthMultiplier_);
     probeNext(now, actions);
   }
   if (now >= nextReconnectAt_) {
     nextReconnectAt_ = now + (joined_ ? settings_.reconnectPeriod : settings_.probePeriod / 4);
     reconnect(now, actions);
   }
-  if (now >= nextForgetAt_) {
-    nextForgetAt_ = now + kForgetPeriod;
-    forgetTombstones(now);
+  if (now >= nextTombstoneSweepAt_) {
+    nextTombstoneSweepAt_ = now + kTombstoneSweepPeriod;
+    removeExpiredTombstones(now);
   }
   return actions;
 }
 
-ProbeReply Membership::introduction(const Endpoint& receiver) {
+ProbeReply Membership::fullTable(const Endpoint& receiver) {
   ProbeReply reply;
   reply.set_subject(self_.text());
   reply.set_bulk(true);
@@ -154,16 +154,16 @@
 }
 
 void Membership::sendProbe(const Endpoint& target, Moment now, MembershipActions& actions,
-                           const PendingProbe* special) {
-  PendingProbe pending = special == nullptr ? PendingProbe{} : *special;
+                           const PendingProbe* initial) {
+  PendingProbe pending = initial == nullptr ? PendingProbe{} : *initial;
   pending.target = target;
   pending.sentAt = now;
   const std::uint64_t sequence = nextSequence_++;
   OutgoingProbe outgoing{target, {}};
   outgoing.probe.set_sequence(sequence);
   outgoing.probe.set_joining(!joined_);
-  outgoing.probe.set_digest(wholeDigest());
-  outgoing.probe.set_settling(settling(now));
+  outgoing.probe.set_digest(tableDigest());
+  outgoing.probe.set_settling(startingUp(now));
   attachUpdates(target, outgoing.probe);
   actions.probes.push_back(std::move(outgoing));
   pending_.emplace(sequence, pending);
@@ -176,23 +176,24 @@
     const Duration age = now - pending.sentAt;
     const bool ended = age >= settings_.probeTimeout * kProbeLifetimeTimeouts;
     if (ended) {
-      if (!pending.askedBy && !pending.reconnecting) {
-        ownTrouble_ = std::min(kMostOwnTrouble, ownTrouble_ + 1);
+      if (!pending.requester && !pending.reconnecting) {
+        localHealthMultiplier_ = std::min(kMaxLocalHealthMultiplier, localHealthMultiplier_ + 1);
         suspect(pending.target, now);
       }
       entry = pending_.erase(entry);
       continue;
     }
-    const bool ordinary = !pending.askedBy && !pending.reconnecting;
+    const bool ordinary = !pending.requester && !pending.reconnecting;
     if (age >= settings_.probeTimeout && !pending.indirectSent && ordinary) {
       pending.indirectSent = true;
-      askOthers(entry->first, pending, actions);
+      sendIndirectProbes(entry->first, pending, actions);
     }
     ++entry;
   }
 }
 
-void Membership::askOthers(std::uint64_t sequence, PendingProbe& pending, MembershipActions& actions) {
+void Membership::sendIndirectProbes(std::uint64_t sequence, PendingProbe& pending,
+                                    MembershipActions& actions) {
   for (std::size_t count = 0; count < settings_.indirectProbes; ++count) {
     const auto helper = randomServing();
     if (!helper || *helper == pending.target) {
@@ -248,7 +249,7 @@
   }
 }
 
-void Membership::forgetTombstones(Moment now) {
+void Membership::removeExpiredTombstones(Moment now) {
   std::vector<Endpoint> old;
   for (const auto& record : members_.records()) {
     if (!record.serving() && now - record.changedAt > settings_.tombstoneLifetime) {
@@ -261,7 +262,7 @@
 }
 
 Duration Membership::suspicionTime() const {
-  const double periods = settings_.suspicionPeriods * logMembers() * (1 + ownTrouble_);
+  const double periods = settings_.suspicionPeriods * logMemberCount() * (1 + localHealthMultiplier_);
   return std::chrono::duration_cast<Duration>(settings_.probePeriod * periods);
 }
 
@@ -277,7 +278,7 @@
   return std::nullopt;
 }
 
-double Membership::logMembers() const {
+double Membership::logMemberCount() const {
   return std::max(1.0, std::log10(static_cast<double>(members_.servingCount()) + 2));
 }
 
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -41,9 +41,9 @@
   Duration reconnectPeriod = std::chrono::seconds(5);
   /// Minimum time between comparisons of the member table with that of a peer whose digest differs.
   Duration comparePeriod = std::chrono::seconds(5);
-  /// For this long after its start a daemon probes and compares tables every `settlingProbePeriod`.
-  Duration settlingTime = std::chrono::seconds(60);
-  Duration settlingProbePeriod = std::chrono::seconds(1);
+  /// For this long after its start a daemon probes and compares tables every `startupProbePeriod`.
+  Duration startupPeriod = std::chrono::seconds(60);
+  Duration startupProbePeriod = std::chrono::seconds(1);
   /// How long records of dead and departed members are kept, so that stale updates cannot revive them.
   Duration tombstoneLifetime = std::chrono::minutes(15);
   /// On an update about a higher incarnation at this daemon's address, adopt a still higher one. An earlier
@@ -92,7 +92,7 @@
   MembershipActions onReply(const Endpoint& sender, const ProbeReply& reply, Moment now);
   MembershipActions onTime(Moment now);
   /// The complete member table, for a daemon that has just started.
-  ProbeReply introduction(const Endpoint& receiver);
+  ProbeReply fullTable(const Endpoint& receiver);
 
   /// After a pause of the process: discards queued updates and pending probes, which are stale, and restarts
   /// suspicions.
@@ -101,7 +101,7 @@
   MembershipActions leave(Moment now);
 
   /// Whether a reply to the probe `sequence` is pending. Probes sent before a pause are not.
-  bool awaits(std::uint64_t sequence) const { return pending_.count(sequence) != 0; }
+  bool awaitsReply(std::uint64_t sequence) const { return pending_.count(sequence) != 0; }
 
   const MemberTable& members() const { return members_; }
   std::size_t servingCount() const { return members_.servingCount(); }
@@ -121,22 +121,22 @@
     /// Sent to a dead member or a seed: a missing reply raises no suspicion.
     bool reconnecting = false;
     /// For an indirect probe: the member that requested it, and the sequence number of its request.
-    std::optional<Endpoint> askedBy;
-    std::uint64_t askedSequence = 0;
+    std::optional<Endpoint> requester;
+    std::uint64_t requesterSequence = 0;
   };
 
   Duration probePeriod(Moment now) const {
-    return settling(now) ? settings_.settlingProbePeriod : settings_.probePeriod;
+    return startingUp(now) ? settings_.startupProbePeriod : settings_.probePeriod;
   }
-  bool settling(Moment now) const { return now - startedAt_ < settings_.settlingTime; }
+  bool startingUp(Moment now) const { return now - startedAt_ < settings_.startupPeriod; }
   void probeNext(Moment now, MembershipActions& actions);
   void sendProbe(const Endpoint& target, Moment now, MembershipActions& actions,
-                 const PendingProbe* special = nullptr);
+                 const PendingProbe* initial = nullptr);
   void checkPending(Moment now, MembershipActions& actions);
-  void askOthers(std::uint64_t sequence, PendingProbe& pending, MembershipActions& actions);
+  void sendIndirectProbes(std::uint64_t sequence, PendingProbe& pending, MembershipActions& actions);
   void expireSuspicions(Moment now);
   void reconnect(Moment now, MembershipActions& actions);
-  void forgetTombstones(Moment now);
+  void removeExpiredTombstones(Moment now);
   std::optional<Endpoint> randomServing();
 
   // Dissemination and comparison of member records: membership_updates.cpp.
@@ -150,17 +150,17 @@
   void learnCapacity(const MemberRecord& update, const MemberRecord& known, bool bulk);
   void compareTables(const Endpoint& sender, const ProbeReply& reply, Moment now, MembershipActions& actions);
   std::uint64_t partDigest(std::size_t part) const;
-  std::uint64_t wholeDigest() const;
+  std::uint64_t tableDigest() const;
   template <typename Message>
-  void attachParts(Message& message, const std::vector<std::uint32_t>& parts) const;
+  void attachTableParts(Message& message, const std::vector<std::uint32_t>& parts) const;
   void suspect(const Endpoint& subject, Moment now);
   Duration suspicionTime() const;
-  void spread(const Endpoint& subject);
+  void enqueueUpdate(const Endpoint& subject);
   template <typename Message>
   void attachUpdates(const Endpoint& receiver, Message& message, bool everything = false);
-  MemberUpdate describe(const MemberRecord& record) const;
-  MemberUpdate describeSelf() const;
-  double logMembers() const;
+  MemberUpdate updateFor(const MemberRecord& record) const;
+  MemberUpdate selfUpdate() const;
+  double logMemberCount() const;
 
   Endpoint self_;
   std::string zone_;
@@ -182,13 +182,13 @@
   bool leaving_ = false;
   Moment nextProbeAt_{};
   Moment nextReconnectAt_{};
-  Moment nextForgetAt_{};
+  Moment nextTombstoneSweepAt_{};
   Moment nextCompareAt_{};
   Moment startedAt_{};
   /// Raised when a probe of this daemon fails or it must refute a suspicion, lowered by each reply. The fault
   /// may then be at this daemon, so it probes and declares members dead more slowly (cf. Lifeguard).
-  int ownTrouble_ = 0;
-  static constexpr int kMostOwnTrouble = 5;
+  int localHealthMultiplier_ = 0;
+  static constexpr int kMaxLocalHealthMultiplier = 5;
   MembershipCounters counters_;
 };
 
--- a/src/coordination/membership_updates.cpp
+++ b/src/coordination/membership_updates.cpp
@@ -12,7 +12,7 @@
 
 /// Approximate number of records sent in one table comparison, and the minimum number of table parts.
 constexpr std::size_t kRecordsPerComparison = 200;
-constexpr std::size_t kLeastPartsPerComparison = 2;
+constexpr std::size_t kMinPartsPerComparison = 2;
 
 }  // namespace
 
@@ -55,7 +55,7 @@
   }
   if (update.refutation() >= selfRefutation_) {
     selfRefutation_ = update.refutation() + 1;
-    ownTrouble_ = std::min(kMostOwnTrouble, ownTrouble_ + 1);
+    localHealthMultiplier_ = std::min(kMaxLocalHealthMultiplier, localHealthMultiplier_ + 1);
     ++counters_.refutations;
   }
 }
@@ -88,13 +88,13 @@
     dead_.add(record.address);
   }
   if (!bulk) {
-    spread(record.address);
+    enqueueUpdate(record.address);
   }
 }
 
 void Membership::learnCapacity(const MemberRecord& update, const MemberRecord& known, bool bulk) {
-  const bool sameStatement = known.incarnation == update.incarnation && known.refutation == update.refutation;
-  if (!sameStatement || known.capacity != 0 || update.capacity == 0) {
+  const bool sameVersion = known.incarnation == update.incarnation && known.refutation == update.refutation;
+  if (!sameVersion || known.capacity != 0 || update.capacity == 0) {
     return;
   }
   MemberRecord record = known;
@@ -102,13 +102,13 @@
   members_.put(record);
   ++version_;
   if (!bulk) {
-    spread(record.address);
+    enqueueUpdate(record.address);
   }
 }
 
 /// Queues the record of `subject` to be sent a bounded number of times.
-void Membership::spread(const Endpoint& subject) {
-  const int transmissions = static_cast<int>(std::ceil(settings_.updateTransmissions * logMembers()));
+void Membership::enqueueUpdate(const Endpoint& subject) {
+  const int transmissions = static_cast<int>(std::ceil(settings_.updateTransmissions * logMemberCount()));
   updates_.add(subject, transmissions);
 }
 
@@ -117,21 +117,21 @@
 /// instead of queued updates.
 template <typename Message>
 void Membership::attachUpdates(const Endpoint& receiver, Message& message, bool everything) {
-  *message.add_updates() = describeSelf();
+  *message.add_updates() = selfUpdate();
   const MemberRecord* receiverRecord = members_.find(receiver);
   if (receiverRecord != nullptr && receiverRecord->condition != MEMBER_ALIVE) {
-    *message.add_updates() = describe(*receiverRecord);
+    *message.add_updates() = updateFor(*receiverRecord);
   }
   if (everything) {
     for (const auto& record : members_.records()) {
-      *message.add_updates() = describe(record);
+      *message.add_updates() = updateFor(record);
     }
     return;
   }
   for (const Endpoint& subject : updates_.take()) {
     const MemberRecord* record = members_.find(subject);
     if (record != nullptr) {
-      *message.add_updates() = describe(*record);
+      *message.add_updates() = updateFor(*record);
     }
   }
 }
@@ -152,28 +152,28 @@
   if (differing.empty()) {
     return;
   }
-  nextCompareAt_ = now + (settling(now) ? settings_.settlingProbePeriod : settings_.comparePeriod);
+  nextCompareAt_ = now + (startingUp(now) ? settings_.startupProbePeriod : settings_.comparePeriod);
   ++counters_.tableComparisons;
   std::shuffle(differing.begin(), differing.end(), random_);
   const std::size_t recordsPerPart = members_.records().size() / kTableParts + 1;
-  const std::size_t most = std::max(kLeastPartsPerComparison, kRecordsPerComparison / recordsPerPart);
-  differing.resize(std::min(differing.size(), most));
+  const std::size_t maxParts = std::max(kMinPartsPerComparison, kRecordsPerComparison / recordsPerPart);
+  differing.resize(std::min(differing.size(), maxParts));
   OutgoingProbe outgoing{sender, {}};
   outgoing.probe.set_sequence(nextSequence_++);
-  outgoing.probe.set_digest(wholeDigest());
+  outgoing.probe.set_digest(tableDigest());
   for (const std::uint32_t part : differing) {
     outgoing.probe.add_compared_parts(part);
   }
-  attachParts(outgoing.probe, differing);
+  attachTableParts(outgoing.probe, differing);
   actions.probes.push_back(std::move(outgoing));
 }
 
 template <typename Message>
-void Membership::attachParts(Message& message, const std::vector<std::uint32_t>& parts) const {
-  *message.add_updates() = describeSelf();
+void Membership::attachTableParts(Message& message, const std::vector<std::uint32_t>& parts) const {
+  *message.add_updates() = selfUpdate();
   for (const auto& record : members_.records()) {
     if (std::find(parts.begin(), parts.end(), partOf(record.address)) != parts.end()) {
-      *message.add_updates() = describe(record);
+      *message.add_updates() = updateFor(record);
     }
   }
 }
@@ -187,7 +187,7 @@
   return members_.partDigest(part) ^ (partOf(self_) == part ? digestOf(own) : 0);
 }
 
-std::uint64_t Membership::wholeDigest() const {
+std::uint64_t Membership::tableDigest() const {
   std::uint64_t digest = 0;
   for (std::size_t part = 0; part < kTableParts; ++part) {
     digest ^= partDigest(part);
@@ -195,7 +195,7 @@
   return digest;
 }
 
-MemberUpdate Membership::describe(const MemberRecord& record) const {
+MemberUpdate Membership::updateFor(const MemberRecord& record) const {
   MemberUpdate update;
   update.set_address(record.address.text());
   update.set_zone(members_.zoneName(record.zone));
@@ -206,7 +206,7 @@
   return update;
 }
 
-MemberUpdate Membership::describeSelf() const {
+MemberUpdate Membership::selfUpdate() const {
   MemberUpdate update;
   update.set_address(self_.text());
   update.set_zone(zone_);
@@ -221,7 +221,8 @@
 template void Membership::receive(const ProbeReply& message, bool bulk, Moment now);
 template void Membership::attachUpdates(const Endpoint& receiver, Probe& message, bool everything);
 template void Membership::attachUpdates(const Endpoint& receiver, ProbeReply& message, bool everything);
-template void Membership::attachParts(Probe& message, const std::vector<std::uint32_t>& parts) const;
-template void Membership::attachParts(ProbeReply& message, const std::vector<std::uint32_t>& parts) const;
+template void Membership::attachTableParts(Probe& message, const std::vector<std::uint32_t>& parts) const;
+template void Membership::attachTableParts(ProbeReply& message,
+                                           const std::vector<std::uint32_t>& parts) const;
 
 }  // namespace oakpier
--- a/src/coordination/proposer.cpp
+++ b/src/coordination/proposer.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr Duration kAttemptTime = std::chrono::seconds(4);
+constexpr Duration kProposalTimeout = std::chrono::seconds(4);
 /// Without a majority within this period the proposal is prepared again with a higher round.
 constexpr Duration kResendPeriod = std::chrono::milliseconds(300);
-constexpr std::int64_t kMostBackOffUs = 200'000;
+constexpr std::int64_t kMaxBackoffUs = 200'000;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   voters_ = voters;
   own_ = std::move(own);
   ownWasSent_ = false;
-  deadline_ = now + kAttemptTime;
+  deadline_ = now + kProposalTimeout;
   return prepare(now);
 }
 
@@ -48,15 +48,15 @@
 
 ProposerActions Proposer::onPromise(const Endpoint& sender, const Promise& promise, Moment now) {
   ProposerActions actions;
-  if (phase_ != Phase::kPreparing || !concernsUs(promise.revision(), promise.ballot())) {
+  if (phase_ != Phase::kPreparing || !matchesCurrentBallot(promise.revision(), promise.ballot())) {
     return actions;
   }
   if (promise.known_revision() >= revision_) {
-    return end(ProposalEnd::kBehind, sender);
+    return end(ProposalOutcome::kStaleRevision, sender);
   }
   if (!promise.granted()) {
     if (promise.known_revision() + 1 < revision_) {
-      actions.behind.push_back(sender);
+      actions.laggingVoters.push_back(sender);
     } else if (precedes(ballot_, promise.promised())) {
       return backOff(promise.promised(), now);
     }
@@ -73,7 +73,7 @@
 ProposerActions Proposer::accept(Moment now) {
   const std::optional<Proposal>& value = found_ ? found_ : own_;
   if (!value) {
-    return end(ProposalEnd::kNoMajority);
+    return end(ProposalOutcome::kNoMajority);
   }
   phase_ = Phase::kAccepting;
   granted_.clear();
@@ -92,11 +92,11 @@
 
 ProposerActions Proposer::onAccepted(const Endpoint& sender, const Accepted& accepted, Moment now) {
   ProposerActions actions;
-  if (phase_ != Phase::kAccepting || !concernsUs(accepted.revision(), accepted.ballot())) {
+  if (phase_ != Phase::kAccepting || !matchesCurrentBallot(accepted.revision(), accepted.ballot())) {
     return actions;
   }
   if (accepted.known_revision() >= revision_) {
-    return end(ProposalEnd::kBehind, sender);
+    return end(ProposalOutcome::kStaleRevision, sender);
   }
   if (!accepted.granted()) {
     return precedes(ballot_, accepted.promised()) ? backOff(accepted.promised(), now) : actions;
@@ -106,7 +106,7 @@
     return actions;
   }
   const bool ownChosen = own_ && (!found_ || found_->change().id() == own_->change().id());
-  return end(ownChosen ? ProposalEnd::kChosen : ProposalEnd::kOtherChosen);
+  return end(ownChosen ? ProposalOutcome::kChosen : ProposalOutcome::kOtherChosen);
 }
 
 ProposerActions Proposer::onTime(Moment now) {
@@ -114,7 +114,7 @@
     return {};
   }
   if (now >= deadline_) {
-    return end(ownWasSent_ ? ProposalEnd::kUndecided : ProposalEnd::kNoMajority);
+    return end(ownWasSent_ ? ProposalOutcome::kUndecided : ProposalOutcome::kNoMajority);
   }
   return now >= resendAt_ ? prepare(now) : ProposerActions{};
 }
@@ -124,29 +124,29 @@
 ProposerActions Proposer::backOff(const Ballot& promised, Moment now) {
   phase_ = Phase::kWaiting;
   ballot_.set_round(std::max(ballot_.round(), promised.round()));
-  resendAt_ = now + Duration(std::uniform_int_distribution<std::int64_t>(1'000, kMostBackOffUs)(random_));
+  resendAt_ = now + Duration(std::uniform_int_distribution<std::int64_t>(1'000, kMaxBackoffUs)(random_));
   return {};
 }
 
-ProposerActions Proposer::end(ProposalEnd end, const Endpoint& ahead) {
+ProposerActions Proposer::end(ProposalOutcome outcome, const Endpoint& upToDatePeer) {
   ProposerActions actions;
   ProposalResult result;
-  result.end = end;
-  result.ahead = ahead;
+  result.outcome = outcome;
+  result.upToDatePeer = upToDatePeer;
   // The revision that the voter has may contain this daemon's proposal if that was sent to any voter.
-  if (end == ProposalEnd::kBehind && ownWasSent_) {
-    result.end = ProposalEnd::kUndecided;
+  if (outcome == ProposalOutcome::kStaleRevision && ownWasSent_) {
+    result.outcome = ProposalOutcome::kUndecided;
   }
   const std::optional<Proposal>& value = found_ ? found_ : own_;
   if (value) {
     result.chosen = *value;
   }
-  actions.ended = std::move(result);
+  actions.result = std::move(result);
   phase_ = Phase::kIdle;
   return actions;
 }
 
-bool Proposer::concernsUs(std::uint64_t revision, const Ballot& ballot) const {
+bool Proposer::matchesCurrentBallot(std::uint64_t revision, const Ballot& ballot) const {
   return revision == revision_ && sameBallot(ballot, ballot_);
 }
 
--- a/src/coordination/proposer.h
+++ b/src/coordination/proposer.h
@@ -21,13 +21,13 @@
 namespace oakpier {
 
 /// Outcome of one proposal.
-enum class ProposalEnd {
+enum class ProposalOutcome {
   /// This daemon's proposal was chosen.
   kChosen,
   /// A proposal that voters had accepted earlier was chosen instead; this daemon's proposal has no effect.
   kOtherChosen,
   /// The revision was already decided; this daemon's proposal has no effect.
-  kBehind,
+  kStaleRevision,
   /// No majority answered, or there was no accepted proposal to complete. This daemon's proposal was sent to
   /// no voter, so it has no effect.
   kNoMajority,
@@ -37,11 +37,11 @@
 };
 
 struct ProposalResult {
-  ProposalEnd end = ProposalEnd::kNoMajority;
+  ProposalOutcome outcome = ProposalOutcome::kNoMajority;
   /// The chosen proposal. Valid with kChosen and kOtherChosen.
   Proposal chosen;
-  /// With kBehind: a voter that has the decided revision.
-  Endpoint ahead;
+  /// With kStaleRevision: a voter that has the decided revision.
+  Endpoint upToDatePeer;
 };
 
 struct OutgoingPrepare {
@@ -58,8 +58,8 @@
   std::vector<OutgoingPrepare> prepares;
   std::vector<OutgoingAccept> accepts;
   /// Voters that need earlier changes before they can vote on this revision.
-  std::vector<Endpoint> behind;
-  std::optional<ProposalResult> ended;
+  std::vector<Endpoint> laggingVoters;
+  std::optional<ProposalResult> result;
 };
 
 class Proposer {
@@ -83,8 +83,8 @@
   ProposerActions prepare(Moment now);
   ProposerActions accept(Moment now);
   ProposerActions backOff(const Ballot& promised, Moment now);
-  ProposerActions end(ProposalEnd end, const Endpoint& ahead = {});
-  bool concernsUs(std::uint64_t revision, const Ballot& ballot) const;
+  ProposerActions end(ProposalOutcome outcome, const Endpoint& upToDatePeer = {});
+  bool matchesCurrentBallot(std::uint64_t revision, const Ballot& ballot) const;
   bool majority(std::size_t count) const {
     return 2 * count > static_cast<std::size_t>(voters_.voters_size());
   }
--- a/src/coordination/update_queue.cpp
+++ b/src/coordination/update_queue.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// With more queued members than this, messages carry up to `perMessageWhenBehind` updates.
-constexpr std::size_t kBacklog = 100;
+/// With more queued members than this, messages carry up to `perMessageWithBacklog` updates.
+constexpr std::size_t kBacklogThreshold = 100;
 
 }  // namespace
 
@@ -19,9 +19,9 @@
 }
 
 std::vector<Endpoint> UpdateQueue::take() {
-  const std::size_t most =
-      subjects_.size() > kBacklog ? settings_.perMessageWhenBehind : settings_.perMessage;
-  const std::size_t count = std::min(most, subjects_.size());
+  const std::size_t maxCount =
+      subjects_.size() > kBacklogThreshold ? settings_.perMessageWithBacklog : settings_.perMessage;
+  const std::size_t count = std::min(maxCount, subjects_.size());
   std::vector<Endpoint> taken;
   taken.reserve(count);
   for (std::size_t number = 0; number < count; ++number) {
--- a/src/coordination/update_queue.h
+++ b/src/coordination/update_queue.h
@@ -16,7 +16,7 @@
   /// Maximum number of updates per message.
   std::size_t perMessage = 8;
   /// Maximum per message while the queue is long, for example after a network partition has healed.
-  std::size_t perMessageWhenBehind = 40;
+  std::size_t perMessageWithBacklog = 40;
 };
 
 /// Not thread-safe.
--- a/src/coordination/voter.cpp
+++ b/src/coordination/voter.cpp
@@ -28,7 +28,7 @@
   promise.set_revision(prepare.revision());
   *promise.mutable_ballot() = prepare.ballot();
   promise.set_known_revision(store_.revision());
-  const bool sameStart = store_.revision() != 0 || sameAddresses(prepare.first_voters(), firstVoters_);
+  const bool sameStart = store_.revision() != 0 || sameAddresses(prepare.first_voters(), bootstrapVoters_);
   if (mayVoteOn(prepare.revision()) && sameStart && precedes(promised_, prepare.ballot())) {
     promised_ = prepare.ballot();
     promise.set_granted(true);
@@ -58,7 +58,7 @@
   return reply;
 }
 
-std::optional<Moment> ConfigurationVoter::openSince() const {
+std::optional<Moment> ConfigurationVoter::pendingProposalSince() const {
   const bool open = accepted_ && instance_ == store_.revision() + 1;
   return open ? std::optional<Moment>(acceptedAt_) : std::nullopt;
 }
@@ -73,7 +73,7 @@
 }
 
 bool ConfigurationVoter::mayVoteOn(std::uint64_t revision) const {
-  const VoterSet& voters = store_.revision() == 0 ? firstVoters_ : store_.voters();
+  const VoterSet& voters = store_.revision() == 0 ? bootstrapVoters_ : store_.voters();
   return revision == instance_ && isVoter(voters, self_);
 }
 
--- a/src/coordination/voter.h
+++ b/src/coordination/voter.h
@@ -32,14 +32,14 @@
       : self_(std::move(self)), store_(store) {}
 
   /// Sets the voters that decide revision 1, when no accepted configuration exists yet.
-  void setFirstVoters(const VoterSet& voters) { firstVoters_ = voters; }
+  void setBootstrapVoters(const VoterSet& voters) { bootstrapVoters_ = voters; }
 
   Promise onPrepare(const Prepare& prepare);
   Accepted onAccept(const Accept& accept, Moment now);
 
   /// When this voter accepted a proposal that it does not yet know to be chosen, if there is one. Its
   /// proposer may have crashed.
-  std::optional<Moment> openSince() const;
+  std::optional<Moment> pendingProposalSince() const;
 
  private:
   /// Discards the state of the previous instance once its revision is in the store.
@@ -48,7 +48,7 @@
 
   ProcessId self_;
   const ConfigurationStore& store_;
-  VoterSet firstVoters_;
+  VoterSet bootstrapVoters_;
   std::uint64_t instance_ = 0;
   Ballot promised_;
   Ballot acceptedBallot_;
--- a/src/coordination/voter_lease.h
+++ b/src/coordination/voter_lease.h
@@ -16,33 +16,33 @@
 
 class VoterLease {
  public:
-  VoterLease(ProcessId self, Duration beatPeriod, Duration length)
-      : self_(std::move(self)), beatPeriod_(beatPeriod), length_(length) {}
+  VoterLease(ProcessId self, Duration heartbeatPeriod, Duration length)
+      : self_(std::move(self)), heartbeatPeriod_(heartbeatPeriod), length_(length) {}
 
   /// Merges the heartbeat counts that a peer knows. Ignores processes that are not in `voters`.
   template <typename Beats>
-  void hear(const Beats& beats, const VoterSet& voters, Moment now) {
+  void onHeartbeats(const Beats& beats, const VoterSet& voters, Moment now) {
     for (const auto& beat : beats) {
-      Seen& seen = seen_[keyOf(beat.address(), beat.incarnation())];
-      if (isVoter(voters, {beat.address(), beat.incarnation()}) && beat.count() > seen.count) {
-        seen = Seen{beat.count(), now};
+      LastHeartbeat& last = lastHeartbeats_[keyOf(beat.address(), beat.incarnation())];
+      if (isVoter(voters, {beat.address(), beat.incarnation()}) && beat.count() > last.count) {
+        last = LastHeartbeat{beat.count(), now};
       }
     }
   }
 
-  /// Increments the own heartbeat count once per beat period if this daemon is a voter, and drops old
-  /// entries. Call more often than the beat period.
+  /// Increments the own heartbeat count once per heartbeat period if this daemon is a voter, and drops old
+  /// entries. Call more often than the heartbeat period.
   void onTime(const VoterSet& voters, Moment now);
 
   bool held(const VoterSet& voters, Moment now) const;
 
   /// The known heartbeat counts of `voters`, to be sent to peers.
-  std::vector<VoterBeat> beats(const VoterSet& voters) const;
+  std::vector<VoterBeat> heartbeats(const VoterSet& voters) const;
 
   Duration length() const { return length_; }
 
  private:
-  struct Seen {
+  struct LastHeartbeat {
     std::uint64_t count = 0;
     Moment at{};
   };
@@ -52,10 +52,10 @@
   }
 
   ProcessId self_;
-  Duration beatPeriod_;
+  Duration heartbeatPeriod_;
   Duration length_;
-  Moment nextBeatAt_{};
-  std::unordered_map<std::string, Seen> seen_;
+  Moment nextHeartbeatAt_{};
+  std::unordered_map<std::string, LastHeartbeat> lastHeartbeats_;
 };
 
 }  // namespace oakpier
--- a/src/coordination/voter_selection.cpp
+++ b/src/coordination/voter_selection.cpp
@@ -30,7 +30,7 @@
 }
 
 /// Whether the voter is serving with the same incarnation, as far as this daemon knows.
-bool stillServes(const Voter& voter, const MemberTable& members, const SelfMember& self) {
+bool isServing(const Voter& voter, const MemberTable& members, const SelfMember& self) {
   if (voter.address() == self.process.address) {
     return voter.incarnation() == self.process.incarnation && !self.leaving;
   }
@@ -53,7 +53,7 @@
   std::map<std::string, std::size_t> perZone;
   VoterSet selected;
   for (const auto& voter : current.voters()) {
-    if (!stillServes(voter, members, self)) {
+    if (!isServing(voter, members, self)) {
       continue;
     }
     *selected.add_voters() = voter;
@@ -79,9 +79,9 @@
   return selected;
 }
 
-bool keepsVoters(const VoterSet& current, const MemberTable& members, const SelfMember& self) {
+bool maintainsVoterSet(const VoterSet& current, const MemberTable& members, const SelfMember& self) {
   for (const auto& voter : current.voters()) {
-    if (stillServes(voter, members, self)) {
+    if (isServing(voter, members, self)) {
       return voter.address() == self.process.address;
     }
   }
@@ -92,7 +92,7 @@
   return left.SerializeAsString() == right.SerializeAsString();
 }
 
-VoterSet firstVotersOf(std::vector<Endpoint> daemons, std::size_t target) {
+VoterSet bootstrapVotersFor(std::vector<Endpoint> daemons, std::size_t target) {
   std::sort(daemons.begin(), daemons.end(), [](const Endpoint& left, const Endpoint& right) {
     return hashText(left.text()) < hashText(right.text());
   });
--- a/src/coordination/voter_selection.h
+++ b/src/coordination/voter_selection.h
@@ -27,12 +27,12 @@
 
 /// Whether this daemon is the one that proposes changes of the voter set: the first voter of `current` that
 /// is still serving.
-bool keepsVoters(const VoterSet& current, const MemberTable& members, const SelfMember& self);
+bool maintainsVoterSet(const VoterSet& current, const MemberTable& members, const SelfMember& self);
 
 bool sameVoters(const VoterSet& left, const VoterSet& right);
 
 /// The voters that decide revision 1, selected from the platform's list of daemons. Depends only on the list,
 /// not on its order, so that daemons that read the same list agree. Incarnations are 0 (any process).
-VoterSet firstVotersOf(std::vector<Endpoint> daemons, std::size_t target);
+VoterSet bootstrapVotersFor(std::vector<Endpoint> daemons, std::size_t target);
 
 }  // namespace oakpier
--- a/src/programs/daemon/operator_service.cpp
+++ b/src/programs/daemon/operator_service.cpp
@@ -12,18 +12,18 @@
 /// Empty code for an accepted change.
 Error errorOf(const ChangeResult& result) {
   const std::string revision = std::to_string(result.revision);
-  switch (result.end) {
-    case ChangeEnd::kAccepted:
+  switch (result.outcome) {
+    case ChangeOutcome::kAccepted:
       return {};
-    case ChangeEnd::kConflict:
+    case ChangeOutcome::kConflict:
       return makeError(ERROR_REVISION_CONFLICT,
                        "another change came first; revision " + revision + " is in force");
-    case ChangeEnd::kNoMajority:
+    case ChangeOutcome::kNoMajority:
       return makeError(ERROR_NO_MAJORITY, "no majority of voters was reached; nothing was changed");
-    case ChangeEnd::kUndecided:
+    case ChangeOutcome::kUndecided:
       return makeError(ERROR_NO_MAJORITY,
                        "no majority answered in time; the change may yet take effect, look again");
-    case ChangeEnd::kNotReady:
+    case ChangeOutcome::kNotReady:
       return makeError(ERROR_NOT_READY, "this daemon holds no accepted configuration yet");
   }
   return {};
@@ -115,7 +115,7 @@
   reply->set_incarnation(self_.process.incarnation);
   control_.inspect([&](const ControlPlane& plane) {
     reply->set_revision(plane.store().revision());
-    reply->set_guards_ids(plane.guardsIds(steadyNow()));
+    reply->set_guards_ids(plane.grantsReservations(steadyNow()));
     reply->set_not_ready_because(whyNotReady(plane));
     if (!request->local_only()) {
       describeMembers(plane, *reply);
--- a/src/programs/gateway/peer_link.cpp
+++ b/src/programs/gateway/peer_link.cpp
@@ -29,8 +29,8 @@
 MembershipSettings membershipSettings() {
   MembershipSettings settings;
   settings.adoptHigherIncarnation = true;
-  settings.settlingTime = kMembershipSettling;
-  settings.settlingProbePeriod = kSettlingProbePeriod;
+  settings.startupPeriod = kMembershipSettling;
+  settings.startupProbePeriod = kSettlingProbePeriod;
   return settings;
 }
 
@@ -166,7 +166,7 @@
 
 void PeerLink::introduceMembers(const Endpoint& to) {
   PeerEnvelope envelope;
-  *envelope.mutable_probe_reply() = membership_.introduction(to);
+  *envelope.mutable_probe_reply() = membership_.fullTable(to);
   send(to, std::move(envelope));
 }
 
--- a/tests/coordination/control_plane_test.cpp
+++ b/tests/coordination/control_plane_test.cpp
@@ -9,20 +9,20 @@
 namespace {
 
 /// Checks after every step that no daemon's revision decreases and that no revision has two contents.
-class ConfigurationWatcher {
+class ConfigurationChecker {
  public:
-  explicit ConfigurationWatcher(SimulatedFleet& fleet) : fleet_(fleet) {
-    fleet.onStep = [this](std::size_t daemon) { look(daemon); };
-    fleet.onResult = [this](std::size_t, const ChangeResult& result) { note(result); };
+  explicit ConfigurationChecker(SimulatedFleet& fleet) : fleet_(fleet) {
+    fleet.onStep = [this](std::size_t daemon) { checkRevision(daemon); };
+    fleet.onResult = [this](std::size_t, const ChangeResult& result) { recordResult(result); };
   }
 
-  std::string fault() const { return fault_; }
+  std::string violation() const { return violation_; }
   std::uint64_t highestAccepted() const { return highestAccepted_; }
   std::size_t accepted() const { return accepted_; }
   std::size_t ended() const { return ended_; }
 
  private:
-  void look(std::size_t daemon) {
+  void checkRevision(std::size_t daemon) {
     if (!fleet_.running(daemon)) {
       return;
     }
@@ -32,18 +32,18 @@
       return;
     }
     if (store.revision() < before) {
-      fault_ = "the revision of a daemon decreased";
+      violation_ = "the revision of a daemon decreased";
     }
     before = store.revision();
     const std::string content = store.configuration().SerializeAsString();
     if (contents_.emplace(store.revision(), content).first->second != content) {
-      fault_ = "revision " + std::to_string(store.revision()) + " has two different contents";
+      violation_ = "revision " + std::to_string(store.revision()) + " has two different contents";
     }
   }
 
-  void note(const ChangeResult& result) {
+  void recordResult(const ChangeResult& result) {
     ++ended_;
-    if (result.end == ChangeEnd::kAccepted) {
+    if (result.outcome == ChangeOutcome::kAccepted) {
       ++accepted_;
       highestAccepted_ = std::max(highestAccepted_, result.revision);
     }
@@ -52,7 +52,7 @@
   SimulatedFleet& fleet_;
   std::map<std::uint64_t, std::uint64_t> revisions_;
   std::map<std::uint64_t, std::string> contents_;
-  std::string fault_;
+  std::string violation_;
   std::uint64_t highestAccepted_ = 0;
   std::size_t accepted_ = 0;
   std::size_t ended_ = 0;
@@ -95,7 +95,7 @@
 }
 
 /// Injects one random fault that leaves a majority of the voters running and connected.
-void disturb(SimulatedFleet& fleet) {
+void injectFault(SimulatedFleet& fleet) {
   const std::size_t daemon = *rc::gen::inRange<std::size_t>(0, fleet.size());
   switch (*rc::gen::inRange(0, 6)) {
     case 0:
@@ -135,7 +135,7 @@
     options.duplicated = *rc::gen::inRange(0, 15) / 100.0;
     options.straggling = *rc::gen::inRange(0, 10) / 100.0;
     SimulatedFleet fleet(options);
-    ConfigurationWatcher watcher(fleet);
+    ConfigurationChecker checker(fleet);
     RC_ASSERT(fleet.runUntil([&] { return allReady(fleet); }, std::chrono::seconds(60)));
     std::uint32_t mark = 1;
     const int rounds = *rc::gen::inRange(3, 8);
@@ -147,34 +147,34 @@
           fleet.submit(daemon, markedChange(++mark), fleet.plane(daemon).store().revision());
         }
       }
-      disturb(fleet);
-      RC_ASSERT(watcher.fault().empty());
+      injectFault(fleet);
+      RC_ASSERT(checker.violation().empty());
     }
     fleet.setLoss(0);
     RC_ASSERT(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(60)));
-    RC_ASSERT(allAt(fleet, watcher.highestAccepted()));
-    RC_ASSERT(watcher.fault().empty());
+    RC_ASSERT(allAt(fleet, checker.highestAccepted()));
+    RC_ASSERT(checker.violation().empty());
   });
 }
 
 TEST_CASE("of two concurrent changes with the same base revision exactly one is accepted", "[coordination]") {
   OAKPIER_PROPERTY("race", [] {
     SimulatedFleet fleet(optionsFor(*rc::gen::arbitrary<std::uint64_t>()));
-    ConfigurationWatcher watcher(fleet);
+    ConfigurationChecker checker(fleet);
     RC_ASSERT(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
     fleet.runFor(std::chrono::seconds(5));
     const std::uint64_t base = fleet.plane(0).store().revision();
     fleet.submit(0, markedChange(1), base);
     fleet.submit(3, markedChange(2), base);
-    RC_ASSERT(fleet.runUntil([&] { return watcher.ended() == 2; }, std::chrono::seconds(20)));
-    RC_ASSERT(watcher.accepted() == 1U);
+    RC_ASSERT(fleet.runUntil([&] { return checker.ended() == 2; }, std::chrono::seconds(20)));
+    RC_ASSERT(checker.accepted() == 1U);
   });
 }
 
 TEST_CASE("a minority accepts no change and adopts those of the majority when the network partition heals",
           "[coordination]") {
   SimulatedFleet fleet(optionsFor(5));
-  ConfigurationWatcher watcher(fleet);
+  ConfigurationChecker checker(fleet);
   REQUIRE(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
   fleet.runFor(std::chrono::seconds(5));
   for (const std::size_t daemon : {0U, 1U}) {
@@ -182,24 +182,24 @@
   }
   fleet.submit(0, markedChange(1), 0);
   fleet.runFor(std::chrono::seconds(30));
-  REQUIRE(watcher.accepted() == 0);
-  REQUIRE(watcher.ended() == 1);
+  REQUIRE(checker.accepted() == 0);
+  REQUIRE(checker.ended() == 1);
   fleet.submit(4, markedChange(2), 0);
-  REQUIRE(fleet.runUntil([&] { return watcher.accepted() == 1; }, std::chrono::seconds(20)));
+  REQUIRE(fleet.runUntil([&] { return checker.accepted() == 1; }, std::chrono::seconds(20)));
   for (const std::size_t daemon : {0U, 1U}) {
     fleet.setSide(daemon, 0);
   }
-  REQUIRE(fleet.runUntil([&] { return allAt(fleet, watcher.highestAccepted()); }, std::chrono::seconds(30)));
-  REQUIRE(watcher.fault().empty());
+  REQUIRE(fleet.runUntil([&] { return allAt(fleet, checker.highestAccepted()); }, std::chrono::seconds(30)));
+  REQUIRE(checker.violation().empty());
 }
 
 TEST_CASE("the configuration survives when all daemons crash and restart one after another",
           "[coordination]") {
   SimulatedFleet fleet(optionsFor(11));
-  ConfigurationWatcher watcher(fleet);
+  ConfigurationChecker checker(fleet);
   REQUIRE(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
   fleet.submit(2, markedChange(77), 0);
-  REQUIRE(fleet.runUntil([&] { return watcher.accepted() == 1; }, std::chrono::seconds(20)));
+  REQUIRE(fleet.runUntil([&] { return checker.accepted() == 1; }, std::chrono::seconds(20)));
   // Meanwhile the platform serves a stale configuration.
   PlatformReport stale;
   stale.configuration = smallConfiguration(5);
@@ -213,39 +213,40 @@
     fleet.start(daemon);
     REQUIRE(fleet.runUntil([&] { return fleet.plane(daemon).ready(); }, std::chrono::seconds(20)));
   }
-  REQUIRE(allAt(fleet, watcher.highestAccepted()));
+  REQUIRE(allAt(fleet, checker.highestAccepted()));
   REQUIRE(fleet.plane(0).store().configuration().leaves_size() == 2);
   fleet.submit(6, markedChange(78), 0);
-  REQUIRE(fleet.runUntil([&] { return watcher.accepted() == 2; }, std::chrono::seconds(20)));
-  REQUIRE(watcher.fault().empty());
+  REQUIRE(fleet.runUntil([&] { return checker.accepted() == 2; }, std::chrono::seconds(20)));
+  REQUIRE(checker.violation().empty());
 }
 
 TEST_CASE("a daemon that resumes after a pause is ready only with the current configuration",
           "[coordination]") {
   SimulatedFleet fleet(optionsFor(8));
-  ConfigurationWatcher watcher(fleet);
+  ConfigurationChecker checker(fleet);
   REQUIRE(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
   fleet.runFor(std::chrono::seconds(5));
   fleet.pause(0);
   fleet.runFor(std::chrono::seconds(3));
   fleet.submit(4, markedChange(1), 0);
-  REQUIRE(fleet.runUntil([&] { return watcher.accepted() == 1; }, std::chrono::seconds(20)));
-  bool servedBehind = false;
+  REQUIRE(fleet.runUntil([&] { return checker.accepted() == 1; }, std::chrono::seconds(20)));
+  bool readyWithStaleRevision = false;
   fleet.onStep = [&](std::size_t daemon) {
-    const ControlPlane& woken = fleet.plane(0);
-    servedBehind = servedBehind ||
-                   (daemon == 0 && woken.ready() && woken.store().revision() < watcher.highestAccepted());
+    const ControlPlane& resumed = fleet.plane(0);
+    readyWithStaleRevision =
+        readyWithStaleRevision ||
+        (daemon == 0 && resumed.ready() && resumed.store().revision() < checker.highestAccepted());
   };
   fleet.runFor(std::chrono::seconds(2));
   fleet.resume(0);
   REQUIRE(fleet.runUntil([&] { return fleet.plane(0).ready(); }, std::chrono::seconds(10)));
-  REQUIRE_FALSE(servedBehind);
+  REQUIRE_FALSE(readyWithStaleRevision);
 }
 
 TEST_CASE("a change whose proposer crashes takes effect completely or not at all", "[coordination]") {
   OAKPIER_PROPERTY("proposer crashes", [] {
     SimulatedFleet fleet(optionsFor(*rc::gen::arbitrary<std::uint64_t>()));
-    ConfigurationWatcher watcher(fleet);
+    ConfigurationChecker checker(fleet);
     RC_ASSERT(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
     fleet.runFor(std::chrono::seconds(5));
     fleet.submit(1, markedChange(9), 0);
@@ -255,8 +256,8 @@
     fleet.start(1);
     RC_ASSERT(fleet.runUntil([&] { return sameRevision(fleet); }, std::chrono::seconds(30)));
     fleet.submit(2, markedChange(10), 0);
-    RC_ASSERT(fleet.runUntil([&] { return watcher.accepted() >= 1; }, std::chrono::seconds(20)));
-    RC_ASSERT(watcher.fault().empty());
+    RC_ASSERT(fleet.runUntil([&] { return checker.accepted() >= 1; }, std::chrono::seconds(20)));
+    RC_ASSERT(checker.violation().empty());
   });
 }
 
--- a/tests/coordination/membership_test.cpp
+++ b/tests/coordination/membership_test.cpp
@@ -11,21 +11,21 @@
 namespace {
 
 /// Covers a probe round, the suspicion timeout and dissemination, also while failing probes slow them down.
-constexpr Duration kDetectionBound = std::chrono::seconds(60);
+constexpr Duration kConvergenceTimeout = std::chrono::seconds(60);
 
-bool sees(const SimulatedFleet& fleet, std::size_t observer, std::size_t subject, bool serving) {
+bool viewMatches(const SimulatedFleet& fleet, std::size_t observer, std::size_t subject, bool serving) {
   const MemberRecord* record = fleet.plane(observer).membership().members().find(fleet.address(subject));
-  const bool served =
+  const bool shownServing =
       record != nullptr && record->serving() && record->incarnation == fleet.incarnation(subject);
-  return served == serving;
+  return shownServing == serving;
 }
 
 /// Whether every running daemon's member table shows exactly the running daemons as serving.
-bool viewsAreTrue(const SimulatedFleet& fleet) {
+bool allViewsMatch(const SimulatedFleet& fleet) {
   for (std::size_t observer = 0; observer < fleet.size(); ++observer) {
     for (std::size_t subject = 0; subject < fleet.size(); ++subject) {
       const bool relevant = observer != subject && fleet.running(observer);
-      if (relevant && !sees(fleet, observer, subject, fleet.running(subject))) {
+      if (relevant && !viewMatches(fleet, observer, subject, fleet.running(subject))) {
         return false;
       }
     }
@@ -57,7 +57,7 @@
   }
   known.onReply(Endpoint(10, 1), others, now);
   Membership started(newAddress, "b", 9, MembershipSettings{}, RandomEngine(2));
-  started.onReply(oldAddress, known.introduction(newAddress), now);
+  started.onReply(oldAddress, known.fullTable(newAddress), now);
   REQUIRE(started.joined());
   REQUIRE(started.servingCount() == 291);
   REQUIRE(started.members().find(oldAddress) != nullptr);
@@ -75,13 +75,13 @@
 }
 
 /// Sends the member table of `from` to `to`.
-void tell(Membership& from, Membership& to) {
-  to.onReply(from.self(), from.introduction(to.self()), Moment(std::chrono::seconds(1)));
+void sendTable(Membership& from, Membership& to) {
+  to.onReply(from.self(), from.fullTable(to.self()), Moment(std::chrono::seconds(1)));
 }
 
-/// As `tell`, from a daemon of a version without capacities.
-void tellWithoutCapacities(Membership& from, Membership& to) {
-  ProbeReply reply = from.introduction(to.self());
+/// As `sendTable`, from a daemon of a version without capacities.
+void sendTableWithoutCapacities(Membership& from, Membership& to) {
+  ProbeReply reply = from.fullTable(to.self());
   for (MemberUpdate& update : *reply.mutable_updates()) {
     update.clear_capacity();
   }
@@ -103,11 +103,11 @@
   Membership between = memberAt(2);
   Membership observer = memberAt(3);
   subject.setCapacity(50);
-  tell(subject, between);
-  tell(between, observer);
+  sendTable(subject, between);
+  sendTable(between, observer);
   REQUIRE(capacityKnown(observer, subject) == 50);
   const std::uint64_t version = observer.version();
-  tell(between, observer);
+  sendTable(between, observer);
   REQUIRE(observer.version() == version);
 }
 
@@ -116,23 +116,23 @@
   Membership observer = memberAt(2);
   Membership late = memberAt(3);
   subject.setCapacity(50);
-  tell(subject, observer);
-  tell(subject, late);
+  sendTable(subject, observer);
+  sendTable(subject, late);
   const std::uint64_t before = digestSentBy(subject, 1);
   const std::uint64_t version = observer.version();
   subject.setCapacity(12);
   REQUIRE(digestSentBy(subject, 2) != before);
-  tell(subject, observer);
+  sendTable(subject, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
   REQUIRE(observer.version() > version);
   // A stale record does not restore the earlier capacity.
-  tell(late, observer);
+  sendTable(late, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
-  tell(observer, late);
+  sendTable(observer, late);
   REQUIRE(capacityKnown(late, subject) == 12);
   // An unknown capacity does not replace a known one.
   subject.setCapacity(0);
-  tell(subject, observer);
+  sendTable(subject, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
 }
 
@@ -141,23 +141,23 @@
   Membership old = memberAt(2);
   Membership observer = memberAt(3);
   subject.setCapacity(50);
-  tell(subject, old);
+  sendTable(subject, old);
   SECTION("first received without the capacity") {
-    tellWithoutCapacities(old, observer);
+    sendTableWithoutCapacities(old, observer);
     REQUIRE(observer.servingCount() == 2);
     REQUIRE(capacityKnown(observer, subject) == 0);
     const std::uint64_t version = observer.version();
-    tell(subject, observer);
+    sendTable(subject, observer);
     REQUIRE(capacityKnown(observer, subject) == 50);
     REQUIRE(observer.version() > version);
   }
   SECTION("later received without the capacity") {
-    tell(subject, observer);
-    tellWithoutCapacities(old, observer);
+    sendTable(subject, observer);
+    sendTableWithoutCapacities(old, observer);
     REQUIRE(capacityKnown(observer, subject) == 50);
   }
   SECTION("suspected by a daemon without capacities") {
-    tell(subject, observer);
+    sendTable(subject, observer);
     ProbeReply suspicion;
     MemberUpdate* update = suspicion.add_updates();
     update->set_address(subject.self().text());
@@ -169,10 +169,10 @@
     REQUIRE(capacityKnown(observer, subject) == 50);
   }
   SECTION("a higher incarnation has its own capacity") {
-    tell(subject, observer);
+    sendTable(subject, observer);
     Membership restarted = memberAt(1, 6);
     restarted.setCapacity(12);
-    tell(restarted, observer);
+    sendTable(restarted, observer);
     REQUIRE(capacityKnown(observer, restarted) == 12);
   }
 }
@@ -182,13 +182,13 @@
   MemberRecord record;
   record.address = Endpoint(1, 1);
   record.incarnation = 5;
-  const std::uint64_t untold = digestOf(record);
-  REQUIRE(untold == hashPair(record.address.packed(), record.incarnation));
+  const std::uint64_t withoutCapacity = digestOf(record);
+  REQUIRE(withoutCapacity == hashPair(record.address.packed(), record.incarnation));
   record.capacity = 12;
-  const std::uint64_t told = digestOf(record);
+  const std::uint64_t withCapacity = digestOf(record);
   record.capacity = 13;
-  REQUIRE(told != untold);
-  REQUIRE(told != digestOf(record));
+  REQUIRE(withCapacity != withoutCapacity);
+  REQUIRE(withCapacity != digestOf(record));
 }
 
 TEST_CASE("member tables match the running daemons within a bounded time after faults end",
@@ -221,7 +221,7 @@
       fleet.runFor(std::chrono::seconds(*rc::gen::inRange(0, 5)));
     }
     fleet.setLoss(0);
-    RC_ASSERT(fleet.runUntil([&] { return viewsAreTrue(fleet); }, kDetectionBound));
+    RC_ASSERT(fleet.runUntil([&] { return allViewsMatch(fleet); }, kConvergenceTimeout));
   });
 }
 
@@ -232,13 +232,13 @@
     fleet.setSide(daemon, 1);
   }
   fleet.runFor(std::chrono::minutes(3));
-  REQUIRE(sees(fleet, 0, 3, true));
-  REQUIRE(sees(fleet, 0, 1, false));
-  REQUIRE(sees(fleet, 1, 0, false));
+  REQUIRE(viewMatches(fleet, 0, 3, true));
+  REQUIRE(viewMatches(fleet, 0, 1, false));
+  REQUIRE(viewMatches(fleet, 1, 0, false));
   for (std::size_t daemon = 0; daemon < fleet.size(); ++daemon) {
     fleet.setSide(daemon, 0);
   }
-  REQUIRE(fleet.runUntil([&] { return viewsAreTrue(fleet); }, kDetectionBound));
+  REQUIRE(fleet.runUntil([&] { return allViewsMatch(fleet); }, kConvergenceTimeout));
 }
 
 TEST_CASE("a daemon that resumes after a pause does not revive dead members", "[coordination]") {
@@ -248,22 +248,22 @@
     fleet.pause(0);
     fleet.kill(1);
     fleet.runFor(std::chrono::seconds(60));
-    RC_ASSERT(sees(fleet, 2, 1, false));
+    RC_ASSERT(viewMatches(fleet, 2, 1, false));
     fleet.resume(0);
     for (int second = 0; second < 20; ++second) {
       fleet.runFor(std::chrono::seconds(1));
       for (std::size_t observer = 2; observer < fleet.size(); ++observer) {
-        RC_ASSERT(sees(fleet, observer, 1, false));
+        RC_ASSERT(viewMatches(fleet, observer, 1, false));
       }
     }
-    RC_ASSERT(fleet.runUntil([&] { return viewsAreTrue(fleet); }, kDetectionBound));
+    RC_ASSERT(fleet.runUntil([&] { return allViewsMatch(fleet); }, kConvergenceTimeout));
   });
 }
 
 TEST_CASE("daemons that start simultaneously know each other within 15 s without suspicions",
           "[coordination]") {
   SimulatedFleet fleet(optionsFor(1, 60));
-  REQUIRE(fleet.runUntil([&] { return viewsAreTrue(fleet); }, std::chrono::seconds(15)));
+  REQUIRE(fleet.runUntil([&] { return allViewsMatch(fleet); }, std::chrono::seconds(15)));
   std::uint64_t suspicions = 0;
   for (std::size_t daemon = 0; daemon < fleet.size(); ++daemon) {
     suspicions += fleet.plane(daemon).membership().counters().suspicionsRaised;
