--- a/src/coordination/control_plane.cpp
+++ b/src/coordination/control_plane.cpp
@@ -14,7 +14,7 @@
 /// After a pause a daemon that receives no confirmation from a peer is ready again after this long: it may be
 /// alone on its side of a network partition.
 constexpr Duration kRevalidationLimit = std::chrono::seconds(2);
-/// How long the revision of an undecided change is waited for.
+/// How long to wait for the revision of an undecided change.
 constexpr Duration kUndecidedTimeout = std::chrono::seconds(3);
 constexpr std::size_t kMaxQueuedRequests = 32;
 constexpr std::uint32_t kControlTimeToLiveMs = 3000;
@@ -195,7 +195,7 @@
   return known == revisions_.end() ? 0 : known->second;
 }
 
-/// After a pause the process's queues hold stale messages, which it must not act on.
+/// Detects a pause of the process, after which its queues hold stale messages that it must not act on.
 void ControlPlane::detectPause(Moment now) {
   if (lastCallAt_ != Moment{} && now - lastCallAt_ > settings_.pauseThreshold) {
     ++pauses_;
@@ -255,8 +255,8 @@
   }
 }
 
-/// Proposes revision 1, with the platform's configuration, if this daemon is a bootstrap voter and its turn
-/// has come.
+/// Proposes revision 1, with the platform's configuration, if this daemon is a bootstrap voter and its
+/// staggered start time is reached.
 void ControlPlane::maybeBootstrapCluster(Moment now) {
   if (store_.revision() != 0 || !platform_.configuration || !proposer_.idle()) {
     return;
--- a/src/coordination/control_plane.h
+++ b/src/coordination/control_plane.h
@@ -98,15 +98,15 @@
   ControlActions submit(ChangeRequest request, Moment now);
   /// Begins a planned stop: a voter proposes a voter set without itself.
   void prepareLeave() { self_.leaving = true; }
-  /// This daemon is not a voter, or there is no other serving member to replace it.
+  /// Whether this daemon is not a voter, or there is no other serving member to replace it.
   bool mayLeave() const;
   /// Completes a planned stop: notifies members.
   ControlActions leave(Moment now);
 
   const ConfigurationStore& store() const { return store_; }
   const Membership& membership() const { return membership_; }
-  /// Has an accepted configuration that, after a pause, a peer has confirmed to be current. A daemon that
-  /// receives no confirmation is ready again after a time limit.
+  /// Whether this daemon has an accepted configuration that, after a pause, a peer has confirmed to be
+  /// current. Without a confirmation it is ready again after a time limit.
   bool ready() const { return store_.revision() > 0 && !revalidating_; }
   /// Whether this daemon can grant reservations of request ids (see repeat_guard.h).
   bool grantsReservations(Moment now) const { return guard_.settled() && lease_.held(store_.voters(), now); }
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -107,7 +107,7 @@
   std::size_t servingCount() const { return members_.servingCount(); }
   /// Incremented with every change that placement or readiness depends on.
   std::uint64_t version() const { return version_; }
-  /// A message from another member or a seed has been received.
+  /// Whether a message from another member or a seed has been received.
   bool joined() const { return joined_; }
   const MembershipCounters& counters() const { return counters_; }
   const Endpoint& self() const { return self_; }
