--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Admission of queries by class: when capacity is short, lower classes are refused first, at once.
+/// Admission control of queries by priority class: near capacity, lower classes are refused first.
 
 #include <atomic>
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 namespace oakpier {
 
-/// Thread-safe. Counts queries in progress, in all and by class.
+/// Thread-safe. Counts queries in flight, in total and by class.
 class Admission {
  public:
   Admission(std::uint32_t maxQueries, bool enabled) : maxQueries_(maxQueries), enabled_(enabled) {}
 
-  /// Takes a place for a query of `entry`; false when its class must give way. Each true needs one `release`.
+  /// Admits a query of class `entry`; false if it is refused. Each admitted query needs one `release`.
   bool admit(const ClassEntry& entry);
-  /// Ends a query that took `elapsed`.
+  /// Ends an admitted query that took `elapsed`.
   void release(const ClassEntry& entry, Duration elapsed);
 
-  /// When a refused query has a chance: the time in which a place comes free, at the recent rate.
+  /// Retry-after time for refused queries: the moving average of query times, at least 1 ms.
   Duration retryAfter() const;
 
   std::uint32_t inFlight() const { return inFlight_.load(std::memory_order_relaxed); }
 
  private:
-  /// Each step of priority leaves this share of the places to those above it.
+  /// Share of `maxQueries_` withheld from a class per step of its priority number.
   static constexpr double kReservePerPriority = 0.1;
   static constexpr double kLowestShare = 0.5;
   static constexpr std::int64_t kSmoothing = 16;
--- a/src/coordination/budget.h
+++ b/src/coordination/budget.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A bound on extra work (retries, hedges) as a share of ordinary work, so that trouble cannot multiply load.
+/// Budget of retries and hedges as a share of regular requests, which bounds load amplification.
 
 #include <algorithm>
 #include <atomic>
@@ -8,10 +8,10 @@
 
 namespace oakpier {
 
-/// Token bucket fed by ordinary requests instead of by time. Lock-free.
+/// Token bucket refilled by regular requests instead of by time. Thread-safe, lock-free.
 class ShareBudget {
  public:
-  /// Each ordinary request earns `percent` hundredths of one extra request.
+  /// Each regular request earns `percent` hundredths of a token.
   void earn(std::uint32_t requests, std::uint32_t percent) {
     const std::int64_t earned = std::int64_t{requests} * percent * kUnitsPerToken / 100;
     const std::int64_t before = units_.fetch_add(earned, std::memory_order_relaxed);
@@ -20,7 +20,7 @@
     }
   }
 
-  /// Takes one token; false when the budget is spent.
+  /// Takes one token; false if none is left.
   bool spend() {
     std::int64_t before = units_.load(std::memory_order_relaxed);
     while (before >= kUnitsPerToken) {
@@ -33,7 +33,7 @@
 
  private:
   static constexpr std::int64_t kUnitsPerToken = 10'000;
-  /// Tokens that may be saved up, enough for a single query in a quiet service to be helped.
+  /// Bucket capacity in tokens: lets a service with few requests retry and hedge too.
   static constexpr std::int64_t kBurst = 20;
 
   std::atomic<std::int64_t> units_{kBurst * kUnitsPerToken};
--- a/src/coordination/entry_query.cpp
+++ b/src/coordination/entry_query.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Plans tried for one query before it gives up on finding a snapshot that holds.
+/// Maximum number of plans (snapshots) tried for one query.
 constexpr std::uint32_t kMostPlans = 3;
-/// Hedge delay before any latency was learnt, and that of the fixed baseline.
+/// Hedge delay of `HedgeRule::kFixed`, and the fallback until enough latencies were recorded.
 constexpr Duration kDefaultHedgeDelay = std::chrono::milliseconds(30);
-/// Told to the caller when no daemon or leaf gave a better time.
+/// Returned to the caller when neither a daemon nor a leaf sent a retry-after time.
 constexpr std::uint32_t kDefaultRetryAfterMs = 100;
-/// Most bytes of rows in one answer.
+/// Maximum size of the rows in one answer.
 constexpr std::size_t kMaxAnswerBytes = std::size_t{4} << 20U;
 
 bool saysNotRun(const LeafAnswer& answer) {
@@ -93,7 +93,7 @@
   return actions;
 }
 
-/// Lays out the shards of the partition that `snapshot_` belongs to.
+/// Selects the shards to query from the partition that `snapshot_` belongs to.
 void EntryQuery::plan() {
   ++planNumber_;
   rows_.clear();
@@ -113,7 +113,7 @@
   phase_ = Phase::kExecuting;
 }
 
-/// Asks one replica of each shard that nothing is known of for its state, which includes its snapshots.
+/// Requests the state, which lists the snapshots held, from one replica of each unreported shard.
 void EntryQuery::discover(const std::vector<const ShardEntry*>& unreported, Moment now,
                           QueryActions& actions) {
   ++counters_.discoveries;
@@ -139,7 +139,7 @@
   context_.runtime->retries.earn(count, context_.service->retry.budget_percent());
 }
 
-/// False when no replica is left for the shard.
+/// Returns false when the shard has no untried replica.
 bool EntryQuery::sendAttempt(std::size_t shard, Moment now, QueryActions& actions) {
   LeafChooser chooser(*context_.view, context_.policy.choice, *context_.random);
   const auto leaf = chooser.choose(*shards_[shard].shard, snapshot_, shards_[shard].excluded, now);
@@ -173,7 +173,7 @@
   attempts_.push_back(attempt);
 }
 
-/// One frame an owner: leaf requests that leave together travel together.
+/// Returns the batch for `owner`: leaf requests sent to one owner at the same time share a frame.
 WorkBatch& EntryQuery::batchFor(const Endpoint& owner, bool statusOnly, Moment now,
                                 QueryActions& actions) const {
   for (auto& outgoing : actions.work) {
@@ -228,7 +228,7 @@
   takeAnswer(number, result, now, actions);
 }
 
-/// `number` was in flight until now.
+/// Precondition: attempt `number` is in flight.
 void EntryQuery::takeAnswer(std::uint32_t number, const WorkResult& result, Moment now,
                             QueryActions& actions) {
   Attempt& attempt = attempts_[number];
@@ -242,7 +242,7 @@
     settle(number, AttemptState::kNotRun);
     if (result.reason() == NOT_SENT_OWNER_UNREACHABLE || result.reason() == NOT_SENT_STALE_FRAME ||
         result.reason() == NOT_SENT_STOPPING) {
-      // The leaf itself may be fine; another owner can ask it.
+      // The failure is the owner's: the same leaf may be retried through another owner.
       unreachableOwners_.push_back(attempt.owner);
       eraseValue(shards_[shard].excluded, attempt.leaf);
     } else if (result.reason() == NOT_SENT_LEAF_UNREACHABLE) {
@@ -266,7 +266,7 @@
   const Duration latency = now - attempt.sentAt;
   context_.runtime->latencies.record(latency, now);
   leaf.knowledge->recordLatency(latency);
-  // An answer of another plan is of another snapshot, and counts for nothing.
+  // Answers of an earlier plan come from another snapshot and are discarded.
   const bool ours = result.answer().snapshot() == snapshot_ && attempt.plan == planNumber_ &&
                     result.answer().shard() == shards_[shard].shard->name;
   if (ours) {
@@ -289,7 +289,7 @@
   }
 }
 
-/// Ends an attempt that is in flight; later states do not change.
+/// Moves an attempt in flight to its final state; no effect on an attempt that already ended.
 void EntryQuery::settle(std::uint32_t number, AttemptState state) {
   Attempt& attempt = attempts_[number];
   if (attempt.state != AttemptState::kInFlight) {
@@ -299,7 +299,8 @@
   context_.view->table->leaf(attempt.leaf).knowledge->removeOutstanding();
 }
 
-/// After an attempt ended without rows: another one, when the shard needs it and the rules allow it.
+/// Retries a shard whose attempt ended without rows, within the attempt limit and the retry budget. A lost
+/// attempt of a non-repeatable request is never retried.
 void EntryQuery::retry(std::size_t shard, Moment now, QueryActions& actions) {
   ShardProgress& progress = shards_[shard];
   if (progress.covered || newestInFlight(progress) != nullptr || now >= context_.deadline) {
@@ -321,8 +322,8 @@
   }
 }
 
-/// A shard that no replica can answer at this snapshot: try another snapshot for the whole request, once it
-/// is sure that nothing of a request not to be repeated has run.
+/// Called when a shard has no replica left at this snapshot. Replans the request at another snapshot; a
+/// non-repeatable request only if none of its attempts may have run.
 void EntryQuery::replanOrGiveUp(Moment now, QueryActions& actions) {
   const bool mayRepeat = !context_.request.not_repeatable() || !mayHaveRun();
   const SnapshotChoice choice = chooseSnapshot(*context_.view, *context_.service);
@@ -458,7 +459,7 @@
   actions.cancels.push_back(std::move(outgoing));
 }
 
-/// Some leaf may have executed some of the query: it did, or its answer is missing.
+/// Whether a leaf request was executed, or may have been because its answer is missing.
 bool EntryQuery::mayHaveRun() const {
   return std::any_of(attempts_.begin(), attempts_.end(), [](const Attempt& attempt) {
     return !attempt.statusOnly && attempt.state != AttemptState::kNotRun;
@@ -501,7 +502,7 @@
   answer_.mutable_error()->set_message("no leaf took the request");
 }
 
-/// Merges the shards' rows in order of their keys, within the limits on rows and bytes.
+/// Writes the rows of all shards sorted by key, truncated to the row and byte limits.
 void EntryQuery::writeRows() {
   std::sort(rows_.begin(), rows_.end(), [](const Row& left, const Row& right) {
     return left.key() != right.key() ? left.key() < right.key() : left.shard() < right.shard();
--- a/src/coordination/entry_query.h
+++ b/src/coordination/entry_query.h
@@ -1,14 +1,15 @@
 #pragma once
 
-/// The entry daemon's side of one query, as a state machine: results and time in, work and an answer out.
+/// State machine of one query at its entry daemon. Input: results and time; output: work for owners and the
+/// answer.
 ///
-///   kDiscovering --every asked leaf reported--> kExecuting --enough shards or deadline--> kFinished
-///        ^                                          |
-///        +---- snapshot retired: plan anew ---------+
+///   kDiscovering --all state requests ended--> kExecuting --enough shards or deadline--> kFinished
+///                                               |      ^
+///                                               +------+ snapshot retired: replan
 ///
-/// Invariants: every accepted row comes from `snapshot_`; a shard is covered by one attempt only; an attempt
-/// that is in flight or lost counts as possibly run; a request not to be repeated gets a second attempt only
-/// after a statement that the first did not run.
+/// Invariants: every accepted row comes from `snapshot_`; a shard is covered by at most one attempt; an
+/// attempt that is in flight or lost counts as possibly executed; a non-repeatable request is retried only
+/// after the previous attempt is confirmed not to have run.
 
 #include <memory>
 #include <string>
@@ -24,10 +25,11 @@
 
 namespace oakpier {
 
-/// When a second copy of a slow leaf request is sent. All but kLearnt exist for comparison.
+/// When a slow leaf request is hedged. `kLearnt` derives the delay from observed latencies; the others are
+/// baselines for benchmarks.
 enum class HedgeRule { kLearnt, kFixed, kOff };
 
-/// Variants of a policy, chosen when the daemon starts, so that measurements can compare them.
+/// Policy variants, fixed when the daemon starts.
 struct QueryPolicy {
   ChoiceRule choice = ChoiceRule::kLeastLoadedOfTwo;
   HedgeRule hedge = HedgeRule::kLearnt;
@@ -38,7 +40,7 @@
   const ServiceEntry* service = nullptr;
   QueryRequest request;
   std::uint32_t priority = 0;
-  /// Unique over daemons and restarts.
+  /// Unique across daemons and restarts.
   std::string workId;
   Moment arrivedAt{};
   Moment deadline{};
@@ -63,7 +65,7 @@
   std::vector<OutgoingCancel> cancels;
 };
 
-/// Counters of decisions, for metrics.
+/// Exported as metrics.
 struct QueryCounters {
   std::uint32_t leafRequests = 0;
   std::uint32_t hedges = 0;
@@ -84,10 +86,10 @@
   QueryActions start(Moment now);
   QueryActions onResults(const Endpoint& owner, const ResultBatch& results, Moment now);
   QueryActions onTime(Moment now);
-  /// The caller has gone; whatever runs is cancelled.
+  /// The caller disconnected: cancels all attempts in flight.
   QueryActions abandon(Moment now);
 
-  /// When `onTime` has something to do next.
+  /// Next time at which `onTime` must be called.
   Moment nextWake() const;
   bool finished() const { return phase_ == Phase::kFinished; }
   /// Valid once finished.
--- a/src/coordination/frame_age.h
+++ b/src/coordination/frame_age.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Tells how long a frame was on the way, without synchronised clocks: the quickest frame of a sender process
-/// is taken as immediate, and later ones are measured against it. So frames that waited in a queue while
-/// either side was paused, or a network was cut, are recognised as old.
+/// Estimates the age of a received frame without synchronised clocks: the smallest clock offset seen from a
+/// sender's incarnation is the baseline, and the excess over it is the age. Detects frames that were queued
+/// while either process was paused or during a network partition.
 
 #include <algorithm>
 #include <cstdint>
--- a/src/coordination/latency_tracker.h
+++ b/src/coordination/latency_tracker.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Learns a quantile of recent leaf latencies of one service, from which the hedge delay is taken.
+/// Estimates a quantile of a service's recent leaf latencies, used as the hedge delay.
 
 #include <boost/accumulators/accumulators.hpp>
 #include <boost/accumulators/statistics/count.hpp>
@@ -13,7 +13,7 @@
 
 namespace oakpier {
 
-/// Two windows: one fills while the other, complete one is read. So the estimate forgets old load.
+/// Thread-safe. Uses two windows, one being filled and one complete, so that old latencies expire.
 class LatencyTracker {
  public:
   explicit LatencyTracker(double quantile) : quantile_(quantile), filling_(fresh()), complete_(fresh()) {}
@@ -24,7 +24,7 @@
     filling_(static_cast<double>(latency.count()));
   }
 
-  /// Empty until enough latencies were seen.
+  /// Empty until a window has `kEnough` samples.
   std::optional<Duration> estimate() const {
     const std::lock_guard<std::mutex> guard(mutex_);
     for (const Window* window : {&complete_, &filling_}) {
--- a/src/coordination/leaf_chooser.cpp
+++ b/src/coordination/leaf_chooser.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A cold leaf counts as this many times busier than it says.
+/// Factor on the load of a cold leaf.
 constexpr double kColdFactor = 4.0;
 
 }  // namespace
--- a/src/coordination/leaf_chooser.h
+++ b/src/coordination/leaf_chooser.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Chooses which replica of a shard answers: the less loaded of two eligible ones drawn at random.
+/// Selects a replica of a shard by the power of two choices: the less loaded of two random eligible ones.
 
 #include <cstdint>
 #include <optional>
@@ -12,12 +12,12 @@
 
 namespace oakpier {
 
-/// What a leaf said of itself is acted on for this long.
+/// Validity of a leaf's reported draining state and snapshots.
 inline constexpr Duration kDrainingWordLease = std::chrono::seconds(5);
-/// After this many failures in a row a leaf is used only when no other replica is left.
+/// After this many consecutive failures a leaf is used only if no other replica is eligible.
 inline constexpr std::uint32_t kEjectionFailures = 3;
 
-/// How replicas are told apart. `kRandom` is the baseline that measurements compare with.
+/// Replica selection policy. `kRandom` is a baseline for benchmarks.
 enum class ChoiceRule { kLeastLoadedOfTwo, kRandom };
 
 class LeafChooser {
--- a/src/coordination/leaf_dispatcher.cpp
+++ b/src/coordination/leaf_dispatcher.cpp
@@ -8,11 +8,10 @@
 
 namespace {
 
-/// Tasks that may wait for one leaf, as a multiple of its slots.
+/// Queue capacity of a leaf per unit of its concurrency limit.
 constexpr std::size_t kQueuePerSlot = 16;
-/// A status check that takes longer than this has failed.
 constexpr Duration kStatusTimeout = std::chrono::milliseconds(500);
-/// A lane that was not used for this long is forgotten.
+/// Lanes unused for longer than this are removed.
 constexpr Duration kLaneIdleTime = std::chrono::seconds(60);
 constexpr Duration kRetryAfterUnreachable = std::chrono::milliseconds(200);
 constexpr Duration kRetryAfterDraining = std::chrono::milliseconds(500);
@@ -85,7 +84,7 @@
   lane.queue.push(std::move(task));
 }
 
-/// Sends what may be sent now.
+/// Sends queued tasks up to the leaf's concurrency limit; a status check first if its state has expired.
 void LeafDispatcher::pump(const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions) {
   while (!lane.queue.empty() && lane.inFlight < std::max(1U, lane.limit.current())) {
     const bool fresh = lane.stateKnown && now - lane.stateAt < kStateLease;
@@ -145,7 +144,7 @@
   lane.limit.onAnswer(answer.status(), answer.state());
   lane.serviceTime += (now - ended.sentAt - lane.serviceTime) / kServiceTimeSmoothing;
   WorkResult result = resultFor(ended.task, &lane);
-  // An answer to another question proves nothing about this one.
+  // A mismatched answer does not tell whether this task ran.
   const bool echoed = answer.request_id() == ended.task.batch->request_id() &&
                       answer.shard() == ended.task.workItem().shard() &&
                       (answer.status() != LEAF_OK || answer.snapshot() == ended.task.batch->snapshot());
@@ -311,7 +310,7 @@
   reply(task, std::move(result), actions);
 }
 
-/// Results of one query that end together travel together.
+/// Results of one query that are produced by the same event share a frame.
 void LeafDispatcher::reply(const LeafTask& task, WorkResult result, DispatchActions& actions) {
   for (auto& outgoing : actions.replies) {
     if (outgoing.entry == task.entry && outgoing.results.work_id() == task.batch->work_id()) {
--- a/src/coordination/leaf_dispatcher.h
+++ b/src/coordination/leaf_dispatcher.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// The owner daemon's side: takes leaf requests from entry daemons, keeps each leaf within its limit, and
-/// answers what became of every one. A state machine: messages and time in, actions out.
+/// State machine of an owner daemon: queues the leaf requests of entry daemons, enforces each leaf's
+/// concurrency limit, and replies with the result of each request. Input: messages and time; output: actions.
 ///
-/// Invariants: a task is sent to its leaf at most once; a task that was sent ends as WORK_ANSWERED or
-/// WORK_NO_ANSWER, never as WORK_NOT_SENT, unless no byte of it left; a leaf whose own word is older than
-/// `kStateLease` is asked for its state before it gets work.
+/// Invariants: a task is sent to its leaf at most once; a sent task ends as WORK_ANSWERED or WORK_NO_ANSWER,
+/// and as WORK_NOT_SENT only if no byte of it was sent; when a leaf's reported state is older than
+/// `kStateLease`, a status check precedes the next task.
 
 #include <functional>
 #include <memory>
@@ -19,23 +19,22 @@
 
 namespace oakpier {
 
-/// How long a leaf's own report of its state may be acted on.
+/// Validity of a leaf's reported state.
 inline constexpr Duration kStateLease = std::chrono::seconds(2);
 
-/// Names one exchange with a leaf.
+/// Identifies one request to a leaf and its answer.
 using ExchangeId = std::uint64_t;
 
-/// Send this to the leaf.
 struct SendToLeaf {
   ExchangeId exchange = 0;
   Endpoint leaf;
-  /// Ask for the state only; `task` is unset.
+  /// Status check; `task` is unset.
   bool statusOnly = false;
   LeafTask task;
   std::uint32_t remainingMs = 0;
 };
 
-/// Give up an exchange; the connection it used is closed, since its answer may still come.
+/// Aborts an exchange. Its connection must be closed, since a late answer may still arrive on it.
 struct AbortExchange {
   ExchangeId exchange = 0;
 };
@@ -51,9 +50,9 @@
   std::vector<ReplyToEntry> replies;
 };
 
-/// How an exchange ended without an answer.
+/// Why an exchange ended without an answer.
 enum class ExchangeFailure {
-  /// No connection was made, so no byte of the request left.
+  /// No connection was established: no byte of the request was sent.
   kNotConnected,
   kBroken,
 };
@@ -72,10 +71,10 @@
 
 class LeafDispatcher {
  public:
-  /// Admission control off is the baseline that measurements compare with.
+  /// `refuseHopeless`: refuse tasks that are not expected to finish before their deadline.
   explicit LeafDispatcher(bool refuseHopeless) : refuseHopeless_(refuseHopeless) {}
 
-  /// `deadline`: when the work was received plus the time that it had left.
+  /// `deadline`: receive time plus the remaining time in the batch.
   DispatchActions onWork(const Endpoint& entry, const std::shared_ptr<const WorkBatch>& batch,
                          Moment deadline, const RoutingView& view, Moment now);
   DispatchActions onCancel(const CancelWork& cancel, Moment now);
@@ -84,7 +83,7 @@
   DispatchActions onFailure(ExchangeId exchange, ExchangeFailure failure, Moment now);
   DispatchActions onTime(Moment now);
 
-  /// Tasks waiting or in progress; a planned stop waits until there are none.
+  /// Number of queued tasks and open exchanges; a graceful shutdown waits until it is zero.
   std::size_t busy() const;
   const DispatchCounters& counters() const { return counters_; }
 
--- a/src/coordination/leaf_lane.h
+++ b/src/coordination/leaf_lane.h
@@ -1,7 +1,6 @@
 #pragma once
 
-/// The requests of one leaf at its owner: those waiting, by class, and those in progress, within the leaf's
-/// limit.
+/// Per-leaf state at the owner: the queue by priority class and the requests in flight.
 
 #include <cstdint>
 #include <deque>
@@ -18,7 +17,7 @@
 
 namespace oakpier {
 
-/// One leaf request that an entry daemon handed over.
+/// One leaf request received from an entry daemon.
 struct LeafTask {
   Endpoint entry;
   std::shared_ptr<const WorkBatch> batch;
@@ -28,22 +27,23 @@
   const WorkItem& workItem() const { return batch->items(item); }
 };
 
-/// Waiting tasks in strict order of class, first come first served within one.
+/// Strict priority queue of tasks; FIFO within a priority.
 class LeafQueue {
  public:
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
 
-  /// Tasks that go before a new one of `priority`.
+  /// Number of queued tasks that precede a new one of `priority`.
   std::size_t aheadOf(std::uint32_t priority) const;
 
   void push(LeafTask task);
   LeafTask pop();
 
-  /// Removes and returns the youngest task of the lowest class below `priority`; empty when there is none.
+  /// Removes and returns the newest task of the lowest class that ranks below `priority`; empty when there is
+  /// none.
   std::optional<LeafTask> evictBelow(std::uint32_t priority);
 
-  /// Removes and returns every task that `matches`.
+  /// Removes and returns every task for which `matches` is true.
   template <typename Predicate>
   std::vector<LeafTask> extract(Predicate matches) {
     std::vector<LeafTask> extracted;
@@ -62,17 +62,17 @@
   }
 
  private:
-  /// Lower numbers pay more and go first.
+  /// Lower numbers are higher priority.
   std::map<std::uint32_t, std::deque<LeafTask>> byPriority_;
   std::size_t size_ = 0;
 };
 
-/// What an owner keeps of one leaf.
+/// Queue, concurrency limit and last reported state of one leaf.
 struct LeafLane {
   explicit LeafLane(std::uint32_t share) : connectionShare(share), limit(share) {}
 
   Endpoint address;
-  /// Most connections, and so requests in progress, that this owner may have at the leaf.
+  /// Maximum number of connections, and so of requests in flight, from this owner to the leaf.
   std::uint32_t connectionShare;
   LeafLimit limit;
   LeafQueue queue;
@@ -83,10 +83,10 @@
   bool validating = false;
   std::uint32_t failures = 0;
   Moment usedAt{};
-  /// Smoothed time that the leaf takes for one request.
+  /// Moving average of the leaf's time per request.
   Duration serviceTime = std::chrono::milliseconds(5);
 
-  /// How long a new task of `priority` would wait for a slot.
+  /// Estimated queueing delay of a new task of `priority`.
   Duration expectedWait(std::uint32_t priority) const;
 };
 
--- a/src/coordination/leaf_limit.h
+++ b/src/coordination/leaf_limit.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// How many requests one owner keeps in progress at one leaf: near the leaf's slots, less when it sheds, few
-/// while it is cold.
+/// Adaptive limit on one owner's concurrent requests to one leaf: up to the leaf's slots, lower while the
+/// leaf sheds load or is cold.
 
 #include <algorithm>
 #include <cstdint>
@@ -19,7 +19,8 @@
     limit_ = std::min(limit_, static_cast<double>(slots_));
   }
 
-  /// Takes in one answer: additive increase towards the slots, multiplicative decrease when the leaf shed.
+  /// AIMD: additive increase up to the slots on success, multiplicative decrease when the leaf sheds load. A
+  /// leaf that turns cold restarts at 1.
   void onAnswer(LeafStatus status, const LeafState& state) {
     if (state.cold() && !cold_) {
       limit_ = 1;
--- a/src/coordination/owner_health.h
+++ b/src/coordination/owner_health.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Notices within a fraction of a second that an owner daemon no longer answers, long before membership does,
-/// so that requests use the leaf's second owner meanwhile.
+/// Detects unresponsive owner daemons from unanswered frames, sooner than membership does, so that requests
+/// use the leaf's second owner meanwhile.
 
 #include <mutex>
 #include <unordered_map>
@@ -11,14 +11,14 @@
 
 namespace oakpier {
 
-/// Thread-safe; one per daemon, fed by all queries.
+/// Thread-safe; one per daemon, shared by all queries.
 class OwnerHealth {
  public:
   void recordSent(const Endpoint& owner, Moment now);
   void recordReply(const Endpoint& owner);
 
-  /// The owner has left several frames unanswered for a while. After `kRetryPeriod` one caller at a time is
-  /// told false again, so that a recovered owner is noticed.
+  /// Whether several frames to the owner have been unanswered for too long. Returns false to one caller per
+  /// `kRetryPeriod`, whose request probes for recovery.
   bool suspected(const Endpoint& owner, Moment now);
 
  private:
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -50,8 +50,8 @@
                       std::back_inserter(came), byAddress);
   std::set_difference(members_.begin(), members_.end(), members.begin(), members.end(),
                       std::back_inserter(went), byAddress);
-  // Zones that gain their first member or lose their last one are ranked anew, as they borrow from all
-  // others.
+  // A zone without members uses the members of all zones, so a zone that gains its first member or loses its
+  // last one is recomputed.
   std::unordered_map<std::uint64_t, std::vector<Candidate>> byZone;
   for (const auto& member : members) {
     byZone[member.zone].push_back(member);
@@ -92,7 +92,7 @@
   }
 }
 
-/// Puts the candidate at its rank, if it has one.
+/// Inserts the candidate if it ranks among the owners; ties go to the lower address.
 void Placement::offer(LeafPlace& place, const Candidate& candidate) {
   Ranked offered{hashPair(place.hash, candidate.address.packed()), candidate.address};
   for (auto& ranked : place.ranked) {
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -1,11 +1,11 @@
 #pragma once
 
-/// Decides which daemons hold the connections of each leaf: rendezvous hashing within the leaf's zone. Each
-/// daemon computes it alone from its member table; equal tables give equal owners.
+/// Assigns owner daemons, which hold the connections, to each leaf by rendezvous hashing within the leaf's
+/// zone. Each daemon computes owners locally from its member table; equal tables give equal owners.
 ///
-/// Invariants: owners are serving members; a change of one member moves only leafs that it gains or loses; an
-/// owner opens at most `connectionShare` connections to a leaf, so that a few owners with different views
-/// together stay within what the leaf accepts.
+/// Invariants: owners are serving members; when one member joins or departs, only leafs that it gains or
+/// loses move; an owner opens at most `connectionShare` connections to a leaf, so that `kConcurrentOwners`
+/// owners with different views together stay within the leaf's connection limit.
 
 #include <cstdint>
 #include <unordered_map>
@@ -16,32 +16,32 @@
 
 namespace oakpier {
 
-/// Owners that may hold connections to one leaf at once while views differ: the current, the next and the
-/// second of either.
+/// Maximum number of owners connected to one leaf while views differ: first and second owner of both the
+/// old and the new view.
 inline constexpr std::uint32_t kConcurrentOwners = 4;
 
-/// Most connections one owner opens to a leaf.
+/// Maximum number of connections from one owner to a leaf.
 std::uint32_t connectionShare(const LeafEntry& leaf);
 
-/// A member that may own leafs.
+/// A serving member, which can own leafs.
 struct Candidate {
   Endpoint address;
-  /// Name of the zone, hashed.
+  /// Hash of the zone name.
   std::uint64_t zone = 0;
 };
 
-/// Computes owners and keeps them up to date. Holds what is needed to move only the leafs that a change
-/// touches.
+/// Computes owners incrementally: a change recomputes only the leafs that it affects.
 class Placement {
  public:
-  /// Takes over the leafs that `table.touched()` names. Those that stay in their zone keep their owners.
+  /// Applies the leafs in `table.touched()`. Leafs that stay in their zone keep their owners.
   void updateLeaves(const RoutingTable& table);
-  /// Takes over the serving members. Touches only the leafs of members that came or went.
+  /// Replaces the serving members. Recomputes only leafs affected by members that joined or departed.
   void setMembers(std::vector<Candidate> members);
 
-  /// By leaf index.
+  /// Indexed by `LeafIndex`.
   const std::vector<LeafOwners>& owners() const { return owners_; }
-  /// Owners of the first rank that the last `setMembers` changed.
+  /// Number of leafs whose owners the last `updateLeaves` recomputed, or whose first owner the last
+  /// `setMembers` changed.
   std::size_t moved() const { return moved_; }
 
  private:
--- a/src/coordination/probe_order.h
+++ b/src/coordination/probe_order.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Whom membership probes next: round-robin over a shuffled list, so that every member is probed within a
-/// bounded time.
+/// Order of membership probes: round-robin over a shuffled list, which bounds the time between two probes of
+/// a member.
 
 #include <optional>
 #include <vector>
@@ -15,7 +15,7 @@
 /// Not thread-safe.
 class ProbeOrder {
  public:
-  /// A member that has joined; it takes a random place in the current round.
+  /// Inserts a joined member at a random position in the current round.
   void add(const Endpoint& member, RandomEngine& random);
   /// The next serving member; empty when there is none.
   std::optional<Endpoint> next(const MemberTable& members, RandomEngine& random);
@@ -23,15 +23,16 @@
  private:
   std::optional<Endpoint> takeServing(const MemberTable& members);
 
-  /// Those still to be probed in this round, the next one last.
+  /// Members not yet probed in this round; the next one is last.
   std::vector<Endpoint> remaining_;
 };
 
-/// Members that were declared dead. Some may be back, or alive behind a cut, so one at a time is tried.
+/// Members declared dead. They may have restarted, or be alive across a network partition, so one at a time
+/// is probed.
 class DeadMembers {
  public:
   void add(const Endpoint& member) { dead_.push_back(member); }
-  /// One that is still held to be dead, at random; empty when there is none.
+  /// A random member that is still recorded as dead; empty when there is none.
   std::optional<Endpoint> draw(const MemberTable& members, RandomEngine& random);
 
  private:
--- a/src/coordination/repeat_guard.cpp
+++ b/src/coordination/repeat_guard.cpp
@@ -54,7 +54,7 @@
   }
 }
 
-/// Serving members, this daemon, and those that went so lately that their reservations may still matter.
+/// This daemon, the serving members, and departed ones whose reservations may not have expired.
 std::vector<Endpoint> RepeatGuard::rankedMembers(const MemberTable& members, Moment now) const {
   std::vector<Endpoint> ranked{self_};
   for (const auto& record : members.records()) {
--- a/src/coordination/repeat_guard.h
+++ b/src/coordination/repeat_guard.h
@@ -1,14 +1,14 @@
 #pragma once
 
-/// Keeps a request not to be repeated from running twice when its caller sends it again, to this daemon or
-/// another. Before such a request runs, most of its guardians must remember its id: the three daemons that
-/// rank first for the id by rendezvous hashing.
+/// Prevents a non-repeatable request from running twice when its caller resends it, to this daemon or
+/// another. Before such a request runs, a majority of its guardians must reserve its id. The guardians of an
+/// id are the three daemons that rank first for it by rendezvous hashing.
 ///
-/// A guardian abstains whenever an earlier reservation could exist that it does not know of:
-///  - it started lately and has not yet heard from every member what they hold for it;
-///  - a daemon that ranks before it went within the window, so the reservation may have gone with that one;
-///  - it does not hold the voters' lease, so it may be on the smaller side of a cut.
-/// Reservations are remembered for the window; a caller that sends an id again later is not protected.
+/// A guardian abstains whenever an earlier reservation may exist that it does not know of:
+///  - it restarted recently and has not yet received the reservations of every member;
+///  - a daemon that ranks before it departed within the window and may have held the reservation;
+///  - it does not hold the voters' lease, so it may be on the minority side of a network partition.
+/// Reservations expire after the window; an id that is resent later is not protected.
 
 #include <string>
 #include <unordered_map>
@@ -22,14 +22,15 @@
 
 inline constexpr std::size_t kGuardiansPerId = 3;
 
-/// The daemons of `members` that guard `requestId`, first rank first; fewer when there are fewer members.
+/// The guardians of `requestId` among `members`, in order of rank; fewer than `kGuardiansPerId` if there are
+/// fewer members.
 std::vector<Endpoint> guardiansOf(const std::string& requestId, const std::vector<Endpoint>& members);
 
 struct RepeatGuardSettings {
   Duration window = std::chrono::seconds(30);
-  /// Added to the window for daemons that went: a cut-off one may grant on until its lease ends.
+  /// Added to the window for departed daemons: a partitioned one may grant until its lease expires.
   Duration leaseLength = std::chrono::seconds(15);
-  /// A starting daemon is not sure to know all members before this.
+  /// Minimum time after the start before the member table is assumed to be complete.
   Duration shortestSettling = std::chrono::seconds(5);
   Duration askPeriod = std::chrono::seconds(1);
 };
@@ -41,14 +42,14 @@
   ReserveReply onReserve(const Reserve& reserve, const MemberTable& members, bool leaseHeld, Moment now);
   void onRelease(const ReserveRelease& release);
 
-  /// What is held here that `asker` guards too.
+  /// The reservations held here of which `asker` is a guardian too.
   ReservationsReply reservationsFor(const Endpoint& asker, const MemberTable& members, Moment now) const;
   void onReservations(const Endpoint& sender, const ReservationsReply& reply, Moment now);
 
-  /// Members to ask for their reservations now; forgets what is past its window.
+  /// Returns the members to request reservations from; removes expired reservations.
   std::vector<Endpoint> onTime(const MemberTable& members, Moment now);
 
-  /// Everything reserved before this daemon started is known here, or too old to matter.
+  /// All unexpired reservations from before this daemon's start are known here.
   bool settled() const { return settled_; }
 
  private:
@@ -70,7 +71,7 @@
   Moment nextAskAt_{};
 };
 
-/// The entry's side: counts the guardians' verdicts for one request.
+/// Counts the guardians' verdicts for one request, at its entry daemon.
 class Reservation {
  public:
   enum class State { kWaiting, kGranted, kDuplicate, kRefused };
--- a/src/coordination/service_runtime.h
+++ b/src/coordination/service_runtime.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What a daemon learns about a service while it serves it; shared by all queries of that service.
+/// Latency statistics and budgets of one service, shared by all of its queries at a daemon.
 
 #include "coordination/budget.h"
 #include "coordination/latency_tracker.h"
--- a/src/coordination/snapshot_choice.cpp
+++ b/src/coordination/snapshot_choice.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Snapshots further back than the newest few are not worth weighing.
+/// Only this many of the newest snapshots are considered.
 constexpr std::size_t kMostCandidates = 4;
 
 bool usable(const RoutingView& view, LeafIndex index) {
@@ -15,7 +15,7 @@
   return !leaf.drained && !view.leaving[index] && leaf.knowledge->known() && !leaf.knowledge->draining();
 }
 
-/// Newest snapshots that any replica reported, newest first.
+/// The distinct newest snapshots of usable replicas, newest first.
 std::vector<std::uint64_t> candidates(const RoutingView& view, const ServiceEntry& service) {
   std::vector<std::uint64_t> snapshots;
   for (const auto& partition : service.partitions) {
@@ -45,7 +45,7 @@
                      [&](LeafIndex index) { return view.table->leaf(index).knowledge->known(); });
 }
 
-/// Share of the shards of the partition at `snapshot` that a replica holds, 0 to 1.
+/// Fraction (0 to 1) of the shards at `snapshot` that a usable replica holds.
 double coverage(const RoutingView& view, const ServiceEntry& service, std::uint64_t snapshot) {
   const auto& shards = service.partitionAt(snapshot).shards;
   const auto count = std::count_if(shards.begin(), shards.end(),
--- a/src/coordination/snapshot_choice.h
+++ b/src/coordination/snapshot_choice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Chooses the one snapshot that all of a request's leaf requests read.
+/// Selects the snapshot that all leaf requests of a query read.
 
 #include <cstdint>
 #include <vector>
@@ -12,11 +12,11 @@
 struct SnapshotChoice {
   /// 0 = no leaf of the service has reported yet.
   std::uint64_t snapshot = 0;
-  /// Shards of the chosen snapshot's partition of which no replica has reported.
+  /// Shards of the snapshot's partition without a replica that reported its state.
   std::vector<const ShardEntry*> unreported;
 };
 
-/// The snapshot that most shards can answer by what their leafs reported; among equals the newest.
+/// The snapshot held by usable replicas of the most shards, as reported; the newest on a tie.
 SnapshotChoice chooseSnapshot(const RoutingView& view, const ServiceEntry& service);
 
 }  // namespace oakpier
--- a/tests/coordination/leaf_dispatcher_test.cpp
+++ b/tests/coordination/leaf_dispatcher_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t kSlots = 2;
 
-/// One dispatcher with the leafs of a small configuration; time stands still unless moved.
+/// A dispatcher with the leafs of a small configuration and a manual clock.
 struct Bench {
   Bench() {
     auto fresh = std::make_shared<RoutingView>();
@@ -50,7 +50,7 @@
     return answer;
   }
 
-  /// Gets the leaf known, so that later work is sent at once.
+  /// Reports the leaf's state, so that later work is sent without a status check.
   void introduceLeaf() {
     const DispatchActions first = work(1000, 0);
     const DispatchActions second = dispatcher.onStatus(first.sends.at(0).exchange, state(), now);
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("a leaf of unknown or old state is asked for it before it gets work", "[coordination]") {
+TEST_CASE("a leaf whose state is unknown or expired gets a status check before work", "[coordination]") {
   Bench bench;
   const DispatchActions first = bench.work(1, 0);
   REQUIRE(first.sends.size() == 1);
@@ -85,7 +85,7 @@
   REQUIRE(bench.dispatcher.counters().statusChecks == 2);
 }
 
-TEST_CASE("a draining leaf gets no work, by its own word", "[coordination]") {
+TEST_CASE("a leaf that reports draining gets no work", "[coordination]") {
   Bench bench;
   const DispatchActions first = bench.work(1, 0);
   REQUIRE(onlyRefusal(bench.dispatcher.onStatus(first.sends[0].exchange, bench.state(true), bench.now)) ==
@@ -93,7 +93,7 @@
   REQUIRE(onlyRefusal(bench.work(2, 0)) == NOT_SENT_DRAINING);
 }
 
-TEST_CASE("a leaf gets no more than its slots, the best class first", "[coordination]") {
+TEST_CASE("requests in flight stay within the slots, highest class first", "[coordination]") {
   Bench bench;
   bench.introduceLeaf();
   const DispatchActions one = bench.work(1, 5);
@@ -107,7 +107,8 @@
   REQUIRE(freed.sends[0].task.workItem().attempt() == 4);
 }
 
-TEST_CASE("what cannot be done in time is refused at once, with a time to come back", "[coordination]") {
+TEST_CASE("work that would miss its deadline is refused immediately with a retry-after time",
+          "[coordination]") {
   Bench bench;
   bench.introduceLeaf();
   DispatchActions last;
@@ -118,7 +119,7 @@
   REQUIRE(last.replies[0].results.results(0).retry_after_ms() > 0);
 }
 
-TEST_CASE("a cancelled request is aborted and its slot goes to the next", "[coordination]") {
+TEST_CASE("cancelling a request aborts it and frees its slot for the next", "[coordination]") {
   Bench bench;
   bench.introduceLeaf();
   const DispatchActions one = bench.work(1, 0);
@@ -146,7 +147,7 @@
               .replies.empty());
 }
 
-TEST_CASE("an answer to another question is no answer", "[coordination]") {
+TEST_CASE("an answer with a different request id counts as no answer", "[coordination]") {
   Bench bench;
   bench.introduceLeaf();
   const DispatchActions sent = bench.work(1, 0);
@@ -156,7 +157,7 @@
   REQUIRE(actions.replies.at(0).results.results(0).status() == WORK_NO_ANSWER);
 }
 
-TEST_CASE("a leaf that sheds gets less, and more again as it answers", "[coordination]") {
+TEST_CASE("the limit of a leaf decreases when it sheds load and recovers with answers", "[coordination]") {
   LeafLimit limit(10);
   LeafState state;
   limit.onAnswer(LEAF_SHED, state);
--- a/tests/coordination/placement_test.cpp
+++ b/tests/coordination/placement_test.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("owners do not depend on the way the members came and went", "[coordination]") {
+TEST_CASE("owners do not depend on the order in which members joined and departed", "[coordination]") {
   OAKPIER_PROPERTY("path independence", [] {
     Placement moved;
     moved.updateLeaves(table());
@@ -69,7 +69,7 @@
   });
 }
 
-TEST_CASE("a member that goes moves its own leafs only", "[coordination]") {
+TEST_CASE("the departure of a member moves only the leafs it owned", "[coordination]") {
   OAKPIER_PROPERTY("least movement", [] {
     auto members = candidates(30);
     const auto before = placementOf(members).owners();
@@ -83,7 +83,7 @@
   });
 }
 
-TEST_CASE("the owners that views may differ on stay within a leaf's connections", "[coordination]") {
+TEST_CASE("owners with different views together stay within a leaf's connection limit", "[coordination]") {
   OAKPIER_PROPERTY("connection bound", [] {
     LeafEntry leaf;
     leaf.slots = *rc::gen::inRange<std::uint16_t>(1, 50);
--- a/tests/coordination/policies_test.cpp
+++ b/tests/coordination/policies_test.cpp
@@ -7,7 +7,7 @@
 
 namespace oakpier {
 
-TEST_CASE("extra requests never exceed their share of ordinary ones and the burst", "[coordination]") {
+TEST_CASE("extra requests never exceed their share of regular ones plus the burst", "[coordination]") {
   OAKPIER_PROPERTY("budget", [] {
     constexpr int kBurst = 20;
     ShareBudget budget;
@@ -38,7 +38,7 @@
   REQUIRE(admission.admit(low));
 }
 
-TEST_CASE("the hedge delay follows the latencies of the last seconds", "[coordination]") {
+TEST_CASE("the latency estimate follows recent latencies", "[coordination]") {
   LatencyTracker tracker(0.9);
   Moment now{std::chrono::hours(1)};
   REQUIRE_FALSE(tracker.estimate().has_value());
@@ -54,7 +54,7 @@
   REQUIRE(toMilliseconds(*tracker.estimate()) == 50);
 }
 
-TEST_CASE("an owner that leaves frames unanswered is avoided until it answers", "[coordination]") {
+TEST_CASE("an unresponsive owner is avoided until it answers", "[coordination]") {
   OwnerHealth health;
   const Endpoint owner(1, 1);
   Moment now{std::chrono::hours(1)};
@@ -63,14 +63,14 @@
   }
   REQUIRE_FALSE(health.suspected(owner, now));
   now += std::chrono::seconds(1);
-  // One caller tries it again; the others stay away.
+  // One caller per retry period probes the owner; the others still avoid it.
   REQUIRE_FALSE(health.suspected(owner, now));
   REQUIRE(health.suspected(owner, now));
   health.recordReply(owner);
   REQUIRE_FALSE(health.suspected(owner, now));
 }
 
-TEST_CASE("a frame that waited is as old as its wait, whatever the clocks say", "[coordination]") {
+TEST_CASE("the age of a frame equals its queueing time, independent of clock offsets", "[coordination]") {
   OAKPIER_PROPERTY("frame age", [] {
     FrameAge age;
     const Endpoint sender(1, 1);
@@ -80,7 +80,7 @@
     const auto sent = static_cast<std::uint64_t>(start.time_since_epoch().count() + skew);
     RC_ASSERT(age.ageOf(sender, 1, sent, start + Duration(500)) == Duration(0));
     RC_ASSERT(age.ageOf(sender, 1, sent, start + Duration(500 + wait)) == Duration(wait));
-    // A restarted sender has another clock origin.
+    // A restarted sender's clock has another origin.
     RC_ASSERT(age.ageOf(sender, 2, 5, start + Duration(500)) == Duration(0));
   });
 }
--- a/tests/coordination/repeat_guard_test.cpp
+++ b/tests/coordination/repeat_guard_test.cpp
@@ -1,4 +1,5 @@
-/// A request not to be repeated that its caller sends again, to any daemon, under generated faults.
+/// Guards against a non-repeatable request running twice when it is resent to any daemon, under random
+/// faults.
 
 #include "coordination/repeat_guard.h"
 
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// Callers that send ids through drawn daemons; notes which sends were allowed to run.
+/// Callers that send ids through random daemons; counts the sends that were allowed to run.
 class Callers {
  public:
   explicit Callers(SimulatedFleet& fleet) : fleet_(fleet) {
@@ -84,7 +85,7 @@
 
 }  // namespace
 
-TEST_CASE("an id runs once, however often and wherever it is sent within the window", "[coordination]") {
+TEST_CASE("an id resent within the window to any daemon runs at most once", "[coordination]") {
   OAKPIER_PROPERTY("at most once by id", [] {
     SimulationOptions options = optionsFor(*rc::gen::arbitrary<std::uint64_t>());
     options.loss = *rc::gen::inRange(0, 35) / 100.0;
@@ -113,7 +114,7 @@
         default:
           break;
       }
-      // The caller sends the id again and again, for a little less than the window.
+      // The caller resends the id for slightly less than the window.
       for (int again = 0; again < 12; ++again) {
         fleet.runFor(std::chrono::milliseconds(*rc::gen::inRange(1, 2400)));
         callers.send(*rc::gen::inRange<std::size_t>(0, 8), id);
@@ -124,7 +125,8 @@
   });
 }
 
-TEST_CASE("a guardian that started lately abstains until every member told what it holds", "[coordination]") {
+TEST_CASE("a restarted guardian abstains until it has received every member's reservations",
+          "[coordination]") {
   const Endpoint self(1, 1);
   const Endpoint other(2, 1);
   MemberTable members;
@@ -152,7 +154,7 @@
   REQUIRE(verdictOn("new") == RESERVE_GRANTED);
 }
 
-TEST_CASE("ids run while a daemon at a time is replaced", "[coordination]") {
+TEST_CASE("ids run during a rolling replacement of daemons", "[coordination]") {
   SimulatedFleet fleet(optionsFor(4));
   fleet.runFor(kSettle);
   Callers callers(fleet);
@@ -170,7 +172,7 @@
   REQUIRE(ran >= kIds * 9 / 10);
 }
 
-TEST_CASE("the smaller side of a cut runs no ids, the larger one does", "[coordination]") {
+TEST_CASE("only the majority side of a network partition runs ids", "[coordination]") {
   SimulatedFleet fleet(optionsFor(6));
   fleet.runFor(kSettle);
   for (const std::size_t daemon : {0U, 3U}) {
--- a/tests/coordination/request_promises_test.cpp
+++ b/tests/coordination/request_promises_test.cpp
@@ -1,4 +1,4 @@
-/// The promises of one query, under generated schedules of faults, judged by the checkers.
+/// Checks the guarantees of queries under random fault schedules with the history checkers.
 
 #include <sstream>
 
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("every promise of a query holds under generated faults", "[coordination]") {
+TEST_CASE("the guarantees of queries hold under random faults", "[coordination]") {
   OAKPIER_PROPERTY("no checker finds a violation", [] {
     RequestSimulationOptions options;
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -49,7 +49,7 @@
   });
 }
 
-TEST_CASE("without faults every query is answered in full", "[coordination]") {
+TEST_CASE("without faults every query is answered completely", "[coordination]") {
   OAKPIER_PROPERTY("all complete", [] {
     RequestSimulationOptions options;
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -57,7 +57,7 @@
   });
 }
 
-TEST_CASE("an owner that did not check answers would break the promise of the own answer", "[coordination]") {
+TEST_CASE("the checkers detect an owner that does not verify that answers match requests", "[coordination]") {
   RequestSimulationOptions options;
   options.crossedAnswers = 0.3;
   REQUIRE(checkOwnAnswer(simulateRequests(options)).empty());
@@ -65,7 +65,7 @@
   REQUIRE_FALSE(checkOwnAnswer(simulateRequests(options)).empty());
 }
 
-TEST_CASE("when snapshots move on, whole requests are planned anew and still answered", "[coordination]") {
+TEST_CASE("requests are replanned and answered when their snapshot is retired", "[coordination]") {
   RequestSimulationOptions options;
   options.snapshotChanges = true;
   options.queries = 60;
