--- a/src/coordination/admission.cpp
+++ b/src/coordination/admission.cpp
@@ -6,14 +6,14 @@
 
 bool Admission::admit(const ClassEntry& entry) {
   const std::lock_guard<std::mutex> guard(mutex_);
-  std::uint32_t& ofClass = byClass_[entry.name];
+  std::uint32_t& classInFlight = byClass_[entry.name];
   const std::uint32_t total = inFlight_.load(std::memory_order_relaxed);
   const bool full =
-      enabled_ ? (ofClass >= entry.maxInFlight || total >= limitOf(entry)) : total >= maxQueries_;
+      enabled_ ? (classInFlight >= entry.maxInFlight || total >= limitOf(entry)) : total >= maxQueries_;
   if (full) {
     return false;
   }
-  ++ofClass;
+  ++classInFlight;
   inFlight_.fetch_add(1, std::memory_order_relaxed);
   return true;
 }
@@ -22,8 +22,8 @@
   const std::lock_guard<std::mutex> guard(mutex_);
   --byClass_[entry.name];
   inFlight_.fetch_sub(1, std::memory_order_relaxed);
-  const std::int64_t before = queryTimeUs_.load(std::memory_order_relaxed);
-  queryTimeUs_.store(before + (elapsed.count() - before) / kSmoothing, std::memory_order_relaxed);
+  const std::int64_t previous = queryTimeUs_.load(std::memory_order_relaxed);
+  queryTimeUs_.store(previous + (elapsed.count() - previous) / kSmoothing, std::memory_order_relaxed);
 }
 
 Duration Admission::retryAfter() const {
@@ -31,7 +31,7 @@
 }
 
 std::uint32_t Admission::limitOf(const ClassEntry& entry) const {
-  const double share = std::max(kLowestShare, 1.0 - kReservePerPriority * entry.priority);
+  const double share = std::max(kMinShare, 1.0 - kReservePerPriority * entry.priority);
   return std::max(1U, static_cast<std::uint32_t>(share * maxQueries_));
 }
 
--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -31,7 +31,7 @@
  private:
   /// Share of `maxQueries_` withheld from a class per step of its priority number.
   static constexpr double kReservePerPriority = 0.1;
-  static constexpr double kLowestShare = 0.5;
+  static constexpr double kMinShare = 0.5;
   static constexpr std::int64_t kSmoothing = 16;
 
   std::uint32_t limitOf(const ClassEntry& entry) const;
--- a/src/coordination/control_plane.h
+++ b/src/coordination/control_plane.h
@@ -105,7 +105,7 @@
   /// Holds an accepted configuration and, after a pause, the one that its peers have in force.
   bool ready() const { return store_.revision() > 0 && !revalidating_; }
   /// This daemon grants reservations of ids of requests not to be repeated.
-  bool guardsIds(Moment now) const { return guard_.settled() && lease_.held(store_.voters(), now); }
+  bool guardsIds(Moment now) const { return guard_.synchronized() && lease_.held(store_.voters(), now); }
   std::uint64_t pauses() const { return pauses_; }
   bool revalidating() const { return revalidating_; }
   /// The revision that `address` last named.
--- a/src/coordination/entry_query.cpp
+++ b/src/coordination/entry_query.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 /// Maximum number of plans (snapshots) tried for one query.
-constexpr std::uint32_t kMostPlans = 3;
-/// Hedge delay of `HedgeRule::kFixed`, and the fallback until enough latencies were recorded.
+constexpr std::uint32_t kMaxPlans = 3;
+/// Hedge delay of `HedgeMode::kFixed`, and the fallback until enough latencies were recorded.
 constexpr Duration kDefaultHedgeDelay = std::chrono::milliseconds(30);
 /// Returned to the caller when neither a daemon nor a leaf sent a retry-after time.
 constexpr std::uint32_t kDefaultRetryAfterMs = 100;
 /// Maximum size of the rows in one answer.
 constexpr std::size_t kMaxAnswerBytes = std::size_t{4} << 20U;
 
-bool saysNotRun(const LeafAnswer& answer) {
+bool confirmsNotRun(const LeafAnswer& answer) {
   switch (answer.status()) {
     case LEAF_SNAPSHOT_NOT_HELD:
     case LEAF_SHED:
@@ -40,7 +40,7 @@
 
 EntryQuery::~EntryQuery() {
   for (std::uint32_t number = 0; number < attempts_.size(); ++number) {
-    settle(number, AttemptState::kCancelled);
+    endAttempt(number, AttemptState::kCancelled);
   }
 }
 
@@ -66,7 +66,7 @@
     if (finished()) {
       break;
     }
-    takeResult(result, now, actions);
+    onResult(result, now, actions);
   }
   if (!finished()) {
     finishWhenPossible(now, actions);
@@ -86,9 +86,9 @@
   return actions;
 }
 
-QueryActions EntryQuery::abandon(Moment /*now*/) {
+QueryActions EntryQuery::cancel(Moment /*now*/) {
   QueryActions actions;
-  abandoned_ = true;
+  cancelledByCaller_ = true;
   finish(actions);
   return actions;
 }
@@ -117,11 +117,11 @@
 void EntryQuery::discover(const std::vector<const ShardEntry*>& unreported, Moment now,
                           QueryActions& actions) {
   ++counters_.discoveries;
-  LeafChooser chooser(*context_.view, context_.policy.choice, *context_.random);
+  ReplicaSelector selector(*context_.view, context_.policy.choice, *context_.random);
   for (std::size_t shard = 0; shard < shards_.size(); ++shard) {
     const bool wanted =
         std::find(unreported.begin(), unreported.end(), shards_[shard].shard) != unreported.end();
-    const auto leaf = wanted ? chooser.choose(*shards_[shard].shard, 0, {}, now) : std::nullopt;
+    const auto leaf = wanted ? selector.choose(*shards_[shard].shard, 0, {}, now) : std::nullopt;
     if (leaf) {
       addAttempt(shard, *leaf, true, now, actions);
       phase_ = Phase::kDiscovering;
@@ -141,8 +141,8 @@
 
 /// Returns false when the shard has no untried replica.
 bool EntryQuery::sendAttempt(std::size_t shard, Moment now, QueryActions& actions) {
-  LeafChooser chooser(*context_.view, context_.policy.choice, *context_.random);
-  const auto leaf = chooser.choose(*shards_[shard].shard, snapshot_, shards_[shard].excluded, now);
+  ReplicaSelector selector(*context_.view, context_.policy.choice, *context_.random);
+  const auto leaf = selector.choose(*shards_[shard].shard, snapshot_, shards_[shard].excluded, now);
   if (!leaf) {
     return false;
   }
@@ -202,14 +202,14 @@
   for (const Endpoint& owner : owners) {
     const bool failed =
         std::find(unreachableOwners_.begin(), unreachableOwners_.end(), owner) != unreachableOwners_.end();
-    if (owner != Endpoint() && !failed && !context_.ownerHealth->suspected(owner, now)) {
+    if (owner != Endpoint() && !failed && !context_.ownerHealth->unresponsive(owner, now)) {
       return owner;
     }
   }
   return owners.front();
 }
 
-void EntryQuery::takeResult(const WorkResult& result, Moment now, QueryActions& actions) {
+void EntryQuery::onResult(const WorkResult& result, Moment now, QueryActions& actions) {
   const std::uint32_t number = result.attempt();
   if (number >= attempts_.size()) {
     return;
@@ -225,21 +225,21 @@
     return;
   }
   retryAfterMs_ = std::max(retryAfterMs_, result.retry_after_ms());
-  takeAnswer(number, result, now, actions);
+  onAttemptResult(number, result, now, actions);
 }
 
 /// Precondition: attempt `number` is in flight.
-void EntryQuery::takeAnswer(std::uint32_t number, const WorkResult& result, Moment now,
-                            QueryActions& actions) {
+void EntryQuery::onAttemptResult(std::uint32_t number, const WorkResult& result, Moment now,
+                                 QueryActions& actions) {
   Attempt& attempt = attempts_[number];
   const std::size_t shard = attempt.shard;
   if (attempt.statusOnly) {
-    settle(number, AttemptState::kNotRun);
+    endAttempt(number, AttemptState::kNotRun);
     return;
   }
   const LeafEntry& leaf = context_.view->table->leaf(attempt.leaf);
   if (result.status() == WORK_NOT_SENT) {
-    settle(number, AttemptState::kNotRun);
+    endAttempt(number, AttemptState::kNotRun);
     if (result.reason() == NOT_SENT_OWNER_UNREACHABLE || result.reason() == NOT_SENT_STALE_FRAME ||
         result.reason() == NOT_SENT_STOPPING) {
       // The failure is the owner's: the same leaf may be retried through another owner.
@@ -252,24 +252,24 @@
     return;
   }
   if (result.status() != WORK_ANSWERED || result.answer().status() == LEAF_FAILED) {
-    settle(number, AttemptState::kLost);
+    endAttempt(number, AttemptState::kLost);
     leaf.knowledge->recordFailure();
     retry(shard, now, actions);
     return;
   }
-  if (saysNotRun(result.answer())) {
-    settle(number, AttemptState::kNotRun);
+  if (confirmsNotRun(result.answer())) {
+    endAttempt(number, AttemptState::kNotRun);
     retry(shard, now, actions);
     return;
   }
-  settle(number, AttemptState::kExecuted);
+  endAttempt(number, AttemptState::kExecuted);
   const Duration latency = now - attempt.sentAt;
   context_.runtime->latencies.record(latency, now);
   leaf.knowledge->recordLatency(latency);
   // Answers of an earlier plan come from another snapshot and are discarded.
-  const bool ours = result.answer().snapshot() == snapshot_ && attempt.plan == planNumber_ &&
-                    result.answer().shard() == shards_[shard].shard->name;
-  if (ours) {
+  const bool current = result.answer().snapshot() == snapshot_ && attempt.plan == planNumber_ &&
+                       result.answer().shard() == shards_[shard].shard->name;
+  if (current) {
     coverShard(shards_[shard], result.answer(), actions);
   }
 }
@@ -290,7 +290,7 @@
 }
 
 /// Moves an attempt in flight to its final state; no effect on an attempt that already ended.
-void EntryQuery::settle(std::uint32_t number, AttemptState state) {
+void EntryQuery::endAttempt(std::uint32_t number, AttemptState state) {
   Attempt& attempt = attempts_[number];
   if (attempt.state != AttemptState::kInFlight) {
     return;
@@ -324,11 +324,11 @@
 
 /// Called when a shard has no replica left at this snapshot. Replans the request at another snapshot; a
 /// non-repeatable request only if none of its attempts may have run.
-void EntryQuery::replanOrGiveUp(Moment now, QueryActions& actions) {
-  const bool mayRepeat = !context_.request.not_repeatable() || !mayHaveRun();
+void EntryQuery::replanOrFinish(Moment now, QueryActions& actions) {
+  const bool mayReplan = !context_.request.not_repeatable() || !mayHaveRun();
   const SnapshotChoice choice = chooseSnapshot(*context_.view, *context_.service);
   const bool better = choice.snapshot != 0 && choice.snapshot != snapshot_;
-  if (!mayRepeat || !better || planNumber_ >= kMostPlans || now >= context_.deadline) {
+  if (!mayReplan || !better || planNumber_ >= kMaxPlans || now >= context_.deadline) {
     finish(actions);
     return;
   }
@@ -340,7 +340,7 @@
 }
 
 void EntryQuery::hedgeSlowShards(Moment now, QueryActions& actions) {
-  const bool allowed = context_.policy.hedge != HedgeRule::kOff && context_.service->hedge.enabled() &&
+  const bool allowed = context_.policy.hedge != HedgeMode::kOff && context_.service->hedge.enabled() &&
                        !context_.request.not_repeatable() && phase_ == Phase::kExecuting;
   if (!allowed) {
     return;
@@ -366,11 +366,11 @@
 }
 
 Duration EntryQuery::hedgeDelay() const {
-  if (context_.policy.hedge == HedgeRule::kFixed) {
+  if (context_.policy.hedge == HedgeMode::kFixed) {
     return kDefaultHedgeDelay;
   }
-  const Duration learnt = context_.runtime->latencies.estimate().value_or(kDefaultHedgeDelay);
-  return std::max(learnt, fromMilliseconds(context_.service->hedge.minimum_delay_ms()));
+  const Duration estimate = context_.runtime->latencies.estimate().value_or(kDefaultHedgeDelay);
+  return std::max(estimate, fromMilliseconds(context_.service->hedge.minimum_delay_ms()));
 }
 
 const EntryQuery::Attempt* EntryQuery::newestInFlight(const ShardProgress& progress) const {
@@ -405,7 +405,7 @@
     return;
   }
   if (phase_ == Phase::kDiscovering) {
-    if (everyShardSettled()) {
+    if (noAttemptInFlight()) {
       snapshot_ = chooseSnapshot(*context_.view, *context_.service).snapshot;
       plan();
       if (snapshot_ != 0) {
@@ -416,15 +416,16 @@
     }
   }
   const Duration partialAfter = fromMilliseconds(context_.service->wait.partial_after_ms());
-  const bool late = partialAfter.count() > 0 && now - context_.arrivedAt >= partialAfter;
-  if (reachedCoverage() >= 1.0 || (late && reachedCoverage() > 0 && reachedCoverage() >= minimumCoverage())) {
+  const bool partialAllowed = partialAfter.count() > 0 && now - context_.arrivedAt >= partialAfter;
+  if (reachedCoverage() >= 1.0 ||
+      (partialAllowed && reachedCoverage() > 0 && reachedCoverage() >= minimumCoverage())) {
     finish(actions);
-  } else if (everyShardSettled()) {
-    replanOrGiveUp(now, actions);
+  } else if (noAttemptInFlight()) {
+    replanOrFinish(now, actions);
   }
 }
 
-bool EntryQuery::everyShardSettled() const {
+bool EntryQuery::noAttemptInFlight() const {
   return std::none_of(shards_.begin(), shards_.end(),
                       [&](const ShardProgress& progress) { return newestInFlight(progress) != nullptr; });
 }
@@ -446,7 +447,7 @@
   if (attempt.state != AttemptState::kInFlight) {
     return;
   }
-  settle(number, AttemptState::kCancelled);
+  endAttempt(number, AttemptState::kCancelled);
   for (auto& outgoing : actions.cancels) {
     if (outgoing.owner == attempt.owner) {
       outgoing.cancel.add_attempts(number);
@@ -492,7 +493,7 @@
   }
   if (mayHaveRun()) {
     answer_.set_outcome(OUTCOME_UNKNOWN);
-    answer_.mutable_error()->set_code(abandoned_ ? ERROR_DEADLINE : ERROR_COVERAGE_TOO_LOW);
+    answer_.mutable_error()->set_code(cancelledByCaller_ ? ERROR_DEADLINE : ERROR_COVERAGE_TOO_LOW);
     answer_.mutable_error()->set_message("too few shards answered in time");
     return;
   }
--- a/src/coordination/entry_query.h
+++ b/src/coordination/entry_query.h
@@ -15,8 +15,8 @@
 #include <string>
 #include <vector>
 
-#include "coordination/leaf_chooser.h"
 #include "coordination/owner_health.h"
+#include "coordination/replica_selector.h"
 #include "coordination/service_runtime.h"
 #include "coordination/snapshot_choice.h"
 #include "oakpier/caller.pb.h"
@@ -25,14 +25,14 @@
 
 namespace oakpier {
 
-/// When a slow leaf request is hedged. `kLearnt` derives the delay from observed latencies; the others are
+/// When a slow leaf request is hedged. `kAdaptive` derives the delay from observed latencies; the others are
 /// baselines for benchmarks.
-enum class HedgeRule { kLearnt, kFixed, kOff };
+enum class HedgeMode { kAdaptive, kFixed, kOff };
 
 /// Policy variants, fixed when the daemon starts.
 struct QueryPolicy {
-  ChoiceRule choice = ChoiceRule::kLeastLoadedOfTwo;
-  HedgeRule hedge = HedgeRule::kLearnt;
+  ReplicaPolicy choice = ReplicaPolicy::kPowerOfTwoChoices;
+  HedgeMode hedge = HedgeMode::kAdaptive;
 };
 
 struct QueryContext {
@@ -87,7 +87,7 @@
   QueryActions onResults(const Endpoint& owner, const ResultBatch& results, Moment now);
   QueryActions onTime(Moment now);
   /// The caller disconnected: cancels all attempts in flight.
-  QueryActions abandon(Moment now);
+  QueryActions cancel(Moment now);
 
   /// Next time at which `onTime` must be called.
   Moment nextWake() const;
@@ -127,12 +127,12 @@
   WorkBatch& batchFor(const Endpoint& owner, bool statusOnly, Moment now, QueryActions& actions) const;
   Endpoint ownerOf(LeafIndex leaf, Moment now) const;
 
-  void takeResult(const WorkResult& result, Moment now, QueryActions& actions);
-  void takeAnswer(std::uint32_t number, const WorkResult& result, Moment now, QueryActions& actions);
+  void onResult(const WorkResult& result, Moment now, QueryActions& actions);
+  void onAttemptResult(std::uint32_t number, const WorkResult& result, Moment now, QueryActions& actions);
   void coverShard(ShardProgress& progress, const LeafAnswer& answer, QueryActions& actions);
-  void settle(std::uint32_t number, AttemptState state);
+  void endAttempt(std::uint32_t number, AttemptState state);
   void retry(std::size_t shard, Moment now, QueryActions& actions);
-  void replanOrGiveUp(Moment now, QueryActions& actions);
+  void replanOrFinish(Moment now, QueryActions& actions);
   void hedgeSlowShards(Moment now, QueryActions& actions);
   Duration hedgeDelay() const;
   const Attempt* newestInFlight(const ShardProgress& progress) const;
@@ -146,7 +146,7 @@
   bool mayHaveRun() const;
   double reachedCoverage() const;
   double minimumCoverage() const;
-  bool everyShardSettled() const;
+  bool noAttemptInFlight() const;
 
   QueryContext context_;
   Phase phase_ = Phase::kDiscovering;
@@ -157,7 +157,7 @@
   std::vector<Endpoint> unreachableOwners_;
   std::vector<Row> rows_;
   bool truncated_ = false;
-  bool abandoned_ = false;
+  bool cancelledByCaller_ = false;
   std::uint32_t retryAfterMs_ = 0;
   QueryAnswer answer_;
   QueryCounters counters_;
--- a/src/coordination/frame_age.h
+++ b/src/coordination/frame_age.h
@@ -24,14 +24,14 @@
     if (baseline.incarnation != incarnation) {
       baseline = Baseline{incarnation, offset};
     }
-    baseline.smallestOffset = std::min(baseline.smallestOffset, offset);
-    return Duration(offset - baseline.smallestOffset);
+    baseline.minOffset = std::min(baseline.minOffset, offset);
+    return Duration(offset - baseline.minOffset);
   }
 
  private:
   struct Baseline {
     std::uint64_t incarnation = 0;
-    std::int64_t smallestOffset = 0;
+    std::int64_t minOffset = 0;
   };
   std::unordered_map<Endpoint, Baseline> baselines_;
 };
--- a/src/coordination/latency_tracker.h
+++ b/src/coordination/latency_tracker.h
@@ -16,19 +16,20 @@
 /// Thread-safe. Uses two windows, one being filled and one complete, so that old latencies expire.
 class LatencyTracker {
  public:
-  explicit LatencyTracker(double quantile) : quantile_(quantile), filling_(fresh()), complete_(fresh()) {}
+  explicit LatencyTracker(double quantile)
+      : quantile_(quantile), current_(newWindow()), previous_(newWindow()) {}
 
   void record(Duration latency, Moment now) {
     const std::lock_guard<std::mutex> guard(mutex_);
-    rotateWhenDue(now);
-    filling_(static_cast<double>(latency.count()));
+    rotateIfDue(now);
+    current_(static_cast<double>(latency.count()));
   }
 
-  /// Empty until a window has `kEnough` samples.
+  /// Empty until a window has `kMinSamples` samples.
   std::optional<Duration> estimate() const {
     const std::lock_guard<std::mutex> guard(mutex_);
-    for (const Window* window : {&complete_, &filling_}) {
-      if (boost::accumulators::count(*window) >= kEnough) {
+    for (const Window* window : {&previous_, &current_}) {
+      if (boost::accumulators::count(*window) >= kMinSamples) {
         return Duration(static_cast<std::int64_t>(boost::accumulators::p_square_quantile(*window)));
       }
     }
@@ -39,24 +40,24 @@
   using Window = boost::accumulators::accumulator_set<
       double, boost::accumulators::stats<boost::accumulators::tag::p_square_quantile,
                                          boost::accumulators::tag::count>>;
-  static constexpr std::size_t kEnough = 50;
+  static constexpr std::size_t kMinSamples = 50;
   static constexpr Duration kWindow = std::chrono::seconds(5);
 
-  Window fresh() const { return Window(boost::accumulators::quantile_probability = quantile_); }
+  Window newWindow() const { return Window(boost::accumulators::quantile_probability = quantile_); }
 
-  void rotateWhenDue(Moment now) {
-    if (now - startedAt_ < kWindow || boost::accumulators::count(filling_) < kEnough) {
+  void rotateIfDue(Moment now) {
+    if (now - startedAt_ < kWindow || boost::accumulators::count(current_) < kMinSamples) {
       return;
     }
-    complete_ = filling_;
-    filling_ = fresh();
+    previous_ = current_;
+    current_ = newWindow();
     startedAt_ = now;
   }
 
   mutable std::mutex mutex_;
   double quantile_;
-  Window filling_;
-  Window complete_;
+  Window current_;
+  Window previous_;
   Moment startedAt_{};
 };
 
--- a/src/coordination/leaf_dispatcher.cpp
+++ b/src/coordination/leaf_dispatcher.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kQueuePerSlot = 16;
 constexpr Duration kStatusTimeout = std::chrono::milliseconds(500);
 /// Lanes unused for longer than this are removed.
-constexpr Duration kLaneIdleTime = std::chrono::seconds(60);
+constexpr Duration kLaneIdleTimeout = std::chrono::seconds(60);
 constexpr Duration kRetryAfterUnreachable = std::chrono::milliseconds(200);
 constexpr Duration kRetryAfterDraining = std::chrono::milliseconds(500);
 constexpr std::int64_t kServiceTimeSmoothing = 8;
@@ -24,12 +24,13 @@
   DispatchActions actions;
   for (int item = 0; item < batch->items_size(); ++item) {
     LeafTask task{entry, batch, item, deadline};
-    take(std::move(task), view, now, actions);
+    acceptTask(std::move(task), view, now, actions);
   }
   return actions;
 }
 
-void LeafDispatcher::take(LeafTask task, const RoutingView& view, Moment now, DispatchActions& actions) {
+void LeafDispatcher::acceptTask(LeafTask task, const RoutingView& view, Moment now,
+                                DispatchActions& actions) {
   const auto index = view.table->findLeaf(task.workItem().leaf());
   if (!index) {
     refuse(task, nullptr, NOT_SENT_UNKNOWN_LEAF, kRetryAfterUnreachable, actions);
@@ -37,14 +38,14 @@
   }
   const LeafEntry& leaf = view.table->leaf(*index);
   LeafLane& lane = laneOf(leaf, now);
-  const bool saidDraining = lane.stateKnown && lane.state.draining() && now - lane.stateAt < kStateLease;
-  if (!task.batch->status_only() && (leaf.drained || view.leaving[*index] || saidDraining)) {
+  const bool reportedDraining = lane.stateKnown && lane.state.draining() && now - lane.stateAt < kStateLease;
+  if (!task.batch->status_only() && (leaf.drained || view.leaving[*index] || reportedDraining)) {
     ++counters_.refusedDraining;
     refuse(task, &lane, NOT_SENT_DRAINING, kRetryAfterDraining, actions);
     return;
   }
   enqueue(std::move(task), leaf.name, lane, now, actions);
-  pump(leaf.name, lane, now, actions);
+  sendQueued(leaf.name, lane, now, actions);
 }
 
 LeafLane& LeafDispatcher::laneOf(const LeafEntry& leaf, Moment now) {
@@ -67,8 +68,8 @@
                              DispatchActions& actions) {
   const std::uint32_t priority = task.batch->priority();
   const Duration wait = lane.expectedWait(priority);
-  const bool hopeless = refuseHopeless_ && now + wait + lane.serviceTime > task.deadline;
-  if (hopeless && !task.batch->status_only()) {
+  const bool missesDeadline = admissionControl_ && now + wait + lane.serviceTime > task.deadline;
+  if (missesDeadline && !task.batch->status_only()) {
     ++counters_.refusedQueueFull;
     refuse(task, &lane, NOT_SENT_QUEUE_FULL, wait, actions);
     return;
@@ -85,7 +86,8 @@
 }
 
 /// Sends queued tasks up to the leaf's concurrency limit; a status check first if its state has expired.
-void LeafDispatcher::pump(const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions) {
+void LeafDispatcher::sendQueued(const std::string& leaf, LeafLane& lane, Moment now,
+                                DispatchActions& actions) {
   while (!lane.queue.empty() && lane.inFlight < std::max(1U, lane.limit.current())) {
     const bool fresh = lane.stateKnown && now - lane.stateAt < kStateLease;
     if (!fresh) {
@@ -119,10 +121,10 @@
 
 void LeafDispatcher::sendStatus(const std::string& leaf, LeafLane& lane, Moment now,
                                 DispatchActions& actions) {
-  if (lane.validating) {
+  if (lane.statusCheckPending) {
     return;
   }
-  lane.validating = true;
+  lane.statusCheckPending = true;
   const ExchangeId id = nextExchange_++;
   ++counters_.statusChecks;
   actions.sends.push_back(SendToLeaf{id, lane.address, true, {}, toMilliseconds(kStatusTimeout)});
@@ -140,15 +142,15 @@
   LeafLane& lane = *ended.lane;
   --lane.inFlight;
   lane.failures = 0;
-  learn(lane, answer.state(), now);
+  updateState(lane, answer.state(), now);
   lane.limit.onAnswer(answer.status(), answer.state());
   lane.serviceTime += (now - ended.sentAt - lane.serviceTime) / kServiceTimeSmoothing;
   WorkResult result = resultFor(ended.task, &lane);
   // A mismatched answer does not tell whether this task ran.
-  const bool echoed = answer.request_id() == ended.task.batch->request_id() &&
-                      answer.shard() == ended.task.workItem().shard() &&
-                      (answer.status() != LEAF_OK || answer.snapshot() == ended.task.batch->snapshot());
-  if (echoed) {
+  const bool matched = answer.request_id() == ended.task.batch->request_id() &&
+                       answer.shard() == ended.task.workItem().shard() &&
+                       (answer.status() != LEAF_OK || answer.snapshot() == ended.task.batch->snapshot());
+  if (matched) {
     result.set_status(WORK_ANSWERED);
     *result.mutable_answer() = answer;
     result.set_retry_after_ms(answer.retry_after_ms());
@@ -157,7 +159,7 @@
     result.set_status(WORK_NO_ANSWER);
   }
   reply(ended.task, std::move(result), actions);
-  pump(ended.leaf, lane, now, actions);
+  sendQueued(ended.leaf, lane, now, actions);
   return actions;
 }
 
@@ -169,11 +171,11 @@
   }
   const Exchange ended = std::move(found->second);
   exchanges_.erase(found);
-  ended.lane->validating = false;
+  ended.lane->statusCheckPending = false;
   ended.lane->failures = 0;
-  learn(*ended.lane, state, now);
+  updateState(*ended.lane, state, now);
   ended.lane->limit.onAnswer(LEAF_STATUS_UNSPECIFIED, state);
-  pump(ended.leaf, *ended.lane, now, actions);
+  sendQueued(ended.leaf, *ended.lane, now, actions);
   return actions;
 }
 
@@ -189,7 +191,7 @@
   ++lane.failures;
   lane.stateKnown = false;
   if (ended.statusOnly) {
-    lane.validating = false;
+    lane.statusCheckPending = false;
     refuseAll(lane, NOT_SENT_LEAF_UNREACHABLE, actions);
     return actions;
   }
@@ -201,7 +203,7 @@
     result.set_status(WORK_NO_ANSWER);
     reply(ended.task, std::move(result), actions);
   }
-  pump(ended.leaf, lane, now, actions);
+  sendQueued(ended.leaf, lane, now, actions);
   return actions;
 }
 
@@ -228,7 +230,7 @@
     exchange = exchanges_.erase(exchange);
   }
   for (const auto& leaf : freed) {
-    pump(leaf, *lanes_.at(leaf), now, actions);
+    sendQueued(leaf, *lanes_.at(leaf), now, actions);
   }
   return actions;
 }
@@ -250,9 +252,10 @@
   }
   for (auto lane = lanes_.begin(); lane != lanes_.end();) {
     expireQueued(*lane->second, now, actions);
-    const bool idle = lane->second->queue.empty() && lane->second->inFlight == 0 && !lane->second->validating;
-    const bool forget = idle && now - lane->second->usedAt > kLaneIdleTime;
-    lane = forget ? lanes_.erase(lane) : std::next(lane);
+    const bool idle =
+        lane->second->queue.empty() && lane->second->inFlight == 0 && !lane->second->statusCheckPending;
+    const bool expired = idle && now - lane->second->usedAt > kLaneIdleTimeout;
+    lane = expired ? lanes_.erase(lane) : std::next(lane);
   }
   return actions;
 }
@@ -280,7 +283,7 @@
   }
 }
 
-void LeafDispatcher::learn(LeafLane& lane, const LeafState& state, Moment now) {
+void LeafDispatcher::updateState(LeafLane& lane, const LeafState& state, Moment now) {
   lane.state = state;
   lane.stateKnown = true;
   lane.stateAt = now;
--- a/src/coordination/leaf_dispatcher.h
+++ b/src/coordination/leaf_dispatcher.h
@@ -71,8 +71,8 @@
 
 class LeafDispatcher {
  public:
-  /// `refuseHopeless`: refuse tasks that are not expected to finish before their deadline.
-  explicit LeafDispatcher(bool refuseHopeless) : refuseHopeless_(refuseHopeless) {}
+  /// `admissionControl`: refuse tasks that are not expected to finish before their deadline.
+  explicit LeafDispatcher(bool admissionControl) : admissionControl_(admissionControl) {}
 
   /// `deadline`: receive time plus the remaining time in the batch.
   DispatchActions onWork(const Endpoint& entry, const std::shared_ptr<const WorkBatch>& batch,
@@ -98,21 +98,21 @@
   };
 
   LeafLane& laneOf(const LeafEntry& leaf, Moment now);
-  void take(LeafTask task, const RoutingView& view, Moment now, DispatchActions& actions);
+  void acceptTask(LeafTask task, const RoutingView& view, Moment now, DispatchActions& actions);
   void enqueue(LeafTask task, const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions);
-  void pump(const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions);
+  void sendQueued(const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions);
   void sendTask(const std::string& leaf, LeafLane& lane, LeafTask task, Moment now, DispatchActions& actions);
   void sendStatus(const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions);
   void refuseAll(LeafLane& lane, NotSentReason reason, DispatchActions& actions);
   void expireQueued(LeafLane& lane, Moment now, DispatchActions& actions);
-  void learn(LeafLane& lane, const LeafState& state, Moment now);
+  void updateState(LeafLane& lane, const LeafState& state, Moment now);
 
   static WorkResult resultFor(const LeafTask& task, const LeafLane* lane);
   static void refuse(const LeafTask& task, const LeafLane* lane, NotSentReason reason, Duration retryAfter,
                      DispatchActions& actions);
   static void reply(const LeafTask& task, WorkResult result, DispatchActions& actions);
 
-  bool refuseHopeless_;
+  bool admissionControl_;
   ExchangeId nextExchange_ = 1;
   std::unordered_map<std::string, std::unique_ptr<LeafLane>> lanes_;
   std::unordered_map<ExchangeId, Exchange> exchanges_;
--- a/src/coordination/leaf_lane.h
+++ b/src/coordination/leaf_lane.h
@@ -80,7 +80,7 @@
   LeafState state;
   bool stateKnown = false;
   Moment stateAt{};
-  bool validating = false;
+  bool statusCheckPending = false;
   std::uint32_t failures = 0;
   Moment usedAt{};
   /// Moving average of the leaf's time per request.
--- a/src/coordination/owner_health.cpp
+++ b/src/coordination/owner_health.cpp
@@ -16,19 +16,20 @@
   records_[owner].unanswered = 0;
 }
 
-bool OwnerHealth::suspected(const Endpoint& owner, Moment now) {
+bool OwnerHealth::unresponsive(const Endpoint& owner, Moment now) {
   const std::lock_guard<std::mutex> guard(mutex_);
   const auto found = records_.find(owner);
   if (found == records_.end()) {
     return false;
   }
   Record& record = found->second;
-  const bool silent = record.unanswered >= kUnansweredLimit && now - record.unansweredSince > kSilenceLimit;
-  if (silent && now - record.triedAt > kRetryPeriod) {
-    record.triedAt = now;
+  const bool overdue =
+      record.unanswered >= kUnansweredLimit && now - record.unansweredSince > kUnresponsiveAfter;
+  if (overdue && now - record.probedAt > kProbePeriod) {
+    record.probedAt = now;
     return false;
   }
-  return silent;
+  return overdue;
 }
 
 }  // namespace oakpier
--- a/src/coordination/owner_health.h
+++ b/src/coordination/owner_health.h
@@ -18,18 +18,18 @@
   void recordReply(const Endpoint& owner);
 
   /// Whether several frames to the owner have been unanswered for too long. Returns false to one caller per
-  /// `kRetryPeriod`, whose request probes for recovery.
-  bool suspected(const Endpoint& owner, Moment now);
+  /// `kProbePeriod`, whose request probes for recovery.
+  bool unresponsive(const Endpoint& owner, Moment now);
 
  private:
   struct Record {
     std::uint32_t unanswered = 0;
     Moment unansweredSince{};
-    Moment triedAt{};
+    Moment probedAt{};
   };
   static constexpr std::uint32_t kUnansweredLimit = 3;
-  static constexpr Duration kSilenceLimit = std::chrono::milliseconds(150);
-  static constexpr Duration kRetryPeriod = std::chrono::milliseconds(500);
+  static constexpr Duration kUnresponsiveAfter = std::chrono::milliseconds(150);
+  static constexpr Duration kProbePeriod = std::chrono::milliseconds(500);
 
   std::mutex mutex_;
   std::unordered_map<Endpoint, Record> records_;
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -34,34 +34,34 @@
 class Placement {
  public:
   /// Applies the leafs in `table.touched()`. Leafs that stay in their zone keep their owners.
-  void updateLeaves(const RoutingTable& table);
+  void updateLeafs(const RoutingTable& table);
   /// Replaces the serving members. Recomputes only leafs affected by members that joined or departed.
   void setMembers(std::vector<Candidate> members);
 
   /// Indexed by `LeafIndex`.
   const std::vector<LeafOwners>& owners() const { return owners_; }
-  /// Number of leafs whose owners the last `updateLeaves` recomputed, or whose first owner the last
+  /// Number of leafs whose owners the last `updateLeafs` recomputed, or whose first owner the last
   /// `setMembers` changed.
   std::size_t moved() const { return moved_; }
 
  private:
-  struct Ranked {
+  struct RankedOwner {
     std::uint64_t weight = 0;
     Endpoint address;
   };
-  struct LeafPlace {
+  struct LeafRanking {
     std::uint64_t hash = 0;
     std::uint64_t zone = 0;
-    std::array<Ranked, kOwnersPerLeaf> ranked;
+    std::array<RankedOwner, kOwnersPerLeaf> ranked;
   };
 
-  void rankAgain(LeafPlace& place);
-  void offer(LeafPlace& place, const Candidate& candidate);
+  void recomputeRanks(LeafRanking& ranking);
+  void insertCandidate(LeafRanking& ranking, const Candidate& candidate);
   void writeOwners(LeafIndex leaf);
 
   std::vector<Candidate> members_;
   std::unordered_map<std::uint64_t, std::vector<Candidate>> membersByZone_;
-  std::vector<LeafPlace> places_;
+  std::vector<LeafRanking> rankings_;
   std::vector<LeafOwners> owners_;
   std::size_t moved_ = 0;
 };
--- a/src/coordination/probe_order.cpp
+++ b/src/coordination/probe_order.cpp
@@ -10,7 +10,7 @@
   std::swap(remaining_.back(), remaining_[drawBelow(remaining_.size(), random)]);
 }
 
-std::optional<Endpoint> ProbeOrder::takeServing(const MemberTable& members) {
+std::optional<Endpoint> ProbeOrder::popServing(const MemberTable& members) {
   while (!remaining_.empty()) {
     const Endpoint target = remaining_.back();
     remaining_.pop_back();
@@ -23,7 +23,7 @@
 }
 
 std::optional<Endpoint> ProbeOrder::next(const MemberTable& members, RandomEngine& random) {
-  if (const auto target = takeServing(members)) {
+  if (const auto target = popServing(members)) {
     return target;
   }
   for (const auto& record : members.records()) {
@@ -32,7 +32,7 @@
     }
   }
   std::shuffle(remaining_.begin(), remaining_.end(), random);
-  return takeServing(members);
+  return popServing(members);
 }
 
 std::optional<Endpoint> DeadMembers::draw(const MemberTable& members, RandomEngine& random) {
--- a/src/coordination/probe_order.h
+++ b/src/coordination/probe_order.h
@@ -21,7 +21,7 @@
   std::optional<Endpoint> next(const MemberTable& members, RandomEngine& random);
 
  private:
-  std::optional<Endpoint> takeServing(const MemberTable& members);
+  std::optional<Endpoint> popServing(const MemberTable& members);
 
   /// Members not yet probed in this round; the next one is last.
   std::vector<Endpoint> remaining_;
--- a/src/coordination/repeat_guard.cpp
+++ b/src/coordination/repeat_guard.cpp
@@ -32,25 +32,25 @@
   ReserveReply reply;
   reply.set_request_id(reserve.request_id());
   reply.set_work_id(reserve.work_id());
-  const auto known = held_.find(reserve.request_id());
-  if (known != held_.end() && known->second.until > now) {
+  const auto known = reservations_.find(reserve.request_id());
+  if (known != reservations_.end() && known->second.until > now) {
     const bool sameRun = known->second.workId == reserve.work_id();
     reply.set_verdict(sameRun ? RESERVE_GRANTED : RESERVE_DUPLICATE);
     return reply;
   }
-  if (!settled_ || !leaseHeld || !guards(reserve.request_id(), members, now)) {
+  if (!synchronized_ || !leaseHeld || !guards(reserve.request_id(), members, now)) {
     reply.set_verdict(RESERVE_ABSTAINED);
     return reply;
   }
-  held_[reserve.request_id()] = Holding{reserve.work_id(), now + settings_.window};
+  reservations_[reserve.request_id()] = HeldReservation{reserve.work_id(), now + settings_.window};
   reply.set_verdict(RESERVE_GRANTED);
   return reply;
 }
 
 void RepeatGuard::onRelease(const ReserveRelease& release) {
-  const auto known = held_.find(release.request_id());
-  if (known != held_.end() && known->second.workId == release.work_id()) {
-    held_.erase(known);
+  const auto known = reservations_.find(release.request_id());
+  if (known != reservations_.end() && known->second.workId == release.work_id()) {
+    reservations_.erase(known);
   }
 }
 
@@ -58,9 +58,9 @@
 std::vector<Endpoint> RepeatGuard::rankedMembers(const MemberTable& members, Moment now) const {
   std::vector<Endpoint> ranked{self_};
   for (const auto& record : members.records()) {
-    const bool wentLately =
+    const bool departedRecently =
         !record.serving() && now - record.changedAt < settings_.window + settings_.leaseLength;
-    if (record.serving() || wentLately) {
+    if (record.serving() || departedRecently) {
       ranked.push_back(record.address);
     }
   }
@@ -72,28 +72,29 @@
   return std::find(guardians.begin(), guardians.end(), self_) != guardians.end();
 }
 
-ReservationsReply RepeatGuard::reservationsFor(const Endpoint& asker, const MemberTable& members,
+ReservationsReply RepeatGuard::reservationsFor(const Endpoint& requester, const MemberTable& members,
                                                Moment now) const {
   ReservationsReply reply;
   std::vector<Endpoint> ranked = rankedMembers(members, now);
-  if (std::find(ranked.begin(), ranked.end(), asker) == ranked.end()) {
-    ranked.push_back(asker);
+  if (std::find(ranked.begin(), ranked.end(), requester) == ranked.end()) {
+    ranked.push_back(requester);
   }
-  for (const auto& [id, holding] : held_) {
+  for (const auto& [id, reservation] : reservations_) {
     const auto guardians = guardiansOf(id, ranked);
-    if (holding.until > now && std::find(guardians.begin(), guardians.end(), asker) != guardians.end()) {
+    if (reservation.until > now &&
+        std::find(guardians.begin(), guardians.end(), requester) != guardians.end()) {
       Reserve& reserve = *reply.add_reservations();
       reserve.set_request_id(id);
-      reserve.set_work_id(holding.workId);
+      reserve.set_work_id(reservation.workId);
     }
   }
   return reply;
 }
 
 void RepeatGuard::onReservations(const Endpoint& sender, const ReservationsReply& reply, Moment now) {
-  heardFrom_.insert(sender);
+  synchronizedPeers_.insert(sender);
   for (const auto& reserve : reply.reservations()) {
-    held_.emplace(reserve.request_id(), Holding{reserve.work_id(), now + settings_.window});
+    reservations_.emplace(reserve.request_id(), HeldReservation{reserve.work_id(), now + settings_.window});
   }
 }
 
@@ -101,36 +102,38 @@
   if (startedAt_ == Moment{}) {
     startedAt_ = now;
   }
-  if (now < nextAskAt_) {
+  if (now < nextSyncAt_) {
     return {};
   }
-  nextAskAt_ = now + settings_.askPeriod;
-  for (auto holding = held_.begin(); holding != held_.end();) {
-    holding = holding->second.until <= now ? held_.erase(holding) : std::next(holding);
+  nextSyncAt_ = now + settings_.syncPeriod;
+  for (auto reservation = reservations_.begin(); reservation != reservations_.end();) {
+    reservation =
+        reservation->second.until <= now ? reservations_.erase(reservation) : std::next(reservation);
   }
-  settle(members, now);
-  std::vector<Endpoint> unheard;
+  updateSynchronized(members, now);
+  std::vector<Endpoint> unsynchronized;
   for (const auto& record : members.records()) {
-    if (!settled_ && record.serving() && heardFrom_.count(record.address) == 0) {
-      unheard.push_back(record.address);
+    if (!synchronized_ && record.serving() && synchronizedPeers_.count(record.address) == 0) {
+      unsynchronized.push_back(record.address);
     }
   }
-  return unheard;
+  return unsynchronized;
 }
 
-void RepeatGuard::settle(const MemberTable& members, Moment now) {
-  if (settled_) {
+void RepeatGuard::updateSynchronized(const MemberTable& members, Moment now) {
+  if (synchronized_) {
     return;
   }
   const Duration age = now - startedAt_;
-  const bool heardAll = std::all_of(
-      members.records().begin(), members.records().end(),
-      [&](const MemberRecord& record) { return !record.serving() || heardFrom_.count(record.address) != 0; });
-  const bool knowsOthers = members.servingCount() > 0;
-  settled_ = (heardAll && knowsOthers && age >= settings_.shortestSettling) ||
-             age >= settings_.window + settings_.leaseLength;
-  if (settled_) {
-    heardFrom_.clear();
+  const bool synchronizedAll =
+      std::all_of(members.records().begin(), members.records().end(), [&](const MemberRecord& record) {
+        return !record.serving() || synchronizedPeers_.count(record.address) != 0;
+      });
+  const bool knowsPeers = members.servingCount() > 0;
+  synchronized_ = (synchronizedAll && knowsPeers && age >= settings_.minStartupPeriod) ||
+                  age >= settings_.window + settings_.leaseLength;
+  if (synchronized_) {
+    synchronizedPeers_.clear();
   }
 }
 
--- a/src/coordination/repeat_guard.h
+++ b/src/coordination/repeat_guard.h
@@ -31,8 +31,8 @@
   /// Added to the window for departed daemons: a partitioned one may grant until its lease expires.
   Duration leaseLength = std::chrono::seconds(15);
   /// Minimum time after the start before the member table is assumed to be complete.
-  Duration shortestSettling = std::chrono::seconds(5);
-  Duration askPeriod = std::chrono::seconds(1);
+  Duration minStartupPeriod = std::chrono::seconds(5);
+  Duration syncPeriod = std::chrono::seconds(1);
 };
 
 class RepeatGuard {
@@ -42,33 +42,33 @@
   ReserveReply onReserve(const Reserve& reserve, const MemberTable& members, bool leaseHeld, Moment now);
   void onRelease(const ReserveRelease& release);
 
-  /// The reservations held here of which `asker` is a guardian too.
-  ReservationsReply reservationsFor(const Endpoint& asker, const MemberTable& members, Moment now) const;
+  /// The reservations held here of which `requester` is a guardian too.
+  ReservationsReply reservationsFor(const Endpoint& requester, const MemberTable& members, Moment now) const;
   void onReservations(const Endpoint& sender, const ReservationsReply& reply, Moment now);
 
   /// Returns the members to request reservations from; removes expired reservations.
   std::vector<Endpoint> onTime(const MemberTable& members, Moment now);
 
   /// All unexpired reservations from before this daemon's start are known here.
-  bool settled() const { return settled_; }
+  bool synchronized() const { return synchronized_; }
 
  private:
-  struct Holding {
+  struct HeldReservation {
     std::string workId;
     Moment until{};
   };
 
   std::vector<Endpoint> rankedMembers(const MemberTable& members, Moment now) const;
   bool guards(const std::string& requestId, const MemberTable& members, Moment now) const;
-  void settle(const MemberTable& members, Moment now);
+  void updateSynchronized(const MemberTable& members, Moment now);
 
   Endpoint self_;
   RepeatGuardSettings settings_;
-  std::unordered_map<std::string, Holding> held_;
-  std::unordered_set<Endpoint> heardFrom_;
-  bool settled_ = false;
+  std::unordered_map<std::string, HeldReservation> reservations_;
+  std::unordered_set<Endpoint> synchronizedPeers_;
+  bool synchronized_ = false;
   Moment startedAt_{};
-  Moment nextAskAt_{};
+  Moment nextSyncAt_{};
 };
 
 /// Counts the guardians' verdicts for one request, at its entry daemon.
--- a/src/coordination/leaf_chooser.h
+++ b/src/coordination/replica_selector.h
@@ -13,17 +13,17 @@
 namespace oakpier {
 
 /// Validity of a leaf's reported draining state and snapshots.
-inline constexpr Duration kDrainingWordLease = std::chrono::seconds(5);
+inline constexpr Duration kReportValidity = std::chrono::seconds(5);
 /// After this many consecutive failures a leaf is used only if no other replica is eligible.
 inline constexpr std::uint32_t kEjectionFailures = 3;
 
 /// Replica selection policy. `kRandom` is a baseline for benchmarks.
-enum class ChoiceRule { kLeastLoadedOfTwo, kRandom };
+enum class ReplicaPolicy { kPowerOfTwoChoices, kRandom };
 
-class LeafChooser {
+class ReplicaSelector {
  public:
-  LeafChooser(const RoutingView& view, ChoiceRule rule, RandomEngine& random)
-      : view_(view), rule_(rule), random_(random) {}
+  ReplicaSelector(const RoutingView& view, ReplicaPolicy policy, RandomEngine& random)
+      : view_(view), policy_(policy), random_(random) {}
 
   /// A replica of `shard` that may hold `snapshot` (0 = any) and is not in `excluded`; empty when there is
   /// none.
@@ -36,7 +36,7 @@
   double load(LeafIndex index) const;
 
   const RoutingView& view_;
-  ChoiceRule rule_;
+  ReplicaPolicy policy_;
   RandomEngine& random_;
 };
 
--- a/src/coordination/snapshot_choice.cpp
+++ b/src/coordination/snapshot_choice.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Only this many of the newest snapshots are considered.
-constexpr std::size_t kMostCandidates = 4;
+constexpr std::size_t kMaxCandidates = 4;
 
 bool usable(const RoutingView& view, LeafIndex index) {
   const LeafEntry& leaf = view.table->leaf(index);
@@ -30,7 +30,7 @@
     }
   }
   std::sort(snapshots.begin(), snapshots.end(), std::greater<>());
-  snapshots.resize(std::min(snapshots.size(), kMostCandidates));
+  snapshots.resize(std::min(snapshots.size(), kMaxCandidates));
   return snapshots;
 }
 
--- a/src/programs/daemon/control_loop.cpp
+++ b/src/programs/daemon/control_loop.cpp
@@ -130,12 +130,12 @@
   if (news.has_whole()) {
     table_ = std::make_shared<const RoutingTable>(news.whole(), table_.get());
     placement_ = Placement();
-    placement_.updateLeaves(*table_);
+    placement_.updateLeafs(*table_);
     return;
   }
   for (const auto& change : news.changes()) {
     table_ = std::make_shared<const RoutingTable>(*table_, change);
-    placement_.updateLeaves(*table_);
+    placement_.updateLeafs(*table_);
   }
 }
 
--- a/src/programs/daemon/daemon_settings.cpp
+++ b/src/programs/daemon/daemon_settings.cpp
@@ -27,8 +27,8 @@
   std::uint32_t probePeriodMs = 1000;
   std::uint32_t stopTimeoutMs = 30'000;
   std::uint32_t repeatWindowMs = 30'000;
-  HedgeRule hedge = HedgeRule::kLearnt;
-  ChoiceRule choice = ChoiceRule::kLeastLoadedOfTwo;
+  HedgeMode hedge = HedgeMode::kAdaptive;
+  ReplicaPolicy choice = ReplicaPolicy::kPowerOfTwoChoices;
   bool noAdmission = false;
   LogLevel logLevel = LogLevel::kInfo;
   bool checkConfigOnly = false;
@@ -83,10 +83,10 @@
 }
 
 void addPolicyOptions(CLI::App& app, RawSettings& raw) {
-  const std::map<std::string, HedgeRule> hedges{
-      {"learnt", HedgeRule::kLearnt}, {"fixed", HedgeRule::kFixed}, {"off", HedgeRule::kOff}};
-  const std::map<std::string, ChoiceRule> choices{{"least-loaded", ChoiceRule::kLeastLoadedOfTwo},
-                                                  {"random", ChoiceRule::kRandom}};
+  const std::map<std::string, HedgeMode> hedges{
+      {"learnt", HedgeMode::kAdaptive}, {"fixed", HedgeMode::kFixed}, {"off", HedgeMode::kOff}};
+  const std::map<std::string, ReplicaPolicy> choices{{"least-loaded", ReplicaPolicy::kPowerOfTwoChoices},
+                                                     {"random", ReplicaPolicy::kRandom}};
   const std::map<std::string, LogLevel> levels{{"debug", LogLevel::kDebug},
                                                {"info", LogLevel::kInfo},
                                                {"warning", LogLevel::kWarning},
--- a/src/programs/daemon/entry_service.cpp
+++ b/src/programs/daemon/entry_service.cpp
@@ -182,7 +182,7 @@
       }
     }
     if (!query.finished()) {
-      carryOut(currentCallerGone() ? query.abandon(steadyNow()) : query.onTime(steadyNow()));
+      carryOut(currentCallerGone() ? query.cancel(steadyNow()) : query.onTime(steadyNow()));
     }
   }
   answer = query.answer();
--- a/tests/coordination/leaf_dispatcher_test.cpp
+++ b/tests/coordination/leaf_dispatcher_test.cpp
@@ -51,7 +51,7 @@
   }
 
   /// Reports the leaf's state, so that later work is sent without a status check.
-  void introduceLeaf() {
+  void reportLeafState() {
     const DispatchActions first = work(1000, 0);
     const DispatchActions second = dispatcher.onStatus(first.sends.at(0).exchange, state(), now);
     dispatcher.onAnswer(second.sends.at(0).exchange, answerTo(second.sends[0]), now);
@@ -95,7 +95,7 @@
 
 TEST_CASE("requests in flight stay within the slots, highest class first", "[coordination]") {
   Bench bench;
-  bench.introduceLeaf();
+  bench.reportLeafState();
   const DispatchActions one = bench.work(1, 5);
   const DispatchActions two = bench.work(2, 5);
   REQUIRE(one.sends.size() + two.sends.size() == kSlots);
@@ -110,7 +110,7 @@
 TEST_CASE("work that would miss its deadline is refused immediately with a retry-after time",
           "[coordination]") {
   Bench bench;
-  bench.introduceLeaf();
+  bench.reportLeafState();
   DispatchActions last;
   for (std::uint32_t attempt = 1; attempt < 100 && last.replies.empty(); ++attempt) {
     last = bench.work(attempt, 0, 20);
@@ -121,7 +121,7 @@
 
 TEST_CASE("cancelling a request aborts it and frees its slot for the next", "[coordination]") {
   Bench bench;
-  bench.introduceLeaf();
+  bench.reportLeafState();
   const DispatchActions one = bench.work(1, 0);
   bench.work(2, 0);
   bench.work(3, 0);
@@ -137,7 +137,7 @@
 
 TEST_CASE("a sent request without an answer is never reported as not sent", "[coordination]") {
   Bench bench;
-  bench.introduceLeaf();
+  bench.reportLeafState();
   const DispatchActions sent = bench.work(1, 0);
   bench.now += std::chrono::milliseconds(100);
   const DispatchActions actions = bench.dispatcher.onTime(bench.now);
@@ -149,7 +149,7 @@
 
 TEST_CASE("an answer with a different request id counts as no answer", "[coordination]") {
   Bench bench;
-  bench.introduceLeaf();
+  bench.reportLeafState();
   const DispatchActions sent = bench.work(1, 0);
   LeafAnswer crossed = bench.answerTo(sent.sends[0]);
   crossed.set_request_id("r7");
--- a/tests/coordination/placement_test.cpp
+++ b/tests/coordination/placement_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kLeaves = 300;
+constexpr std::size_t kLeafs = 300;
 
 std::vector<Candidate> candidates(std::size_t count) {
   std::vector<Candidate> members;
@@ -19,13 +19,13 @@
 }
 
 const RoutingTable& table() {
-  static const RoutingTable only(smallConfiguration(kLeaves), nullptr);
+  static const RoutingTable only(smallConfiguration(kLeafs), nullptr);
   return only;
 }
 
 Placement placementOf(const std::vector<Candidate>& members) {
   Placement placement;
-  placement.updateLeaves(table());
+  placement.updateLeafs(table());
   placement.setMembers(members);
   return placement;
 }
@@ -35,7 +35,7 @@
 TEST_CASE("owners do not depend on the order in which members joined and departed", "[coordination]") {
   OAKPIER_PROPERTY("path independence", [] {
     Placement moved;
-    moved.updateLeaves(table());
+    moved.updateLeafs(table());
     std::vector<Candidate> members;
     for (int step = 0; step < 6; ++step) {
       const auto kept = *rc::gen::container<std::vector<bool>>(30, rc::gen::arbitrary<bool>());
@@ -56,7 +56,7 @@
     const auto count = *rc::gen::inRange<std::size_t>(1, 20);
     const auto members = candidates(count);
     const Placement placement = placementOf(members);
-    for (LeafIndex leaf = 0; leaf < kLeaves; ++leaf) {
+    for (LeafIndex leaf = 0; leaf < kLeafs; ++leaf) {
       const std::uint64_t zone = hashText(table().zoneName(table().leaf(leaf).zone));
       const auto owner = std::find_if(members.begin(), members.end(), [&](const Candidate& member) {
         return member.address == placement.owners()[leaf].front();
--- a/tests/coordination/policies_test.cpp
+++ b/tests/coordination/policies_test.cpp
@@ -61,13 +61,13 @@
   for (int frame = 0; frame < 5; ++frame) {
     health.recordSent(owner, now);
   }
-  REQUIRE_FALSE(health.suspected(owner, now));
+  REQUIRE_FALSE(health.unresponsive(owner, now));
   now += std::chrono::seconds(1);
   // One caller per retry period probes the owner; the others still avoid it.
-  REQUIRE_FALSE(health.suspected(owner, now));
-  REQUIRE(health.suspected(owner, now));
+  REQUIRE_FALSE(health.unresponsive(owner, now));
+  REQUIRE(health.unresponsive(owner, now));
   health.recordReply(owner);
-  REQUIRE_FALSE(health.suspected(owner, now));
+  REQUIRE_FALSE(health.unresponsive(owner, now));
 }
 
 TEST_CASE("the age of a frame equals its queueing time, independent of clock offsets", "[coordination]") {
--- a/tests/coordination/repeat_guard_test.cpp
+++ b/tests/coordination/repeat_guard_test.cpp
@@ -81,7 +81,7 @@
   return options;
 }
 
-constexpr Duration kSettle = std::chrono::seconds(30);
+constexpr Duration kStartupPeriod = std::chrono::seconds(30);
 
 }  // namespace
 
@@ -90,7 +90,7 @@
     SimulationOptions options = optionsFor(*rc::gen::arbitrary<std::uint64_t>());
     options.loss = *rc::gen::inRange(0, 35) / 100.0;
     SimulatedFleet fleet(options);
-    fleet.runFor(kSettle);
+    fleet.runFor(kStartupPeriod);
     Callers callers(fleet);
     for (int round = 0; round < 6; ++round) {
       const std::string id = "id-" + std::to_string(round);
@@ -156,7 +156,7 @@
 
 TEST_CASE("ids run during a rolling replacement of daemons", "[coordination]") {
   SimulatedFleet fleet(optionsFor(4));
-  fleet.runFor(kSettle);
+  fleet.runFor(kStartupPeriod);
   Callers callers(fleet);
   std::size_t ran = 0;
   constexpr int kIds = 80;
@@ -174,23 +174,23 @@
 
 TEST_CASE("only the majority side of a network partition runs ids", "[coordination]") {
   SimulatedFleet fleet(optionsFor(6));
-  fleet.runFor(kSettle);
+  fleet.runFor(kStartupPeriod);
   for (const std::size_t daemon : {0U, 3U}) {
     fleet.setSide(daemon, 1);
   }
   fleet.runFor(std::chrono::minutes(2));
   Callers callers(fleet);
-  std::size_t smaller = 0;
-  std::size_t larger = 0;
+  std::size_t minorityRuns = 0;
+  std::size_t majorityRuns = 0;
   for (int number = 0; number < 20; ++number) {
     callers.send(0, "small-" + std::to_string(number));
     callers.send(1, "large-" + std::to_string(number));
     fleet.runFor(std::chrono::seconds(1));
-    smaller += callers.runs("small-" + std::to_string(number));
-    larger += callers.runs("large-" + std::to_string(number));
+    minorityRuns += callers.runs("small-" + std::to_string(number));
+    majorityRuns += callers.runs("large-" + std::to_string(number));
   }
-  REQUIRE(smaller == 0);
-  REQUIRE(larger == 20);
+  REQUIRE(minorityRuns == 0);
+  REQUIRE(majorityRuns == 20);
 }
 
 }  // namespace oakpier
--- a/tests/coordination/request_promises_test.cpp
+++ b/tests/coordination/request_promises_test.cpp
@@ -18,7 +18,7 @@
   return text.str();
 }
 
-double drawShare(int mostPercent) { return *rc::gen::inRange(0, mostPercent + 1) / 100.0; }
+double randomShare(int maxPercent) { return *rc::gen::inRange(0, maxPercent + 1) / 100.0; }
 
 std::size_t answersWith(const History& history, Outcome outcome) {
   std::size_t count = 0;
@@ -34,12 +34,12 @@
   OAKPIER_PROPERTY("no checker finds a violation", [] {
     RequestSimulationOptions options;
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
-    options.frameLoss = drawShare(10);
-    options.exchangeBroken = drawShare(15);
-    options.exchangeRefused = drawShare(15);
-    options.crossedAnswers = drawShare(20);
-    options.slowExecutions = drawShare(20);
-    options.shedding = drawShare(20);
+    options.frameLoss = randomShare(10);
+    options.exchangeBroken = randomShare(15);
+    options.exchangeRefused = randomShare(15);
+    options.crossedAnswers = randomShare(20);
+    options.slowExecutions = randomShare(20);
+    options.shedding = randomShare(20);
     options.ownerFaults = *rc::gen::arbitrary<bool>();
     options.snapshotChanges = *rc::gen::arbitrary<bool>();
     const History history = simulateRequests(options);
--- a/tests/programs/daemon_settings_test.cpp
+++ b/tests/programs/daemon_settings_test.cpp
@@ -34,7 +34,7 @@
   const auto settings =
       std::get<DaemonSettings>(read({"--max-queries=7", "--hedge-rule=off", "--check-config"}));
   REQUIRE(settings.maxQueries == 7);
-  REQUIRE(settings.policy.hedge == HedgeRule::kOff);
+  REQUIRE(settings.policy.hedge == HedgeMode::kOff);
   REQUIRE(settings.callerAddress.text() == "127.0.0.1:1");
   REQUIRE(settings.checkConfigOnly);
 }
