--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -16,6 +16,7 @@
 /// Thread-safe. Counts queries in flight, in total and by class.
 class Admission {
  public:
+  /// `enabled` = false: only `maxQueries` limits, whatever the class.
   Admission(std::uint32_t maxQueries, bool enabled) : maxQueries_(maxQueries), enabled_(enabled) {}
 
   /// Admits a query of class `entry`; false if it is refused. Each admitted query needs one `release`.
@@ -29,7 +30,8 @@
   std::uint32_t inFlight() const { return inFlight_.load(std::memory_order_relaxed); }
 
  private:
-  /// Share of `maxQueries_` withheld from a class per step of its priority number.
+  /// Each step of the priority number (lower numbers are higher priority) lowers a class's share of
+  /// `maxQueries_` by this, down to `kMinShare`.
   static constexpr double kReservePerPriority = 0.1;
   static constexpr double kMinShare = 0.5;
   static constexpr std::int64_t kSmoothing = 16;
--- a/src/coordination/budget.h
+++ b/src/coordination/budget.h
@@ -11,7 +11,7 @@
 /// Token bucket refilled by regular requests instead of by time. Thread-safe, lock-free.
 class ShareBudget {
  public:
-  /// Each regular request earns `percent` hundredths of a token.
+  /// Each regular leaf request (the first of a shard in a plan) earns `percent` hundredths of a token.
   void earn(std::uint32_t requests, std::uint32_t percent) {
     const std::int64_t earned = std::int64_t{requests} * percent * kUnitsPerToken / 100;
     const std::int64_t before = units_.fetch_add(earned, std::memory_order_relaxed);
--- a/src/coordination/entry_query.cpp
+++ b/src/coordination/entry_query.cpp
@@ -93,7 +93,8 @@
   return actions;
 }
 
-/// Selects the shards to query from the partition that `snapshot_` belongs to.
+/// Starts a new plan: discards the rows and selects the shards to query (only one if the request has a
+/// routing key) from the partition that `snapshot_` belongs to; 0 means the newest partition.
 void EntryQuery::plan() {
   ++planNumber_;
   rows_.clear();
@@ -322,8 +323,8 @@
   }
 }
 
-/// Called when a shard has no replica left at this snapshot. Replans the request at another snapshot; a
-/// non-repeatable request only if none of its attempts may have run.
+/// Called when no attempt is in flight and the answer is still incomplete. Replans the whole request at
+/// another snapshot, a non-repeatable one only if none of its attempts may have run; otherwise finishes.
 void EntryQuery::replanOrFinish(Moment now, QueryActions& actions) {
   const bool mayReplan = !context_.request.not_repeatable() || !mayHaveRun();
   const SnapshotChoice choice = chooseSnapshot(*context_.view, *context_.service);
@@ -460,7 +461,7 @@
   actions.cancels.push_back(std::move(outgoing));
 }
 
-/// Whether a leaf request was executed, or may have been because its answer is missing.
+/// Whether any leaf request was executed or may have been: lost, cancelled and in-flight attempts count.
 bool EntryQuery::mayHaveRun() const {
   return std::any_of(attempts_.begin(), attempts_.end(), [](const Attempt& attempt) {
     return !attempt.statusOnly && attempt.state != AttemptState::kNotRun;
--- a/src/coordination/entry_query.h
+++ b/src/coordination/entry_query.h
@@ -5,7 +5,7 @@
 ///
 ///   kDiscovering --all state requests ended--> kExecuting --enough shards or deadline--> kFinished
 ///                                               |      ^
-///                                               +------+ snapshot retired: replan
+///                                               +------+ no attempt in flight: replan at another snapshot
 ///
 /// Invariants: every accepted row comes from `snapshot_`; a shard is covered by at most one attempt; an
 /// attempt that is in flight or lost counts as possibly executed; a non-repeatable request is retried only
--- a/src/coordination/latency_tracker.h
+++ b/src/coordination/latency_tracker.h
@@ -13,7 +13,8 @@
 
 namespace oakpier {
 
-/// Thread-safe. Uses two windows, one being filled and one complete, so that old latencies expire.
+/// Thread-safe. Reads the last complete window while the next one is filled, so that old latencies expire.
+/// A window is complete after `kWindow` and at least `kMinSamples` samples.
 class LatencyTracker {
  public:
   explicit LatencyTracker(double quantile)
@@ -25,7 +26,7 @@
     current_(static_cast<double>(latency.count()));
   }
 
-  /// Empty until a window has `kMinSamples` samples.
+  /// Uses the window being filled until one is complete; empty below `kMinSamples` samples.
   std::optional<Duration> estimate() const {
     const std::lock_guard<std::mutex> guard(mutex_);
     for (const Window* window : {&previous_, &current_}) {
--- a/src/coordination/leaf_dispatcher.h
+++ b/src/coordination/leaf_dispatcher.h
@@ -1,11 +1,12 @@
 #pragma once
 
 /// State machine of an owner daemon: queues the leaf requests of entry daemons, enforces each leaf's
-/// concurrency limit, and replies with the result of each request. Input: messages and time; output: actions.
+/// concurrency limit, and replies with the result of each request that was not cancelled. Input: messages and
+/// time; output: actions.
 ///
-/// Invariants: a task is sent to its leaf at most once; a sent task ends as WORK_ANSWERED or WORK_NO_ANSWER,
-/// and as WORK_NOT_SENT only if no byte of it was sent; when a leaf's reported state is older than
-/// `kStateLease`, a status check precedes the next task.
+/// Invariants: a task is sent to its leaf at most once; WORK_NOT_SENT is reported only if no byte of the task
+/// was sent, otherwise the result is WORK_ANSWERED or WORK_NO_ANSWER; when a leaf's reported state is older
+/// than `kStateLease`, a status check precedes the next task.
 
 #include <functional>
 #include <memory>
@@ -19,7 +20,7 @@
 
 namespace oakpier {
 
-/// Validity of a leaf's reported state.
+/// How long an owner uses a leaf's reported state without another status check.
 inline constexpr Duration kStateLease = std::chrono::seconds(2);
 
 /// Identifies one request to a leaf and its answer.
@@ -54,6 +55,7 @@
 enum class ExchangeFailure {
   /// No connection was established: no byte of the request was sent.
   kNotConnected,
+  /// Connection lost or timeout: the leaf may have received the request.
   kBroken,
 };
 
@@ -74,7 +76,7 @@
   /// `admissionControl`: refuse tasks that are not expected to finish before their deadline.
   explicit LeafDispatcher(bool admissionControl) : admissionControl_(admissionControl) {}
 
-  /// `deadline`: receive time plus the remaining time in the batch.
+  /// `deadline`: the time of receipt plus the batch's `remaining_ms`.
   DispatchActions onWork(const Endpoint& entry, const std::shared_ptr<const WorkBatch>& batch,
                          Moment deadline, const RoutingView& view, Moment now);
   DispatchActions onCancel(const CancelWork& cancel, Moment now);
--- a/src/coordination/owner_health.h
+++ b/src/coordination/owner_health.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Detects unresponsive owner daemons from unanswered frames, sooner than membership does, so that requests
-/// use the leaf's second owner meanwhile.
+/// Detects unresponsive owner daemons from unanswered frames within a fraction of a second, sooner than
+/// membership does, so that requests use the leaf's second owner meanwhile.
 
 #include <mutex>
 #include <unordered_map>
@@ -17,8 +17,8 @@
   void recordSent(const Endpoint& owner, Moment now);
   void recordReply(const Endpoint& owner);
 
-  /// Whether several frames to the owner have been unanswered for too long. Returns false to one caller per
-  /// `kProbePeriod`, whose request probes for recovery.
+  /// Whether at least `kUnansweredLimit` frames to the owner are unanswered, the first for longer than
+  /// `kUnresponsiveAfter`. One caller per `kProbePeriod` gets false, so that its request detects recovery.
   bool unresponsive(const Endpoint& owner, Moment now);
 
  private:
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// Assigns owner daemons, which hold the connections, to each leaf by rendezvous hashing within the leaf's
-/// zone. Each daemon computes owners locally from its member table; equal tables give equal owners.
+/// zone, or among all members if its zone has none. Each daemon computes owners locally from its member
+/// table; equal tables give equal owners.
 ///
 /// Invariants: owners are serving members; when one member joins or departs, only leafs that it gains or
 /// loses move; an owner opens at most `connectionShare` connections to a leaf, so that `kConcurrentOwners`
--- a/src/coordination/repeat_guard.h
+++ b/src/coordination/repeat_guard.h
@@ -6,7 +6,8 @@
 ///
 /// A guardian abstains whenever an earlier reservation may exist that it does not know of:
 ///  - it restarted recently and has not yet received the reservations of every member;
-///  - a daemon that ranks before it departed within the window and may have held the reservation;
+///  - it is not among the id's guardians when daemons that departed less than the window plus a lease ago,
+///    and may have held the reservation, are counted too;
 ///  - it does not hold the voters' lease, so it may be on the minority side of a network partition.
 /// Reservations expire after the window; an id that is resent later is not protected.
 
@@ -42,7 +43,7 @@
   ReserveReply onReserve(const Reserve& reserve, const MemberTable& members, bool leaseHeld, Moment now);
   void onRelease(const ReserveRelease& release);
 
-  /// The reservations held here of which `requester` is a guardian too.
+  /// The unexpired reservations held here whose guardians include `requester`.
   ReservationsReply reservationsFor(const Endpoint& requester, const MemberTable& members, Moment now) const;
   void onReservations(const Endpoint& sender, const ReservationsReply& reply, Moment now);
 
--- a/src/coordination/replica_selector.cpp
+++ b/src/coordination/replica_selector.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Factor on the load of a cold leaf.
+/// Multiplier of a cold leaf's load.
 constexpr double kColdFactor = 4.0;
 
 }  // namespace
--- a/src/coordination/replica_selector.h
+++ b/src/coordination/replica_selector.h
@@ -12,7 +12,7 @@
 
 namespace oakpier {
 
-/// Validity of a leaf's reported draining state and snapshots.
+/// How long an entry daemon excludes a leaf because of its reported draining state or missing snapshot.
 inline constexpr Duration kReportValidity = std::chrono::seconds(5);
 /// After this many consecutive failures a leaf is used only if no other replica is eligible.
 inline constexpr std::uint32_t kEjectionFailures = 3;
--- a/src/coordination/snapshot_choice.cpp
+++ b/src/coordination/snapshot_choice.cpp
@@ -15,7 +15,7 @@
   return !leaf.drained && !view.leaving[index] && leaf.knowledge->known() && !leaf.knowledge->draining();
 }
 
-/// The distinct newest snapshots of usable replicas, newest first.
+/// The newest snapshot of each usable replica, without duplicates, newest first, at most `kMaxCandidates`.
 std::vector<std::uint64_t> candidates(const RoutingView& view, const ServiceEntry& service) {
   std::vector<std::uint64_t> snapshots;
   for (const auto& partition : service.partitions) {
@@ -45,7 +45,7 @@
                      [&](LeafIndex index) { return view.table->leaf(index).knowledge->known(); });
 }
 
-/// Fraction (0 to 1) of the shards at `snapshot` that a usable replica holds.
+/// Fraction (0 to 1) of the shards of the partition at `snapshot` with a usable replica that holds it.
 double coverage(const RoutingView& view, const ServiceEntry& service, std::uint64_t snapshot) {
   const auto& shards = service.partitionAt(snapshot).shards;
   const auto count = std::count_if(shards.begin(), shards.end(),
--- a/tests/coordination/placement_test.cpp
+++ b/tests/coordination/placement_test.cpp
@@ -51,7 +51,7 @@
   });
 }
 
-TEST_CASE("owners are serving members of the leaf's zone where there are any", "[coordination]") {
+TEST_CASE("owners are serving members, from the leaf's zone if it has any", "[coordination]") {
   OAKPIER_PROPERTY("zones", [] {
     const auto count = *rc::gen::inRange<std::size_t>(1, 20);
     const auto members = candidates(count);
--- a/tests/coordination/policies_test.cpp
+++ b/tests/coordination/policies_test.cpp
@@ -7,7 +7,7 @@
 
 namespace oakpier {
 
-TEST_CASE("extra requests never exceed their share of regular ones plus the burst", "[coordination]") {
+TEST_CASE("extra attempts never exceed their share of regular requests plus the burst", "[coordination]") {
   OAKPIER_PROPERTY("budget", [] {
     constexpr int kBurst = 20;
     ShareBudget budget;
@@ -63,7 +63,7 @@
   }
   REQUIRE_FALSE(health.unresponsive(owner, now));
   now += std::chrono::seconds(1);
-  // One caller per retry period probes the owner; the others still avoid it.
+  // One caller per probe period sends to the owner; the others still avoid it.
   REQUIRE_FALSE(health.unresponsive(owner, now));
   REQUIRE(health.unresponsive(owner, now));
   health.recordReply(owner);
--- a/tests/coordination/repeat_guard_test.cpp
+++ b/tests/coordination/repeat_guard_test.cpp
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-TEST_CASE("an id resent within the window to any daemon runs at most once", "[coordination]") {
+TEST_CASE("a request id resent within the window to any daemon runs at most once", "[coordination]") {
   OAKPIER_PROPERTY("at most once by id", [] {
     SimulationOptions options = optionsFor(*rc::gen::arbitrary<std::uint64_t>());
     options.loss = *rc::gen::inRange(0, 35) / 100.0;
@@ -154,7 +154,7 @@
   REQUIRE(verdictOn("new") == RESERVE_GRANTED);
 }
 
-TEST_CASE("ids run during a rolling replacement of daemons", "[coordination]") {
+TEST_CASE("non-repeatable requests run during a rolling replacement of daemons", "[coordination]") {
   SimulatedFleet fleet(optionsFor(4));
   fleet.runFor(kStartupPeriod);
   Callers callers(fleet);
@@ -172,7 +172,7 @@
   REQUIRE(ran >= kIds * 9 / 10);
 }
 
-TEST_CASE("only the majority side of a network partition runs ids", "[coordination]") {
+TEST_CASE("only the majority side of a network partition runs non-repeatable requests", "[coordination]") {
   SimulatedFleet fleet(optionsFor(6));
   fleet.runFor(kStartupPeriod);
   for (const std::size_t daemon : {0U, 3U}) {
