--- a/src/programs/daemon/control_loop.cpp
+++ b/src/programs/daemon/control_loop.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(50);
-/// A leaving voter waits this long for its successor.
+/// How long a leaving voter waits until its successor is a voter.
 constexpr Duration kHandOverTime = std::chrono::seconds(5);
 
 }  // namespace
@@ -124,7 +124,7 @@
   }
 }
 
-/// Step by step where the changes are still kept, else the whole at once.
+/// Applies the individual changes while the store retains them, else rebuilds the complete table.
 void ControlLoop::takeOverConfiguration() {
   const ChangesReply news = plane_.store().changesSince(table_->revision());
   if (news.has_whole()) {
--- a/src/programs/daemon/control_loop.h
+++ b/src/programs/daemon/control_loop.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The control thread: feeds the control plane with messages and time, sends what it asks for, and publishes
-/// the routing view that requests read.
+/// The control thread: passes messages and time to the control plane, sends the messages it returns, and
+/// publishes the routing view for request threads.
 
 #include <functional>
 #include <future>
@@ -17,7 +17,7 @@
 
 namespace oakpier {
 
-/// What the platform's list says besides the daemons: addresses of leafs that leave.
+/// Addresses of leafs on machines that the platform is about to remove.
 struct PlatformLeaving {
   std::set<std::string> leaves;
 };
@@ -35,13 +35,13 @@
   void start();
   void stop();
 
-  /// All below are thread-safe.
+  /// The functions below are thread-safe.
   void postMessage(PeerEnvelope envelope);
   void postPlatform(PlatformReport report, PlatformLeaving leaving);
   std::future<ChangeResult> submit(ConfigurationChange change, std::uint64_t baseRevision);
-  /// Stops owning leafs, hands on the vote, and tells the others.
+  /// Stops owning leafs, passes the vote to a successor, and notifies peers that this daemon leaves.
   void leave();
-  /// All that is done, or its time is over.
+  /// `leave` has completed or timed out.
   bool left() const { return left_; }
   /// Runs `read` on the control thread and waits for it.
   void inspect(const std::function<void(const ControlPlane&)>& read);
--- a/src/programs/daemon/daemon.cpp
+++ b/src/programs/daemon/daemon.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 constexpr std::uint32_t kResultTimeToLiveMs = 10'000;
-/// HTTP threads beyond the admitted queries, so that refusals find one.
+/// HTTP threads in addition to one per admitted query, so that refusals can be sent at the limit.
 constexpr unsigned kSpareCallerThreads = 32;
 constexpr unsigned kOperatorThreads = 8;
-/// News of the voters' beats reaches everybody well within this many probe periods.
+/// Upper bound, in probe periods, on the time in which voter heartbeats propagate to all daemons.
 constexpr int kLeasePeriods = 15;
 constexpr unsigned kHttpUnavailable = 503;
-/// Operators send whole configurations.
+/// Operators send complete configurations, which are larger than queries.
 constexpr std::size_t kMaxOperatorBytes = std::size_t{64} << 20U;
 
-/// Rises from one start to the next at the same address, and is drawn so that two starts never share it.
+/// Higher after each restart at the same address, with random low bits so that no two starts share it.
 std::uint64_t drawIncarnation() {
   constexpr unsigned kRandomBits = 10;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -102,7 +102,7 @@
 
 void Daemon::closeCallers(Duration limit) {
   constexpr Duration kCheckPeriod = std::chrono::milliseconds(10);
-  /// Bytes of the last replies are still on their way through the HTTP library.
+  /// Time for the HTTP library to write the last replies.
   constexpr int kQuietChecks = 20;
   callerServer_.stopListening();
   const Moment giveUpAt = steadyNow() + limit;
@@ -151,7 +151,7 @@
   }
 }
 
-/// Nothing of work that never left is running anywhere, and its query is told so.
+/// Reports undelivered work to its query as not sent, since none of it runs anywhere.
 void Daemon::onUndeliverable(const Endpoint& to, const PeerEnvelope& envelope) {
   if (!envelope.has_work()) {
     return;
--- a/src/programs/daemon/daemon.h
+++ b/src/programs/daemon/daemon.h
@@ -1,7 +1,6 @@
 #pragma once
 
-/// oakpierd put together: the entry, owner and control roles of one process and the transports that feed
-/// them.
+/// One oakpierd process: the entry, owner and control roles and their transports.
 
 #include <memory>
 
@@ -22,16 +21,16 @@
  public:
   explicit Daemon(const DaemonSettings& settings);
 
-  /// Empty when everything listens, else what does not.
+  /// Returns an error message if an address cannot be listened on, else an empty string.
   std::string start();
 
-  /// Begins a planned stop: leaves the membership, refuses new queries.
+  /// Begins a graceful shutdown: leaves the membership and refuses new queries.
   void beginStop();
-  /// Nothing is in progress here, in either role.
+  /// No work is in progress in the entry and owner roles, and leaving the membership has completed.
   bool idle() const;
-  /// Rises with every call of a caller, refused ones included.
+  /// Calls received from callers, including refused ones.
   std::uint64_t callsBegun() const { return callerServer_.callsBegun(); }
-  /// Refuses new connections of callers and waits until what is open is answered, for `limit` at most.
+  /// Refuses new connections of callers and waits until calls in progress are answered, for `limit` at most.
   void closeCallers(Duration limit);
   void stop();
 
--- a/src/programs/daemon/daemon_metrics.cpp
+++ b/src/programs/daemon/daemon_metrics.cpp
@@ -27,7 +27,7 @@
 
 void DaemonMetrics::countAnswer(const std::string& service, const std::string& priorityClass,
                                 const QueryAnswer& answer, Duration elapsed) {
-  // Names that callers invent must not become labels.
+  // Label only declared names: caller-supplied ones would make the label set unbounded.
   const bool known = answer.error().code() != ERROR_UNKNOWN_SERVICE &&
                      answer.error().code() != ERROR_UNKNOWN_CLASS &&
                      answer.error().code() != ERROR_INVALID_FIELD &&
--- a/src/programs/daemon/daemon_metrics.h
+++ b/src/programs/daemon/daemon_metrics.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The daemon's metrics, in Prometheus text at /metrics. docs/OPERATIONS.md explains each.
+/// The daemon's metrics, in the Prometheus text format at /metrics. docs/OPERATIONS.md explains each.
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -16,7 +16,7 @@
 
 namespace oakpier {
 
-/// Values that are read off the daemon's parts at each scrape.
+/// Values collected from the daemon's components at each scrape.
 struct DaemonGauges {
   std::uint64_t revision = 0;
   bool ready = false;
@@ -48,7 +48,7 @@
                    Duration elapsed);
   void count(const QueryCounters& counters);
 
-  /// The text of /metrics.
+  /// The response body of /metrics.
   std::string text(const DaemonGauges& gauges);
 
  private:
--- a/src/programs/daemon/daemon_settings.cpp
+++ b/src/programs/daemon/daemon_settings.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Values as they stand in flags and files, before conversion.
+/// Unconverted values of flags and settings file.
 struct RawSettings {
   std::string callerAddress;
   std::string operatorAddress;
@@ -155,8 +155,7 @@
     return SettingsExit{kExitUsage, "--zone: '' is not allowed: give the name of a zone\n"};
   }
   if (raw.peers.empty() && raw.platform.empty()) {
-    return SettingsExit{kExitUsage,
-                        "--platform or --peers is required: without one of them no daemon is found\n"};
+    return SettingsExit{kExitUsage, "--platform or --peers is required to find other daemons\n"};
   }
   return convert(raw);
 }
--- a/src/programs/daemon/daemon_settings.h
+++ b/src/programs/daemon/daemon_settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The settings of oakpierd, from a settings file (TOML) and flags; flags win.
+/// The settings of oakpierd, from a settings file (TOML) and flags; flags take precedence.
 
 #include <string>
 #include <variant>
@@ -18,12 +18,12 @@
   Endpoint operatorAddress;
   Endpoint peerAddress;
   std::string zone;
-  /// Peers to join through, besides those on the platform's list.
+  /// Seed peers in addition to those on the platform's list.
   std::vector<Endpoint> peers;
-  /// A default endpoint = there is no platform.
+  /// A default endpoint if there is no platform.
   Endpoint platform;
   Duration platformPeriod{0};
-  /// Queries in progress at once, over all classes.
+  /// Limit of concurrent queries over all classes.
   std::uint32_t maxQueries = 0;
   std::uint32_t ownerThreads = 0;
   std::size_t maxRequestBytes = 0;
@@ -35,11 +35,11 @@
   bool admission = true;
   LogLevel logLevel = LogLevel::kInfo;
   bool checkConfigOnly = false;
-  /// For proofs only: serve the interface that cuts this daemon off from peers.
+  /// For tests only: serve the interface that blocks traffic with chosen peers.
   bool allowFaultInjection = false;
 };
 
-/// Print this and exit with this code.
+/// Text to print before exiting with `code`.
 struct SettingsExit {
   int code = 0;
   std::string text;
--- a/src/programs/daemon/entry_service.h
+++ b/src/programs/daemon/entry_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The caller interface: checks a request, admits it, and runs its state machine on the calling HTTP thread
-/// until there is an answer.
+/// The caller interface: validates and admits a request, and runs its state machine on the calling HTTP
+/// thread until it is answered.
 
 #include <atomic>
 #include <functional>
@@ -33,30 +33,30 @@
   void Query(google::protobuf::RpcController* controller, const QueryRequest* request, QueryAnswer* answer,
              google::protobuf::Closure* done) override;
 
-  /// Results for a query of this daemon; those of ended queries are dropped.
+  /// Results for a query of this daemon; discarded if the query has ended.
   void onResults(const Endpoint& owner, ResultBatch results);
-  /// A guardian's word on the id of a request not to be repeated.
+  /// A guardian's reply to the reservation of a non-repeatable request's id.
   void onVerdict(const Endpoint& guardian, const ReserveReply& reply);
 
-  /// From now on new queries are refused.
+  /// Refuses all queries that arrive later.
   void refuseNew() { stopping_ = true; }
   std::uint32_t inFlight() const { return admission_.inFlight(); }
 
  private:
-  /// What other daemons sent for one query.
+  /// A message from a peer for one query.
   struct Delivery {
     Endpoint sender;
     std::variant<ResultBatch, ReserveReply> content;
   };
   using Inbox = Mailbox<Delivery>;
 
-  /// Fills in defaults; an error when the request cannot be run.
+  /// Fills in defaults and validates the request; returns an error if it cannot be run.
   Error prepare(const RoutingView& view, QueryRequest& request, const ServiceEntry*& service,
                 const ClassEntry*& priorityClass) const;
   void refuse(QueryAnswer& answer, const Error& error, Duration retryAfter) const;
   void run(QueryContext context, QueryAnswer& answer);
   void runQuery(QueryContext context, Inbox& inbox, QueryAnswer& answer);
-  /// For a request not to be repeated: has its id remembered by most of its guardians before it runs.
+  /// Reserves the id of a non-repeatable request with a majority of its guardians before it runs.
   Reservation::State reserve(const QueryContext& context, const std::vector<Endpoint>& guardians,
                              Inbox& inbox);
   void release(const QueryContext& context, const std::vector<Endpoint>& guardians);
--- a/src/programs/daemon/fault_service.h
+++ b/src/programs/daemon/fault_service.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The fault interface of a daemon, for proofs: cuts it off from chosen peers.
+/// Fault injection for tests: blocks traffic with chosen peers.
 
 #include <set>
 
--- a/src/programs/daemon/mailbox.h
+++ b/src/programs/daemon/mailbox.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Hands values from many threads to one, which waits with a deadline.
+/// A multi-producer, single-consumer queue with a timed wait.
 
 #include <condition_variable>
 #include <mutex>
@@ -22,7 +22,7 @@
     filled_.notify_one();
   }
 
-  /// All values, as soon as there is one; none when `deadline` passes first.
+  /// Waits for at least one value and returns all; empty if `deadline` passes first.
   std::vector<Value> takeUntil(Moment deadline) {
     std::unique_lock<std::mutex> lock(mutex_);
     filled_.wait_until(lock, deadline, [this] { return !values_.empty(); });
--- a/src/programs/daemon/main.cpp
+++ b/src/programs/daemon/main.cpp
@@ -1,4 +1,4 @@
-/// oakpierd: reads its settings, runs the daemon, and stops it in order on SIGTERM or SIGINT.
+/// oakpierd: reads its settings, runs the daemon, and shuts it down gracefully on SIGTERM or SIGINT.
 
 #include <pthread.h>
 
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr Duration kIdleCheckPeriod = std::chrono::milliseconds(20);
-/// Others may not have heard that this daemon leaves; it serves their work until none came for this long.
+/// Peers may not know yet that this daemon leaves, so it serves until no work arrives for this long.
 constexpr Duration kQuietTime = std::chrono::milliseconds(1000);
 
-/// After new connections are refused, open ones are answered within this.
+/// Timeout for calls in progress once new connections are refused.
 constexpr Duration kCloseLimit = std::chrono::seconds(3);
 
 sigset_t stopSignals() {
@@ -27,7 +27,7 @@
   return signals;
 }
 
-/// True when another stop signal comes within `time`.
+/// Whether another stop signal arrives within `time`.
 bool signalledWithin(const sigset_t& signals, Duration time) {
   const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(time);
   const auto rest = std::chrono::duration_cast<std::chrono::nanoseconds>(time - seconds);
@@ -41,7 +41,7 @@
   std::uint64_t callsBefore = daemon.callsBegun();
   while (steadyNow() < giveUpAt && steadyNow() - busyAt < kQuietTime) {
     if (signalledWithin(signals, kIdleCheckPeriod)) {
-      log(LogLevel::kWarning, "second signal: stopping at once");
+      log(LogLevel::kWarning, "second signal: stopping immediately");
       return;
     }
     const std::uint64_t calls = daemon.callsBegun();
--- a/src/programs/daemon/operator_service.cpp
+++ b/src/programs/daemon/operator_service.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Empty code for an accepted change.
+/// ERROR_NONE for an accepted change.
 Error errorOf(const ChangeResult& result) {
   const std::string revision = std::to_string(result.revision);
   switch (result.end) {
--- a/src/programs/daemon/owner_worker.cpp
+++ b/src/programs/daemon/owner_worker.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-/// A step to be carried out on the worker's thread.
+/// A task for the worker's thread.
 class OwnerWorker::Task : public cxxtools::BasicEvent<OwnerWorker::Task> {
  public:
   explicit Task(std::function<void()> step) : step_(std::move(step)) {}
@@ -60,7 +60,7 @@
 
 void OwnerWorker::postWork(const Endpoint& entry, std::shared_ptr<const WorkBatch> batch) {
   post([this, entry, batch = std::move(batch), received = steadyNow()] {
-    // Time spent in the queue, a pause of the process included, counts against the deadline.
+    // Queueing time counts against the deadline, including time in which the process was paused.
     const Moment deadline = received + fromMilliseconds(batch->remaining_ms());
     carryOut(dispatcher_.onWork(entry, batch, deadline, *view_.read(), steadyNow()));
   });
--- a/src/programs/daemon/owner_worker.h
+++ b/src/programs/daemon/owner_worker.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One thread of the owner role: the event loop with its leaf connections and the dispatcher that decides.
+/// One thread of the owner role: an event loop with leaf connections and the dispatcher that schedules them.
 
 #include <cxxtools/connectable.h>
 #include <cxxtools/eventloop.h>
@@ -35,7 +35,7 @@
   void postWork(const Endpoint& entry, std::shared_ptr<const WorkBatch> batch);
   void postCancel(const CancelWork& cancel);
 
-  /// Thread-safe; as of the last tick.
+  /// Thread-safe; values of the last tick.
   DispatchCounters counters() const;
   std::size_t busy() const;
   std::size_t openConnections() const;
@@ -62,7 +62,7 @@
   std::size_t publishedConnections_ = 0;
 };
 
-/// All owner threads of a daemon. A leaf always belongs to the same thread.
+/// All owner threads of a daemon. Each leaf is assigned to one thread.
 class OwnerWorkers {
  public:
   OwnerWorkers(std::uint32_t threads, const Published<RoutingView>& view, bool admission,
--- a/src/programs/daemon/platform_poller.cpp
+++ b/src/programs/daemon/platform_poller.cpp
@@ -55,7 +55,7 @@
   platform.ListMachines(&call, &listRequest, &machines, nullptr);
   if (call.Failed()) {
     if (++failures_ == 1) {
-      log(LogLevel::kWarning, "the platform cannot be read",
+      log(LogLevel::kWarning, "cannot read from the platform",
           {{"platform", platform_.text()}, {"error", call.ErrorText()}});
     }
     return;
--- a/src/programs/daemon/platform_poller.h
+++ b/src/programs/daemon/platform_poller.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Reads the platform's configuration service and its list of machines at intervals. Both may be slow, stale
-/// or down; the last answers stand until better ones come.
+/// Polls the platform's configuration service and its list of machines. Both may be slow, stale or down; the
+/// last successful answers stay in effect until the next ones.
 
 #include <atomic>
 #include <condition_variable>
@@ -16,7 +16,8 @@
 
 class PlatformPoller {
  public:
-  /// `needsConfiguration`: whether the configuration, which is large, is wanted; else only the list is read.
+  /// Reads the configuration, which is large, only while `needsConfiguration` returns true; always reads the
+  /// list.
   PlatformPoller(const Endpoint& platform, Duration period, ControlLoop& control,
                  std::function<bool()> needsConfiguration);
   ~PlatformPoller();
--- a/src/protocol/configuration_check.cpp
+++ b/src/protocol/configuration_check.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint32_t kMaxSlots = 10'000;
 constexpr std::size_t kMaxNameLength = 128;
 
-/// Collects the faults of one configuration.
+/// Collects the validation errors of one configuration.
 class Checker {
  public:
   explicit Checker(const Configuration& configuration) : configuration_(configuration) {}
@@ -45,7 +45,7 @@
     }
   }
 
-  /// Names must be present, short and not yet in `seen`.
+  /// Requires a non-empty name of at most kMaxNameLength characters that is not yet in `seen`.
   void checkName(const std::string& field, const std::string& name, std::set<std::string>& seen) {
     if (name.empty() || name.size() > kMaxNameLength) {
       fault(field, name, "1 to " + std::to_string(kMaxNameLength) + " characters");
--- a/src/protocol/configuration_check.h
+++ b/src/protocol/configuration_check.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Decides whether a configuration may be accepted.
+/// Validates configurations.
 
 #include <vector>
 
@@ -9,7 +9,7 @@
 
 namespace oakpier {
 
-/// Every fault found, each with the path of the field, its value and what is allowed. Empty = valid.
+/// All validation errors, each with the path of the field, its value and the allowed values. Empty if valid.
 std::vector<Error> checkConfiguration(const Configuration& configuration);
 
 }  // namespace oakpier
--- a/src/protocol/rpc_codec.cpp
+++ b/src/protocol/rpc_codec.cpp
@@ -21,7 +21,7 @@
   options.preserve_proto_field_names = true;
   options.add_whitespace = true;
   std::string text;
-  // Fails only for Any fields of unknown type; the schema has none.
+  // Fails only for Any fields of unknown type, which the schema does not have.
   (void)google::protobuf::util::MessageToJsonString(message, &text, options);
   return text;
 }
@@ -33,14 +33,15 @@
       return std::nullopt;
     }
     return makeError(ERROR_MALFORMED_REQUEST,
-                     "the body is not a binary " + message.GetDescriptor()->full_name());
+                     "cannot parse the body as binary " + message.GetDescriptor()->full_name());
   }
   const auto status = google::protobuf::util::JsonStringToMessage(body, &message);
   if (status.ok()) {
     return std::nullopt;
   }
-  return makeError(ERROR_MALFORMED_REQUEST, "the body is not a JSON " + message.GetDescriptor()->full_name() +
-                                                ": " + std::string(status.message()));
+  return makeError(ERROR_MALFORMED_REQUEST, "cannot parse the body as JSON " +
+                                                message.GetDescriptor()->full_name() + ": " +
+                                                std::string(status.message()));
 }
 
 Error makeError(ErrorCode code, const std::string& message, const std::string& field) {
--- a/src/protocol/rpc_codec.h
+++ b/src/protocol/rpc_codec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// How a schema-defined call travels over HTTP: POST /package.Service/Method with a binary or a JSON body.
+/// Encoding of schema-defined calls over HTTP: POST /package.Service/Method with a binary or a JSON body.
 
 #include <google/protobuf/message.h>
 
@@ -16,14 +16,15 @@
 inline constexpr const char* kBinaryContentType = "application/x-protobuf";
 inline constexpr const char* kJsonContentType = "application/json";
 
-/// JSON only when the content type says so.
+/// Binary unless the content type is JSON.
 BodyFormat bodyFormatOf(const std::string& contentType);
 
 const char* contentTypeOf(BodyFormat format);
 
 std::string encodeBody(const google::protobuf::Message& message, BodyFormat format);
 
-/// Fills `message`; on failure returns ERROR_MALFORMED_REQUEST with the place that could not be read.
+/// Parses `body` into `message`. On failure returns ERROR_MALFORMED_REQUEST, for JSON with the parser's
+/// message.
 std::optional<Error> decodeBody(const std::string& body, BodyFormat format,
                                 google::protobuf::Message& message);
 
--- a/src/state/configuration_change.cpp
+++ b/src/state/configuration_change.cpp
@@ -51,7 +51,7 @@
   return position < items.size() && items.Get(position).name() == name;
 }
 
-/// Items are sorted by name, so a small change to a large configuration is cheap.
+/// Requires items sorted by name, which makes each lookup logarithmic.
 template <typename Item>
 void apply(const Items<Item>& put, const Items<std::string>& removed, Items<Item>& items) {
   for (const auto& name : removed) {
--- a/src/state/configuration_change.h
+++ b/src/state/configuration_change.h
@@ -1,19 +1,19 @@
 #pragma once
 
-/// The difference between two configurations, and its application. Changes, not whole configurations, travel
-/// between daemons.
+/// Computes and applies differences between configurations. Daemons exchange changes rather than complete
+/// configurations.
 
 #include "oakpier/configuration.pb.h"
 
 namespace oakpier {
 
-/// What leads from `from` to `to`. The revision is left to the caller.
+/// The change that turns `from` into `to`. The caller sets its revision.
 ConfigurationChange differenceBetween(const Configuration& from, const Configuration& to);
 
 bool isEmpty(const ConfigurationChange& change);
 
-/// Puts the change in place and takes over its revision. Items are kept sorted by name, so that daemons which
-/// applied the same changes hold equal bytes; so they must be in `configuration` before.
+/// Applies the change and sets its revision. Requires items sorted by name in `configuration` and keeps them
+/// sorted, so that daemons which applied the same changes serialize to the same bytes.
 void applyChange(const ConfigurationChange& change, Configuration& configuration);
 
 }  // namespace oakpier
--- a/src/state/configuration_store.h
+++ b/src/state/configuration_store.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The accepted configuration, the voters that accept the next change, and the latest changes for daemons
-/// that are a little behind. Not thread-safe.
+/// The accepted configuration, the voters that accept the next change, and the latest changes for peers
+/// that are a few revisions behind. Not thread-safe.
 
 #include <deque>
 
@@ -13,22 +13,23 @@
  public:
   const Configuration& configuration() const { return configuration_; }
   const VoterSet& voters() const { return voters_; }
-  /// 0 until the first configuration was accepted or learnt.
+  /// 0 until the first configuration was accepted or received from a peer.
   std::uint64_t revision() const { return configuration_.revision(); }
   std::uint64_t cluster() const { return cluster_; }
 
-  /// Takes over an accepted proposal; false unless it is of the next revision.
+  /// Applies an accepted proposal; false unless it has the next revision and the same cluster.
   bool adopt(const Proposal& accepted);
-  /// Takes over what another daemon has accepted; false when nothing in it is newer.
+  /// Applies changes accepted by a peer; false if the reply is not newer, belongs to another cluster, or
+  /// leaves a gap in the revisions.
   bool adopt(const ChangesReply& reply);
 
-  /// What a daemon at `revision` lacks: changes where they are still kept, else the whole.
+  /// The changes after `revision` if all of them are retained, else the complete configuration.
   ChangesReply changesSince(std::uint64_t revision) const;
 
  private:
   void put(const ConfigurationChange& change);
 
-  /// Changes kept for daemons that are behind.
+  /// Changes retained for peers that are behind.
   static constexpr std::size_t kChangesKept = 64;
 
   Configuration configuration_;
--- a/src/state/endpoint.h
+++ b/src/state/endpoint.h
@@ -14,7 +14,7 @@
   Endpoint() = default;
   Endpoint(std::uint32_t ip, std::uint16_t port) : ip_(ip), port_(port) {}
 
-  /// Reads "127.0.0.1:7001". Empty for anything else, names of hosts included.
+  /// Parses "127.0.0.1:7001". Empty for anything else, including host names and port 0.
   static std::optional<Endpoint> parse(const std::string& text);
 
   std::string ip() const;
--- a/src/state/erase.h
+++ b/src/state/erase.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Erasure from containers by value or condition, as C++20 has it.
+/// Erasure from containers by value or condition, as std::erase and std::erase_if of C++20.
 
 #include <algorithm>
 
--- a/src/state/leaf_knowledge.h
+++ b/src/state/leaf_knowledge.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What this daemon knows of one leaf from the leaf's own answers. Written and read on the path of requests,
-/// so every field is an atomic of its own; readers tolerate a mix of two reports.
+/// The state of one leaf as seen by this daemon, from the leaf's own reports. Written and read on the request
+/// path, so each field is a separate atomic; readers may see fields of two different reports.
 
 #include <atomic>
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 class LeafKnowledge {
  public:
-  /// Takes in what the leaf said of itself at `now`.
+  /// Stores a report received at `now` and resets the count of consecutive failures.
   void record(const LeafState& report, Moment now) {
     oldestSnapshot_.store(report.oldest_snapshot(), std::memory_order_relaxed);
     newestSnapshot_.store(report.newest_snapshot(), std::memory_order_relaxed);
@@ -24,8 +24,8 @@
     reportedAt_.store(now.time_since_epoch().count(), std::memory_order_release);
   }
 
-  /// Moves the smoothed latency an eighth of the way; a leaf that was never timed counts as fast, so that it
-  /// is tried.
+  /// Updates an exponentially weighted moving average with weight 1/8. It starts at 0, so that a leaf without
+  /// samples is preferred and gets measured.
   void recordLatency(Duration latency) {
     const std::int64_t before = latency_.load(std::memory_order_relaxed);
     latency_.store(before + (latency.count() - before) / kLatencySmoothing, std::memory_order_relaxed);
@@ -46,7 +46,7 @@
   std::uint32_t reportedInFlight() const { return reportedInFlight_.load(std::memory_order_relaxed); }
   std::uint32_t consecutiveFailures() const { return consecutiveFailures_.load(std::memory_order_relaxed); }
 
-  /// Requests that this daemon has on the way to the leaf, counted by the sender.
+  /// Requests of this daemon to the leaf that are in flight.
   std::uint32_t outstanding() const { return outstanding_.load(std::memory_order_relaxed); }
   void addOutstanding() { outstanding_.fetch_add(1, std::memory_order_relaxed); }
   void removeOutstanding() { outstanding_.fetch_sub(1, std::memory_order_relaxed); }
--- a/src/state/member_table.cpp
+++ b/src/state/member_table.cpp
@@ -15,7 +15,7 @@
       [](const MemberRecord& record, const Endpoint& wanted) { return record.address < wanted; });
 }
 
-/// Graver conditions win over lighter ones of the same refutation.
+/// For the same refutation the more severe condition takes precedence.
 int gravity(MemberCondition condition) {
   switch (condition) {
     case MEMBER_ALIVE:
@@ -55,7 +55,7 @@
   }
 }
 
-/// Keeps the count and the digests of serving members.
+/// Updates the count and the digests of serving members.
 void MemberTable::count(const MemberRecord& record, bool added) {
   if (record.serving()) {
     servingCount_ += added ? 1 : -1;
--- a/src/state/member_table.h
+++ b/src/state/member_table.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What this daemon believes of every daemon: one compact record each, since there are thousands.
+/// The membership list of this daemon: one compact record per daemon, since there are thousands.
 
 #include <array>
 #include <cstdint>
@@ -13,30 +13,29 @@
 
 namespace oakpier {
 
-/// Zones are few; records hold their number, not their name.
+/// Index into the table's zone names.
 using ZoneNumber = std::uint16_t;
 
 struct MemberRecord {
   Endpoint address;
-  /// Of one process; a restarted process has a higher one.
+  /// Identifies one process; higher after a restart.
   std::uint64_t incarnation = 0;
   /// Raised by the member itself to refute a suspicion.
   std::uint32_t refutation = 0;
   ZoneNumber zone = 0;
   MemberCondition condition = MEMBER_ALIVE;
-  /// In hundredths of a processor core; 0 when the member did not tell.
+  /// In hundredths of a processor core; 0 if not reported.
   std::uint32_t capacity = 0;
   Moment changedAt{};
 
   bool serving() const { return condition == MEMBER_ALIVE || condition == MEMBER_SUSPECT; }
 };
 
-/// The table is compared between daemons by digests of its parts; a member belongs to the part of its
-/// address.
+/// Daemons compare their tables by digests of its parts; a member's address determines its part.
 inline constexpr std::size_t kTableParts = 64;
 std::size_t partOf(const Endpoint& address);
-/// What a serving member adds to the digest of its part: process and capacity, so that daemons that place
-/// work by different capacities compare their tables.
+/// A serving member's contribution to the digest of its part. It covers the capacity too, so that tables that
+/// place work by different capacities differ.
 std::uint64_t digestOf(const MemberRecord& record);
 
 /// Records sorted by address. Not thread-safe.
@@ -48,7 +47,7 @@
   void put(const MemberRecord& record);
   void remove(const Endpoint& address);
   std::size_t servingCount() const { return servingCount_; }
-  /// Digests of the serving members; equal tables have equal ones.
+  /// XOR of the digests of the part's serving members; independent of the order of updates.
   std::uint64_t partDigest(std::size_t part) const { return digests_[part]; }
 
   ZoneNumber zoneNumber(const std::string& zone);
@@ -63,8 +62,9 @@
   std::vector<std::string> zones_;
 };
 
-/// True when `update` carries newer knowledge than `known`: a later process, a later refutation, or, for the
-/// same refutation, the graver condition.
+/// True when `update` replaces `known`: it has a higher incarnation or, within one incarnation, a higher
+/// refutation or, for the same refutation, the more severe condition. MEMBER_LEFT is final for an
+/// incarnation.
 bool supersedes(const MemberRecord& update, const MemberRecord& known);
 
 }  // namespace oakpier
--- a/src/state/published.h
+++ b/src/state/published.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Read-copy-update of one immutable value: one writer publishes, many request threads read without locks.
+/// Read-copy-update of one immutable value: writers publish under a mutex, readers take no lock.
 
 #include <urcu/urcu-bp.h>
 
@@ -10,7 +10,7 @@
 namespace oakpier {
 
 /// Holds the current version of an immutable `Value`. `read` is wait-free and keeps the version it returns
-/// alive for as long as the caller holds it, so a request works on one version from start to end.
+/// alive for as long as the caller holds it, so that a request uses one version throughout.
 template <typename Value>
 class Published {
  public:
@@ -26,7 +26,7 @@
     return value;
   }
 
-  /// Waits until no reader still looks at the former node; never called on the path of a request.
+  /// Blocks for an RCU grace period, so it must not be called on the request path.
   void publish(std::shared_ptr<const Value> value) {
     const std::lock_guard<std::mutex> guard(writer_);
     Node* fresh = new Node{std::move(value)};
--- a/src/state/random.h
+++ b/src/state/random.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The source of chance in state and coordination; seeded and passed in by the caller.
+/// Random numbers for state and coordination. The caller seeds and passes the engine.
 
 #include <cstddef>
 #include <random>
@@ -9,7 +9,7 @@
 
 using RandomEngine = std::mt19937_64;
 
-/// Evenly from 0 to `bound` - 1; `bound` is at least 1.
+/// Uniformly distributed from 0 to `bound` - 1; `bound` must be at least 1.
 inline std::size_t drawBelow(std::size_t bound, RandomEngine& random) {
   return std::uniform_int_distribution<std::size_t>(0, bound - 1)(random);
 }
--- a/src/state/routing_table.cpp
+++ b/src/state/routing_table.cpp
@@ -19,7 +19,7 @@
                           [](const auto& item, std::string_view wanted) { return nameOf(item) < wanted; });
 }
 
-/// Items are sorted by name; `item` replaces one of the same name.
+/// Inserts into items sorted by name, or replaces the one of the same name.
 template <typename Items, typename Item>
 void putByName(Items& items, Item item) {
   const auto position = positionOf(items, nameOf(item));
@@ -68,7 +68,7 @@
   apply(change, &former);
 }
 
-/// Leafs come before services, which refer to them.
+/// Adds leafs before services, since shards refer to leafs by index.
 void RoutingTable::apply(const ConfigurationChange& change, const RoutingTable* former) {
   revision_ = change.revision();
   for (const auto& leaf : change.put_leaves()) {
@@ -136,7 +136,7 @@
   return index;
 }
 
-/// Copies the chunk first when another version may read it.
+/// Copies the chunk on first write, since other versions may share it.
 LeafEntry& RoutingTable::writableLeaf(LeafIndex index) {
   const std::size_t chunk = index / kChunkLeaves;
   std::shared_ptr<Chunk>& own = ownChunks_[chunk];
--- a/src/state/routing_table.h
+++ b/src/state/routing_table.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The accepted configuration in the form that requests read: indexes in place of names, policies at hand.
-/// Immutable; one table is shared by all threads through `Published`.
+/// The accepted configuration, indexed for request routing. Immutable; all threads share one table through
+/// `Published`.
 
 #include <cstdint>
 #include <memory>
@@ -27,7 +27,7 @@
   std::uint16_t slots = 0;
   std::uint16_t maxConnections = 0;
   bool drained = false;
-  /// Outlives the table: a later revision keeps what is known of a leaf that stays.
+  /// Shared with later revisions of the table while the leaf keeps its name and address.
   std::shared_ptr<LeafKnowledge> knowledge;
 };
 
@@ -61,29 +61,32 @@
   std::uint32_t maxInFlight = 0;
 };
 
-/// A leaf keeps its index as long as it is declared; versions share all parts that a change does not touch.
+/// A leaf keeps its index as long as it is declared. Versions share the chunks and buckets that a change does
+/// not modify (copy-on-write).
 class RoutingTable {
  public:
-  /// Of nothing; revision 0.
+  /// An empty table of revision 0.
   RoutingTable() : buckets_(kBuckets) {}
-  /// Of a valid whole configuration. Keeps what `former` knows of leafs that stay; `former` may be null.
+  /// Builds from a valid, complete configuration. Shares the knowledge of leafs whose name and address are
+  /// unchanged since `former`, which may be null.
   RoutingTable(const Configuration& configuration, const RoutingTable* former);
-  /// The next version after `former`. Costs by the size of the change, not of the table.
+  /// Applies `change` to `former`. Copies only the chunks and buckets that the change modifies.
   RoutingTable(const RoutingTable& former, const ConfigurationChange& change);
 
   std::uint64_t revision() const { return revision_; }
-  /// Indexes run from 0 to this; some may stand for no leaf any more.
+  /// Upper bound of leaf indexes (exclusive); some may be unused, see `declared`.
   std::size_t indexCount() const { return indexCount_; }
   bool declared(LeafIndex index) const { return !leaf(index).name.empty(); }
   const LeafEntry& leaf(LeafIndex index) const {
     return (*chunks_[index / kChunkLeaves])[index % kChunkLeaves];
   }
   const std::string& zoneName(std::uint16_t zone) const { return zones_[zone]; }
-  /// Leafs that came, changed or went with the change that made this version; all of them for a whole one.
+  /// Leafs added, modified or removed by the change that produced this version; all leafs if it was built
+  /// from a complete configuration.
   const std::vector<LeafIndex>& touched() const { return touched_; }
 
   std::optional<LeafIndex> findLeaf(std::string_view name) const;
-  /// Null when there is none.
+  /// Null if not found.
   const LeafEntry* leafNamed(std::string_view name) const;
   const ServiceEntry* findService(std::string_view name) const;
   const ClassEntry* findClass(std::string_view name) const;
@@ -114,7 +117,7 @@
   std::vector<std::shared_ptr<const ServiceEntry>> services_;
   std::vector<ClassEntry> classes_;
   std::vector<std::string> zones_;
-  /// Parts that this version alone holds, while it is built.
+  /// Chunks and buckets already copied for this version; used only during construction.
   std::unordered_map<std::size_t, std::shared_ptr<Chunk>> ownChunks_;
   std::unordered_map<std::size_t, std::shared_ptr<Bucket>> ownBuckets_;
 };
--- a/src/state/routing_view.h
+++ b/src/state/routing_view.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Everything a request needs to find its way: the routing table, the owner daemons of each leaf, and what
-/// the platform says of leaving machines. Immutable; published by the control thread.
+/// Everything needed to route a request: the routing table, the owner daemons of each leaf, and the machines
+/// that the platform is about to remove. Immutable; published by the control thread.
 
 #include <array>
 #include <cstdint>
@@ -21,11 +21,11 @@
   std::shared_ptr<const RoutingTable> table;
   /// By leaf index.
   std::vector<LeafOwners> owners;
-  /// By leaf index: the platform's list says that the machine leaves.
+  /// By leaf index: the platform is about to remove the leaf's machine.
   std::vector<bool> leaving;
-  /// Serving daemons, this one included.
+  /// Serving daemons, including this one.
   std::vector<Endpoint> daemons;
-  /// This daemon may serve: it holds an accepted configuration and its view is fresh.
+  /// Whether this daemon may serve: it has an accepted configuration and its view is fresh.
   bool ready = false;
 };
 
--- a/src/transport/http_channel.cpp
+++ b/src/transport/http_channel.cpp
@@ -40,7 +40,7 @@
     if (client_.header().httpReturnCode() != kHttpOk) {
       controller->SetFailed(describeRefusal(client_.header().httpReturnCode(), body));
     } else if (!response->ParseFromString(body)) {
-      controller->SetFailed("the reply is not a " + response->GetDescriptor()->full_name());
+      controller->SetFailed("cannot parse the reply as " + response->GetDescriptor()->full_name());
     }
   } catch (const std::exception& problem) {
     client_.close();
--- a/src/transport/http_channel.h
+++ b/src/transport/http_channel.h
@@ -12,7 +12,7 @@
 
 namespace oakpier {
 
-/// Says whether the call arrived. The typed error of the peer, if any, is in the reply message.
+/// Reports transport failures. A typed error of the called service is in the reply message.
 class CallController : public google::protobuf::RpcController {
  public:
   void Reset() override { error_.clear(); }
@@ -27,15 +27,16 @@
   std::string error_;
 };
 
-/// One connection, one call at a time; used from one thread. Give it to a generated `_Stub`.
+/// One connection with one call at a time, for use by a generated `_Stub`. Not thread-safe.
 class HttpChannel : public google::protobuf::RpcChannel {
  public:
   HttpChannel(const Endpoint& server, Duration timeout);
 
-  /// A call on a fresh connection is never sent a second time by the HTTP library.
+  /// Closes the connection, so that the next call opens a new one: the HTTP library may resend a call on a
+  /// kept-alive connection, but never on a new one.
   void useFreshConnection() { client_.close(); }
 
-  /// `done` may be null; the call has ended when this returns.
+  /// `done` may be null; the call has completed when this returns.
   void CallMethod(const google::protobuf::MethodDescriptor* method,
                   google::protobuf::RpcController* controller, const google::protobuf::Message* request,
                   google::protobuf::Message* response, google::protobuf::Closure* done) override;
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -25,7 +25,7 @@
 
 thread_local int callerSocket = -1;
 
-/// A call carried out on the thread that received it needs no controller state.
+/// For calls that run on the receiving thread, which need no controller state.
 class LocalController : public google::protobuf::RpcController {
  public:
   void Reset() override {}
@@ -60,7 +60,7 @@
   RpcResponder(cxxtools::http::Service& service, const HttpServer& server)
       : Responder(service), server_(server) {}
 
-  /// Released once the reply is written.
+  /// The responder is released after the reply is written.
   ~RpcResponder() override {
     if (begun_) {
       --server_.callsInProgress_;
@@ -208,7 +208,7 @@
 
 void HttpServer::stopListening() {
   closing_ = true;
-  // cxxtools keeps its listening socket to itself, so it is looked up by its address.
+  // cxxtools does not expose its listening socket, so find the descriptor by its address.
   constexpr int kMostDescriptors = 4096;
   for (int descriptor = 0; descriptor < kMostDescriptors; ++descriptor) {
     int listening = 0;
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -19,7 +19,7 @@
 
 namespace oakpier {
 
-/// What a plain page answers.
+/// The response of a plain page.
 struct PageReply {
   unsigned status = 200;
   std::string contentType = "text/plain; charset=utf-8";
@@ -33,7 +33,7 @@
   struct Options {
     Endpoint listen;
     unsigned threads = 64;
-    /// Larger bodies get HTTP 413 with ERROR_TOO_LARGE; the connection lives on.
+    /// Larger bodies get HTTP 413 with ERROR_TOO_LARGE; the connection stays open.
     std::size_t maxBodyBytes = 1U << 20U;
   };
 
@@ -46,15 +46,15 @@
   void addRpcService(google::protobuf::Service& service);
   void addPage(const std::string& path, std::function<PageReply()> page);
 
-  /// Begins to accept; returns a text when the address cannot be listened on, else an empty one.
+  /// Starts to accept connections; returns an error message if it cannot listen, else an empty string.
   std::string start();
 
-  /// From now on new connections are refused; those that are open are served on, and each reply asks its
-  /// caller to close. With this a planned stop cuts nobody off.
+  /// Begins a graceful shutdown: refuses new connections, keeps serving open ones, and asks their callers in
+  /// each reply to close them.
   void stopListening();
-  /// Calls whose reply is not written yet.
+  /// Calls in progress, up to when the reply is written.
   std::size_t callsInProgress() const { return callsInProgress_; }
-  /// Calls begun since the start.
+  /// Calls received since the start.
   std::uint64_t callsBegun() const { return callsBegun_; }
 
   void stop();
@@ -77,11 +77,11 @@
   mutable std::atomic<std::uint64_t> callsBegun_{0};
 };
 
-/// The socket of the HTTP request that the calling thread serves, for handlers that watch for a caller's
-/// departure. -1 outside of a handler.
+/// The socket of the HTTP request that the calling thread serves, for handlers that detect a
+/// disconnected caller. -1 outside of a handler.
 int currentCallerSocket();
 
-/// True when the caller of the request on this thread has closed its connection.
+/// Whether the caller of the request on this thread has closed its connection.
 bool currentCallerGone();
 
 }  // namespace oakpier
--- a/src/transport/leaf_connections.cpp
+++ b/src/transport/leaf_connections.cpp
@@ -18,7 +18,7 @@
 constexpr unsigned kHttpOk = 200;
 constexpr const char* kExecuteUrl = "/oakpier.LeafBackend/Execute";
 constexpr const char* kStatusUrl = "/oakpier.LeafBackend/Status";
-/// Connections that one owner thread opens at the same time; listeners have short queues.
+/// Limits concurrent connection attempts of one owner thread, since accept queues of leafs are short.
 constexpr std::size_t kMostOpening = 16;
 constexpr Duration kIdleTime = std::chrono::seconds(30);
 
@@ -104,7 +104,7 @@
     }
   }
 
-  /// False when the body is not what was asked for.
+  /// False if the body cannot be parsed.
   bool deliver() {
     const ExchangeId id = exchange;
     if (statusOnly) {
--- a/src/transport/leaf_connections.h
+++ b/src/transport/leaf_connections.h
@@ -34,12 +34,11 @@
   LeafConnections& operator=(const LeafConnections&) = delete;
   ~LeafConnections();
 
-  /// A request not to be repeated goes over a connection of its own, on which the HTTP library never sends
-  /// twice.
+  /// A non-repeatable request uses a new connection, on which the HTTP library never resends.
   void send(const SendToLeaf& request);
   void abort(ExchangeId exchange);
 
-  /// Frees ended connections, opens waiting ones, closes idle ones. Call every few milliseconds.
+  /// Frees ended and idle connections and opens pending ones. Call every few milliseconds.
   void onTime(Moment now);
 
   std::size_t openCount() const { return connections_.size(); }
@@ -56,7 +55,7 @@
   std::list<std::unique_ptr<LeafConnection>> connections_;
   std::unordered_map<Endpoint, std::vector<LeafConnection*>> idle_;
   std::unordered_map<ExchangeId, LeafConnection*> busy_;
-  /// Requests that wait because too many connections are being opened at once.
+  /// Requests waiting for a new connection while too many are being opened.
   std::deque<SendToLeaf> waiting_;
   std::size_t opening_ = 0;
 };
--- a/src/transport/peer_transport.cpp
+++ b/src/transport/peer_transport.cpp
@@ -19,13 +19,13 @@
 namespace {
 
 constexpr int kIoThreads = 1;
-/// Frames that ZeroMQ holds for one peer; more are refused at once.
+/// Frames that ZeroMQ buffers for one peer; beyond that, sends fail immediately.
 constexpr int kHighWaterMark = 1000;
 constexpr std::int64_t kMaxFrameBytes = std::int64_t{64} << 20U;
 constexpr int kReconnectMs = 50;
-/// A daemon that starts again is reached within this time; a dead one costs about three attempts a second.
+/// Bounds both the time to reach a restarted daemon and the rate of attempts to a dead one.
 constexpr int kReconnectMaxMs = 400;
-/// Frames for a peer whose connection is not up wait this long at most.
+/// How long a frame waits for its peer's connection before it is undeliverable.
 constexpr Duration kConnectGrace = std::chrono::milliseconds(30);
 constexpr std::size_t kMostWaitingFrames = 256;
 constexpr Duration kIdleSocketTime = std::chrono::seconds(60);
@@ -70,7 +70,7 @@
     receiver_.set(zmq::sockopt::maxmsgsize, kMaxFrameBytes);
     receiver_.bind("tcp://" + owner_.listen_.text());
     receiverDescriptor_ = receiver_.get(zmq::sockopt::fd);
-    // Commands that are due already would not make the descriptor readable again.
+    // ZeroMQ's descriptor is edge-triggered: events before the first poll would be missed.
     receiveAgain_ = true;
   }
   Loop(const Loop&) = delete;
@@ -122,18 +122,17 @@
     zmq::socket_t socket;
     std::deque<Frame> waiting;
     Moment usedAt{};
-    /// The last frame could not be handed over.
+    /// The last frame could not be sent.
     bool failing = false;
   };
 
-  /// What there is to do.
   struct Readable {
     bool receiver = false;
     bool wake = false;
   };
 
-  /// Waits on the descriptors themselves: `zmq::poll` asks every socket for its events several times a call.
-  /// The receiver's descriptor becomes readable once for what arrives, so all of it is taken each time.
+  /// Polls the descriptors directly, since `zmq::poll` queries each socket's events several times per call.
+  /// The receiver's descriptor is edge-triggered, so the receiver must be drained each time.
   Readable awaitReadable() {
     std::array<pollfd, 2> items{{{receiverDescriptor_, POLLIN, 0}, {wake_, POLLIN, 0}}};
     const auto timeout = waitingFrames_ == 0 ? kPollTime : kPollTimeWhileWaiting;
@@ -144,7 +143,7 @@
 
   void wake() const {
     const std::uint64_t one = 1;
-    // A full counter means that a wake-up is pending already.
+    // If the counter is full, a wake-up is already pending.
     [[maybe_unused]] const auto written = write(wake_, &one, sizeof(one));
   }
 
@@ -206,8 +205,9 @@
     }
   }
 
-  /// A frame came from the peer. If it is a new process, or the last frame to it failed, the old connection
-  /// may be waiting for its next attempt; a new one is tried with the next frame.
+  /// Drops the connection to a peer that has restarted or to which the last frame failed, and fails the
+  /// frames that wait for it. The next frame then connects immediately instead of after the reconnect
+  /// interval.
   void reconnectTo(const Endpoint& sender, std::uint64_t incarnation) {
     const auto [known, isFirst] = incarnations_.try_emplace(sender, incarnation);
     const bool isNewProcess = !isFirst && known->second != incarnation;
@@ -233,7 +233,7 @@
     Peer peer{zmq::socket_t(context_, zmq::socket_type::push), {}, {}, false};
     peer.socket.set(zmq::sockopt::linger, 0);
     peer.socket.set(zmq::sockopt::sndhwm, kHighWaterMark);
-    // Without this, frames queue for a peer that is away and arrive when it is back.
+    // Otherwise frames queue for a disconnected peer and arrive when it reconnects.
     peer.socket.set(zmq::sockopt::immediate, true);
     peer.socket.set(zmq::sockopt::tcp_maxrt, static_cast<int>(kUnacknowledgedLimit.count()));
     peer.socket.set(zmq::sockopt::reconnect_ivl, kReconnectMs);
@@ -299,14 +299,14 @@
   zmq::context_t context_;
   zmq::socket_t receiver_;
   int receiverDescriptor_ = -1;
-  /// More may have arrived than was taken.
+  /// The receiver may not have been drained.
   bool receiveAgain_ = false;
   int wake_;
   std::atomic<bool> stopping_{false};
   std::mutex mutex_;
   std::vector<Frame> outgoing_;
   std::unordered_map<Endpoint, Peer> peers_;
-  /// Of the process last heard at each address.
+  /// Incarnation of the process that last sent a frame from each address.
   std::unordered_map<Endpoint, std::uint64_t> incarnations_;
   std::size_t waitingFrames_ = 0;
   Moment nextIdleCheckAt_{};
--- a/src/transport/peer_transport.h
+++ b/src/transport/peer_transport.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// Frames between daemons over ZeroMQ: one PULL socket receives, one PUSH socket a peer sends. A frame is one
-/// serialized PeerEnvelope; it is sent at most once and never queued in the library for a peer that is away.
+/// serialized PeerEnvelope; it is sent at most once and never queued in the library for a disconnected peer.
 
 #include <array>
 #include <atomic>
@@ -19,7 +19,7 @@
 
 namespace oakpier {
 
-/// What a frame is about.
+/// Traffic class of a frame, for metrics.
 enum class FrameKind { kMembership, kConfiguration, kWork };
 inline constexpr std::size_t kFrameKinds = 3;
 
@@ -34,7 +34,7 @@
   std::atomic<std::uint64_t> controlFramesSent{0};
   std::atomic<std::uint64_t> controlBytesSent{0};
   std::atomic<std::uint64_t> framesUndeliverable{0};
-  /// Connections made anew, as a peer that could not be reached was heard.
+  /// Connections replaced after a frame from a restarted or previously unreachable peer.
   std::atomic<std::uint64_t> reconnections{0};
   std::atomic<std::uint64_t> framesStale{0};
   std::atomic<std::uint64_t> framesMalformed{0};
@@ -43,9 +43,9 @@
 class PeerTransport {
  public:
   struct Handlers {
-    /// Called on the transport's thread. `stale`: the frame was on the way for longer than its time to live.
+    /// Called on the transport's thread. `stale`: the frame's age exceeds its time to live.
     std::function<void(PeerEnvelope envelope, bool stale)> onEnvelope;
-    /// The frame was never handed to the network. Called on the transport's thread.
+    /// The frame was not sent. Called on the transport's thread.
     std::function<void(const Endpoint& to, PeerEnvelope envelope)> onUndeliverable;
   };
 
@@ -54,14 +54,14 @@
   PeerTransport& operator=(const PeerTransport&) = delete;
   ~PeerTransport();
 
-  /// Returns a text when the address cannot be bound, else an empty one.
+  /// Returns an error message if the address cannot be bound, else an empty string.
   std::string start();
   void stop();
 
-  /// Thread-safe. A frame to this daemon itself goes to the handler directly.
+  /// Thread-safe. A frame to this daemon itself is passed to `onEnvelope` on the calling thread.
   void send(const Endpoint& to, PeerEnvelope envelope);
 
-  /// For proofs: frames to and from these peers vanish. Thread-safe.
+  /// Fault injection: drops frames to and from these peers. Thread-safe.
   void setCuts(const std::set<Endpoint>& peers);
 
   const PeerTransportCounters& counters() const { return counters_; }
--- a/src/transport/steady_clock.h
+++ b/src/transport/steady_clock.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The real clock, for transports and programs; state and coordination are handed the time.
+/// The system's monotonic clock, for transports and programs. State and coordination are passed the time.
 
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
@@ -11,10 +11,9 @@
 
 namespace oakpier {
 
-/// Also counts the time for which the machine was suspended, which the standard library's steady clock does
-/// not. With that one a machine that was suspended for five seconds would send each frame with a time that
-/// seems five seconds old to all others, until its process ends; and its deadlines, leases and silences would
-/// begin anew where they were left.
+/// CLOCK_BOOTTIME, since std::chrono::steady_clock stops while the machine is suspended: after a suspension,
+/// peers would take every frame of this process for that much too old, and deadlines, leases and failure
+/// detection would be extended by that time.
 inline Moment steadyNow() {
   std::timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
@@ -22,8 +21,8 @@
   return Moment(std::chrono::duration_cast<Duration>(sinceBoot));
 }
 
-/// Sets the timer for a moment of `steadyNow`. Timers themselves stand still while the machine is suspended,
-/// and so come late by that much: whoever must not be late looks at the clock in between.
+/// Sets the timer for a time of `steadyNow`. Timers stop while the machine is suspended and then expire late
+/// by that time, so callers with hard deadlines must also check the clock.
 inline void setFor(boost::asio::steady_timer& timer, Moment moment) {
   timer.expires_after(std::max(moment - steadyNow(), Duration(0)));
 }
--- a/src/transport/unacknowledged_limit.h
+++ b/src/transport/unacknowledged_limit.h
@@ -1,16 +1,15 @@
 #pragma once
 
-/// When a connection that has fallen silent without a reset counts as dead.
+/// Detection of connections that are lost without a reset.
 
 #include <chrono>
 
 namespace oakpier {
 
-/// For connections to daemons and leafs: bytes that the other end's kernel has not acknowledged for this long
-/// end the connection (TCP_USER_TIMEOUT), and the next request opens a new one. A slow or paused process
-/// still acknowledges, so it keeps its connections. Costs no bytes and no wake-ups. Twice the least time
-/// after which Linux sends a lost segment again, so that one loss ends nothing. Gain: half of the connections
-/// of 60% of 76 daemons silent, one play each: requests that get nothing 0.375 without it and 0.021 with it.
+/// TCP_USER_TIMEOUT for connections to peers and leafs: sent data unacknowledged for this long closes the
+/// connection, and the next request opens a new one. The kernel acknowledges for a slow or paused process, so
+/// that one keeps its connections. Twice the minimum retransmission timeout of Linux (200 ms), so that the
+/// loss of a single segment does not close a connection.
 inline constexpr std::chrono::milliseconds kUnacknowledgedLimit{400};
 
 }  // namespace oakpier
--- a/tests/programs/daemon_settings_test.cpp
+++ b/tests/programs/daemon_settings_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("flags become settings", "[programs]") {
+TEST_CASE("flags set the settings", "[programs]") {
   const auto settings =
       std::get<DaemonSettings>(read({"--max-queries=7", "--hedge-rule=off", "--check-config"}));
   REQUIRE(settings.maxQueries == 7);
@@ -39,7 +39,7 @@
   REQUIRE(settings.checkConfigOnly);
 }
 
-TEST_CASE("a wrong setting is named with its value and what is allowed", "[programs]") {
+TEST_CASE("an invalid setting is reported with its value and the allowed values", "[programs]") {
   struct Case {
     const char* flag;
     std::vector<std::string> mentioned;
@@ -63,7 +63,7 @@
   REQUIRE(missing.text.find("--caller-address") != std::string::npos);
 }
 
-TEST_CASE("a settings file is read, flags win, and unknown keys are refused", "[programs]") {
+TEST_CASE("a settings file is read, flags take precedence, and unknown keys are rejected", "[programs]") {
   const auto path =
       std::filesystem::temp_directory_path() / ("oakpier-settings-" + std::to_string(getpid()) + ".toml");
   const std::string flag = "--config=" + path.string();
@@ -76,7 +76,7 @@
   std::filesystem::remove(path);
 }
 
-TEST_CASE("help and version end well", "[programs]") {
+TEST_CASE("help and version exit with success", "[programs]") {
   for (const char* flag : {"--help", "--version"}) {
     const auto exit = std::get<SettingsExit>(read({flag}, false));
     REQUIRE(exit.code == kExitOk);
--- a/tests/programs/fleet_fixture.h
+++ b/tests/programs/fleet_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A small fleet of real processes for a test, in a folder of its own that is removed with it.
+/// A small fleet of real processes for a test, in a temporary directory that is removed with it.
 
 #include <catch2/catch.hpp>
 #include <filesystem>
--- a/tests/programs/fleet_test.cpp
+++ b/tests/programs/fleet_test.cpp
@@ -1,5 +1,4 @@
-/// The whole path over real processes: answers, clear errors, and truthful outcomes when processes are
-/// killed.
+/// End-to-end tests over real processes: answers, errors, and correct outcomes when processes are killed.
 
 #include <cxxtools/http/client.h>
 #include <cxxtools/http/request.h>
@@ -67,14 +66,14 @@
 
 }  // namespace
 
-TEST_CASE("queries are answered and errors are clear", "[fleet]") {
+TEST_CASE("queries are answered and errors are typed", "[fleet]") {
   FleetFixture fixture;
   fixture.start();
   Fleet& fleet = fixture.fleet;
   const Endpoint caller = fleet.daemons()[0].caller;
   const Endpoint operators = fleet.daemons()[0].operators;
 
-  SECTION("a handful of rows and a long page") {
+  SECTION("small and large numbers of rows") {
     QueryRequest few = fixture.request("few");
     few.set_max_rows(2);
     const auto handful = fleet.query(0, few);
@@ -90,7 +89,7 @@
     REQUIRE(fleet.query(2, one)->covered_size() == 1);
   }
 
-  SECTION("requests that cannot run say why, and did not run") {
+  SECTION("invalid requests get a typed error and do not run") {
     const auto codeOf = [&](const QueryRequest& request) {
       const auto answer = fleet.query(0, request);
       REQUIRE(answer->outcome() == OUTCOME_NOT_RUN);
@@ -109,7 +108,7 @@
     REQUIRE(codeOf(wrong) == ERROR_INVALID_FIELD);
   }
 
-  SECTION("malformed and oversized bodies get typed errors and the daemon lives on") {
+  SECTION("malformed and oversized bodies get typed errors and the daemon keeps running") {
     const RawReply malformed = post(caller, "/oakpier.Caller/Query", "\xff\xff\xff");
     REQUIRE(malformed.status == 400);
     REQUIRE(malformed.error.code() == ERROR_MALFORMED_REQUEST);
@@ -122,7 +121,7 @@
     REQUIRE(fleet.query(0, fixture.request("after"))->outcome() == OUTCOME_COMPLETE);
   }
 
-  SECTION("pages for machines") {
+  SECTION("health and metrics pages") {
     REQUIRE(get(operators, "/healthz") == "ok\n");
     REQUIRE(get(operators, "/readyz") == "ready\n");
     fleet.query(0, fixture.request("counted"));
@@ -130,7 +129,7 @@
                      "oakpier_answers_total{class=\"gold\",outcome=\"OUTCOME_COMPLETE\""));
   }
 
-  SECTION("the operators' command line") {
+  SECTION("operator command line") {
     const std::string daemon = "--daemon=" + operators.text();
     const std::string file =
         std::filesystem::temp_directory_path() / ("oakpier-new-" + std::to_string(getpid()) + ".json");
@@ -144,7 +143,7 @@
     const Run applied = runProgram("oakpierctl", {daemon, "apply", file});
     REQUIRE(applied.exitCode == kExitOk);
     REQUIRE(mentions(applied.output, "is accepted"));
-    // The file was made from a revision that is no longer in force.
+    // The file's base revision is no longer in effect.
     const Run again = runProgram("oakpierctl", {daemon, "apply", file});
     REQUIRE(again.exitCode == kExitFailure);
     REQUIRE(mentions(again.output, "ERROR_REVISION_CONFLICT"));
@@ -168,7 +167,7 @@
   }
 }
 
-TEST_CASE("a daemon without platform and peers is alive, not ready, and says why", "[fleet]") {
+TEST_CASE("a daemon without platform and peers is alive and reports why it is not ready", "[fleet]") {
   FleetFixture fixture;
   Fleet& fleet = fixture.fleet;
   fleet.startDaemon(0);
@@ -181,7 +180,7 @@
   REQUIRE(answer->outcome() == OUTCOME_NOT_RUN);
   REQUIRE(answer->error().code() == ERROR_NOT_READY);
   REQUIRE(answer->retry_after_ms() > 0);
-  // An address that is taken ends the second daemon with its reason.
+  // The second daemon exits with an error, since the address is in use.
   Process second(ownFolder() + "/oakpierd",
                  {"--caller-address", fleet.daemons()[0].caller.text(), "--operator-address",
                   fleet.daemons()[1].operators.text(), "--peer-address", fleet.daemons()[1].peer.text(),
@@ -190,7 +189,7 @@
   REQUIRE(second.wait() == kExitUnreachable);
 }
 
-TEST_CASE("killed leafs and daemons leave only truthful outcomes", "[fleet]") {
+TEST_CASE("outcomes are correct when leafs and daemons are killed", "[fleet]") {
   FleetFixture fixture;
   fixture.start();
   Fleet& fleet = fixture.fleet;
@@ -208,7 +207,7 @@
     return waitUntil([&] { return fleet.executionLog(leaf, true).value_or(ExecutionLog()).total() >= count; },
                      std::chrono::seconds(20));
   };
-  // The log of a leaf that is killed goes with it: its work may be missing, never invented.
+  // A killed leaf loses its log, so executions may be missing from the logs, but none may be added.
   const bool leafWasBusy = executedAt(0, 40);
   fleet.leaves()[0].process->signal(SIGKILL);
   const bool othersWentOn = executedAt(1, 150);
--- a/tests/programs/proof_test.cpp
+++ b/tests/programs/proof_test.cpp
@@ -1,4 +1,4 @@
-/// A bounded part of the proof over real processes, with fixed seeds. `oakpier-proof` runs it longer.
+/// Short fault-injection runs over real processes, with fixed seeds. `oakpier-proof` runs them longer.
 
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-TEST_CASE("promises hold while daemons are killed, frozen, stopped and cut off", "[proof]") {
+TEST_CASE("guarantees hold while daemons are killed, paused, stopped and partitioned", "[proof]") {
   prove(1, {FaultKind::kKillDaemon, FaultKind::kFreezeDaemon, FaultKind::kStopDaemon, FaultKind::kCutZone});
 }
 
-TEST_CASE("promises hold while leafs fail, leave and change snapshots and partitions", "[proof]") {
+TEST_CASE("guarantees hold while leafs fail, leave and change snapshots and partitions", "[proof]") {
   prove(2, {FaultKind::kKillLeaf, FaultKind::kFreezeLeaf, FaultKind::kLeafLeaves, FaultKind::kNextSnapshot,
             FaultKind::kRepartition, FaultKind::kUnrulyLeaf});
 }
 
-TEST_CASE("promises hold while the platform is out and operators race", "[proof]") {
+TEST_CASE("guarantees hold while the platform is down and operators make concurrent changes", "[proof]") {
   prove(3, {FaultKind::kPlatformOutage, FaultKind::kOperatorRace, FaultKind::kKillDaemon,
             FaultKind::kStopDaemon});
 }
--- a/tests/protocol/configuration_check_test.cpp
+++ b/tests/protocol/configuration_check_test.cpp
@@ -39,11 +39,11 @@
 
 }  // namespace
 
-TEST_CASE("a valid configuration has no faults", "[protocol]") {
+TEST_CASE("a valid configuration has no validation errors", "[protocol]") {
   REQUIRE(checkConfiguration(validConfiguration()).empty());
 }
 
-TEST_CASE("each fault is named with its field and what is allowed", "[protocol]") {
+TEST_CASE("each validation error names its field and the allowed values", "[protocol]") {
   const std::vector<Fault> faults{
       {"classes[0].max_in_flight", [](Configuration& c) { c.mutable_classes(0)->set_max_in_flight(0); }},
       {"classes[1].name", [](Configuration& c) { *c.add_classes() = c.classes(0); }},
--- a/tests/protocol/rpc_codec_test.cpp
+++ b/tests/protocol/rpc_codec_test.cpp
@@ -6,7 +6,7 @@
 
 namespace oakpier {
 
-TEST_CASE("a message survives both body formats", "[protocol]") {
+TEST_CASE("a message round-trips through both body formats", "[protocol]") {
   QueryRequest request;
   request.set_request_id("r");
   request.set_deadline_ms(5);
@@ -19,7 +19,7 @@
   REQUIRE(bodyFormatOf("") == BodyFormat::kBinary);
 }
 
-TEST_CASE("a malformed body is a typed error that says what was expected", "[protocol]") {
+TEST_CASE("a malformed body yields a typed error that names the expected message", "[protocol]") {
   QueryRequest request;
   const auto json = decodeBody("{\"request_id\": ", BodyFormat::kJson, request);
   REQUIRE(json->code() == ERROR_MALFORMED_REQUEST);
--- a/tests/state/configuration_change_test.cpp
+++ b/tests/state/configuration_change_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A configuration with a subset of a few leafs, each with drawn slots.
+/// A random subset of five leafs with random numbers of slots.
 Configuration drawConfiguration() {
   Configuration configuration;
   for (const char* name : {"a", "b", "c", "d", "e"}) {
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a difference applied to its origin gives its target", "[state]") {
+TEST_CASE("applying the difference of two configurations to the first yields the second", "[state]") {
   OAKPIER_PROPERTY("apply(from, difference(from, to)) == to", [] {
     Configuration from = drawConfiguration();
     Configuration to = drawConfiguration();
--- a/tests/state/endpoint_test.cpp
+++ b/tests/state/endpoint_test.cpp
@@ -4,7 +4,7 @@
 
 namespace oakpier {
 
-TEST_CASE("an endpoint is an IP number and a port and nothing else", "[state]") {
+TEST_CASE("an endpoint parses from an IPv4 address with a port only", "[state]") {
   REQUIRE(Endpoint::parse("10.1.2.3:7001")->text() == "10.1.2.3:7001");
   for (const char* wrong :
        {"", "10.1.2.3", "localhost:80", "10.1.2.3:", "10.1.2.3:0", "10.1.2.3:70000", "10.1.2.3:7x"}) {
--- a/tests/state/member_table_test.cpp
+++ b/tests/state/member_table_test.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-TEST_CASE("of two different records at most one supersedes the other", "[state]") {
-  OAKPIER_PROPERTY("news is a strict order", [] {
+TEST_CASE("supersedes is irreflexive and asymmetric", "[state]") {
+  OAKPIER_PROPERTY("no two records supersede each other", [] {
     const MemberRecord one = drawRecord();
     const MemberRecord other = drawRecord();
     RC_ASSERT(!(supersedes(one, other) && supersedes(other, one)));
@@ -26,7 +26,7 @@
   });
 }
 
-TEST_CASE("a process that left never returns under its incarnation", "[state]") {
+TEST_CASE("a member that left is alive again only under a higher incarnation", "[state]") {
   MemberRecord left;
   left.incarnation = 5;
   left.condition = MEMBER_LEFT;
@@ -39,7 +39,7 @@
 }
 
 TEST_CASE("tables with the same serving members have the same digests", "[state]") {
-  OAKPIER_PROPERTY("digests do not depend on the way", [] {
+  OAKPIER_PROPERTY("digests are independent of earlier records", [] {
     MemberTable one;
     MemberTable other;
     const auto count = *rc::gen::inRange(1, 20);
--- a/tests/state/routing_table_test.cpp
+++ b/tests/state/routing_table_test.cpp
@@ -11,7 +11,7 @@
 
 std::string leafName(int number) { return "leaf-" + std::to_string(100 + number); }
 
-/// Some leafs with drawn slots and one service over them.
+/// A random subset of leafs with random slots and addresses, and one service with a shard on each.
 Configuration drawConfiguration() {
   Configuration configuration;
   Service& service = *configuration.add_services();
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-TEST_CASE("a table taken from change to change finds what one built whole finds", "[state]") {
-  OAKPIER_PROPERTY("incremental equals whole", [] {
+TEST_CASE("a table updated incrementally equals one built from the complete configuration", "[state]") {
+  OAKPIER_PROPERTY("incremental equals complete", [] {
     Configuration configuration;
     auto table = std::make_shared<const RoutingTable>();
     for (std::uint64_t revision = 1; revision < 6; ++revision) {
--- a/tests/support/free_endpoint.h
+++ b/tests/support/free_endpoint.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// An address on loopback that nothing listens on at this moment.
+/// A loopback address with a currently unused port.
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
--- a/tests/support/main.cpp
+++ b/tests/support/main.cpp
@@ -1,4 +1,4 @@
-/// Runs Catch2. Property tests use a fixed seed unless RC_PARAMS says otherwise, so that verdicts repeat.
+/// Runs Catch2. Property tests use a fixed seed unless RC_PARAMS sets another, so that runs are reproducible.
 
 #define CATCH_CONFIG_RUNNER
 #include <catch2/catch.hpp>
--- a/tests/support/silencing_proxy.h
+++ b/tests/support/silencing_proxy.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// A proxy on loopback whose open connections can fall silent: from then on it neither reads from them nor
-/// closes them, while new ones work. To the sender this looks like a path that swallows everything, as what
-/// it sends is not acknowledged once the proxy's buffers are full.
+/// A loopback proxy that can stall its open connections: it neither reads from them nor closes them, while
+/// new ones work. To the sender this is a path that drops all packets, since its data is not acknowledged
+/// once the proxy's buffers are full.
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -20,7 +20,7 @@
 
 class SilencingProxy {
  public:
-  /// Passes on to `target` what comes to `address()`.
+  /// Forwards connections to `address()` to `target`.
   explicit SilencingProxy(const Endpoint& target)
       : target_(target), acceptor_(context_, {boost::asio::ip::address_v4::loopback(), 0}) {
     accept();
@@ -35,7 +35,7 @@
 
   Endpoint address() const { return Endpoint(0x7f000001, acceptor_.local_endpoint().port()); }
 
-  /// All connections that are open now fall silent; they are when this returns.
+  /// Stalls all open connections; they are stalled when this returns.
   void silence() {
     std::promise<void> silenced;
     boost::asio::post(context_, [&] {
--- a/tests/transport/peer_transport_test.cpp
+++ b/tests/transport/peer_transport_test.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("a frame for a peer that is away is handed back and does not arrive later", "[transport]") {
+TEST_CASE("a frame to a disconnected peer is returned and does not arrive later", "[transport]") {
   const Endpoint here = freeEndpoint();
   const Endpoint there = freeEndpoint();
   std::promise<std::string> undeliverable;
@@ -44,7 +44,7 @@
               [](const Endpoint&, const PeerEnvelope&) {}});
   REQUIRE(receiver.start().empty());
   auto first = arrived.get_future();
-  // The peer is up now, but its connection takes a moment; a frame that comes back too early is sent again.
+  // The peer is up, but connecting takes time: resend a frame that is returned before the connection exists.
   std::unique_ptr<PeerTransport> other;
   other = std::make_unique<PeerTransport>(
       freeEndpoint(), PeerTransport::Handlers{[](const PeerEnvelope&, bool) {},
@@ -56,7 +56,7 @@
   REQUIRE(first.get() == "late");
 }
 
-TEST_CASE("a peer that could not be reached is connected to anew when it is heard", "[transport]") {
+TEST_CASE("a frame from an unreachable peer replaces the connection to it", "[transport]") {
   const Endpoint here = freeEndpoint();
   const Endpoint there = freeEndpoint();
   std::promise<void> failed;
@@ -89,7 +89,7 @@
   answered.get_future().get();
 }
 
-TEST_CASE("an address in use is a text, not a crash", "[transport]") {
+TEST_CASE("start returns an error message if the address is in use", "[transport]") {
   const Endpoint here = freeEndpoint();
   const PeerTransport::Handlers none{[](const PeerEnvelope&, bool) {},
                                      [](const Endpoint&, const PeerEnvelope&) {}};
@@ -101,7 +101,7 @@
 
 namespace {
 
-/// Remembers the group of the frame that arrived last; frames begin with the letter of their group.
+/// Stores the group of the last received frame, which is the first letter of the frame.
 class ArrivedGroup {
  public:
   void onFrame(const PeerEnvelope& envelope) {
@@ -109,7 +109,7 @@
     group_ = envelope.work().work_id().front();
     changed_.notify_all();
   }
-  /// Returns early when the group has arrived.
+  /// Returns when a frame of the group arrives or the time is up.
   bool await(char group, std::chrono::milliseconds longest) {
     std::unique_lock<std::mutex> guard(mutex_);
     return changed_.wait_for(guard, longest, [&] { return group_ == group; });
@@ -123,7 +123,7 @@
 
 }  // namespace
 
-TEST_CASE("a connection to a peer that falls silent without a reset is replaced", "[transport]") {
+TEST_CASE("a connection that is lost without a reset is replaced", "[transport]") {
   const Endpoint here = freeEndpoint();
   const Endpoint there = freeEndpoint();
   ArrivedGroup arrived;
@@ -134,7 +134,7 @@
   PeerTransport sender(here, {[](const PeerEnvelope&, bool) {}, [](const Endpoint&, const PeerEnvelope&) {}});
   REQUIRE(sender.start().empty());
   const auto sendUntilArrived = [&](char group) {
-    // Large enough to fill the buffers on the way, so that the sender's bytes stay unacknowledged.
+    // Large enough to fill all buffers in between, so that the sender's data stays unacknowledged.
     PeerEnvelope frame = workFrom(here, std::string(std::size_t{512} * 1024, group));
     frame.set_time_to_live_ms(60'000);
     constexpr int kMostFrames = 1500;
--- a/tests/transport/send_once_test.cpp
+++ b/tests/transport/send_once_test.cpp
@@ -1,5 +1,5 @@
-/// The HTTP library sends a request again when a kept-alive connection turns out to be stale. Requests not to
-/// be repeated must not take part in that.
+/// The HTTP library resends a request when a kept-alive connection turns out to be closed. Non-repeatable
+/// requests must not be resent.
 
 #include <arpa/inet.h>
 #include <cxxtools/eventloop.h>
@@ -19,8 +19,7 @@
 
 namespace {
 
-/// Answers the first request of a connection and, when a second one comes, reads it and closes without an
-/// answer.
+/// Answers the first request of each connection; reads the second one and closes without an answer.
 class StaleServer {
  public:
   explicit StaleServer(bool answerFirst)
@@ -91,7 +90,7 @@
   return send;
 }
 
-/// Runs one exchange after the other until each has ended.
+/// Runs the exchanges one after the other.
 void exchangeAll(const Endpoint& leaf, const std::vector<bool>& notRepeatable,
                  std::vector<ExchangeFailure>& failures) {
   cxxtools::EventLoop loop;
@@ -110,8 +109,7 @@
 
 }  // namespace
 
-TEST_CASE("a request not to be repeated reaches the leaf once, also after a kept-alive exchange",
-          "[transport]") {
+TEST_CASE("a non-repeatable request reaches the leaf once, also after a kept-alive exchange", "[transport]") {
   StaleServer server(false);
   std::vector<ExchangeFailure> failures;
   exchangeAll(server.endpoint(), {true}, failures);
@@ -120,11 +118,11 @@
 
   StaleServer keptAlive(true);
   exchangeAll(keptAlive.endpoint(), {false, true}, failures);
-  // Two requests, each on a connection of its own, each answered.
+  // Each request used a new connection and was answered.
   REQUIRE(keptAlive.requests() == 2);
 }
 
-TEST_CASE("a leaf that refuses the connection got nothing", "[transport]") {
+TEST_CASE("a refused connection is reported as not connected", "[transport]") {
   std::unique_ptr<StaleServer> server = std::make_unique<StaleServer>(false);
   const Endpoint gone = server->endpoint();
   server.reset();
@@ -133,7 +131,7 @@
   REQUIRE(failures == std::vector<ExchangeFailure>{ExchangeFailure::kNotConnected});
 }
 
-TEST_CASE("a caller's fresh connection sends once", "[transport]") {
+TEST_CASE("a call on a fresh connection is sent once", "[transport]") {
   StaleServer server(false);
   HttpChannel channel(server.endpoint(), std::chrono::seconds(2));
   channel.useFreshConnection();
