--- a/src/programs/daemon/control_loop.cpp
+++ b/src/programs/daemon/control_loop.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration kTick = std::chrono::milliseconds(50);
 /// How long a leaving voter waits until its successor is a voter.
-constexpr Duration kHandOverTime = std::chrono::seconds(5);
+constexpr Duration kVoteTransferTimeout = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -46,7 +46,7 @@
     const Moment now = steadyNow();
     if (now >= nextTick) {
       nextTick = now + kTick;
-      carryOut(plane_.onTime(now));
+      apply(plane_.onTime(now));
       leaveWhenPossible(now);
     }
     publishWhenChanged();
@@ -54,16 +54,16 @@
 }
 
 void ControlLoop::leaveWhenPossible(Moment now) {
-  const bool due = leaveBy_ != kNever && !left_ && (plane_.mayLeave() || now >= leaveBy_);
+  const bool due = leaveDeadline_ != kNever && !left_ && (plane_.mayLeave() || now >= leaveDeadline_);
   if (due) {
-    carryOut(plane_.leave(now));
+    apply(plane_.leave(now));
     left_ = true;
   }
 }
 
 void ControlLoop::postMessage(PeerEnvelope envelope) {
   mailbox_.push(
-      [this, envelope = std::move(envelope)](Moment now) { carryOut(plane_.onMessage(envelope, now)); });
+      [this, envelope = std::move(envelope)](Moment now) { apply(plane_.onMessage(envelope, now)); });
 }
 
 void ControlLoop::postPlatform(PlatformReport report, PlatformLeaving leaving) {
@@ -80,7 +80,7 @@
   mailbox_.push([this, promise, change = std::move(change), baseRevision](Moment now) {
     const std::uint64_t token = nextToken_++;
     promises_[token] = std::move(*promise);
-    carryOut(plane_.submit(ChangeRequest{token, change, baseRevision}, now));
+    apply(plane_.submit(ChangeRequest{token, change, baseRevision}, now));
   });
   return result;
 }
@@ -90,7 +90,7 @@
     stopOwning_ = true;
     leavingChanged_ = true;
     plane_.prepareLeave();
-    leaveBy_ = now + kHandOverTime;
+    leaveDeadline_ = now + kVoteTransferTimeout;
   });
 }
 
@@ -103,7 +103,7 @@
   done.get_future().wait();
 }
 
-void ControlLoop::carryOut(ControlActions actions) {
+void ControlLoop::apply(ControlActions actions) {
   for (auto& outgoing : actions.messages) {
     sender_(outgoing.to, std::move(outgoing.envelope));
   }
@@ -125,7 +125,7 @@
 }
 
 /// Applies the individual changes while the store retains them, else rebuilds the complete table.
-void ControlLoop::takeOverConfiguration() {
+void ControlLoop::applyConfiguration() {
   const ChangesReply news = plane_.store().changesSince(table_->revision());
   if (news.has_whole()) {
     table_ = std::make_shared<const RoutingTable>(news.whole(), table_.get());
@@ -141,7 +141,7 @@
 
 void ControlLoop::publish(bool tableChanged) {
   if (tableChanged) {
-    takeOverConfiguration();
+    applyConfiguration();
     log(LogLevel::kInfo, "configuration in force", {{"revision", table_->revision()}});
   }
   std::vector<Candidate> members;
--- a/src/programs/daemon/control_loop.h
+++ b/src/programs/daemon/control_loop.h
@@ -50,10 +50,10 @@
   using Task = std::function<void(Moment)>;
 
   void run();
-  void carryOut(ControlActions actions);
+  void apply(ControlActions actions);
   void leaveWhenPossible(Moment now);
   void publishWhenChanged();
-  void takeOverConfiguration();
+  void applyConfiguration();
   void publish(bool tableChanged);
 
   Published<RoutingView>& view_;
@@ -66,7 +66,7 @@
   PlatformLeaving leaving_;
   bool leavingChanged_ = false;
   bool stopOwning_ = false;
-  Moment leaveBy_ = kNever;
+  Moment leaveDeadline_ = kNever;
   std::atomic<bool> left_{false};
   std::uint64_t publishedMembership_ = 0;
   bool publishedReady_ = false;
--- a/src/programs/daemon/daemon.cpp
+++ b/src/programs/daemon/daemon.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxOperatorBytes = std::size_t{64} << 20U;
 
 /// Higher after each restart at the same address, with random low bits so that no two starts share it.
-std::uint64_t drawIncarnation() {
+std::uint64_t newIncarnation() {
   constexpr unsigned kRandomBits = 10;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
@@ -49,7 +49,7 @@
 
 Daemon::Daemon(const DaemonSettings& settings)
     : settings_(settings),
-      self_{{settings.peerAddress.text(), drawIncarnation()}, settings.zone},
+      self_{{settings.peerAddress.text(), newIncarnation()}, settings.zone},
       view_(emptyView()),
       peers_(
           settings.peerAddress,
@@ -100,16 +100,16 @@
 
 bool Daemon::idle() const { return entry_.inFlight() == 0 && owners_.busy() == 0 && control_.left(); }
 
-void Daemon::closeCallers(Duration limit) {
+void Daemon::drainCallers(Duration limit) {
   constexpr Duration kCheckPeriod = std::chrono::milliseconds(10);
   /// Time for the HTTP library to write the last replies.
-  constexpr int kQuietChecks = 20;
+  constexpr int kIdleChecks = 20;
   callerServer_.stopListening();
-  const Moment giveUpAt = steadyNow() + limit;
-  int quiet = 0;
-  while (quiet < kQuietChecks && steadyNow() < giveUpAt) {
+  const Moment drainDeadline = steadyNow() + limit;
+  int idleChecks = 0;
+  while (idleChecks < kIdleChecks && steadyNow() < drainDeadline) {
     std::this_thread::sleep_for(kCheckPeriod);
-    quiet = callerServer_.callsInProgress() == 0 ? quiet + 1 : 0;
+    idleChecks = callerServer_.callsInProgress() == 0 ? idleChecks + 1 : 0;
   }
 }
 
--- a/src/programs/daemon/daemon.h
+++ b/src/programs/daemon/daemon.h
@@ -31,7 +31,7 @@
   /// Calls received from callers, including refused ones.
   std::uint64_t callsBegun() const { return callerServer_.callsBegun(); }
   /// Refuses new connections of callers and waits until calls in progress are answered, for `limit` at most.
-  void closeCallers(Duration limit);
+  void drainCallers(Duration limit);
   void stop();
 
  private:
--- a/src/programs/daemon/entry_service.cpp
+++ b/src/programs/daemon/entry_service.cpp
@@ -147,9 +147,9 @@
     sender_(guardian, std::move(envelope));
   }
   Reservation reservation(guardians.size());
-  const Moment giveUpAt = std::min(context.deadline, steadyNow() + kReservationTime);
-  while (reservation.state() == Reservation::State::kWaiting && steadyNow() < giveUpAt) {
-    for (const auto& delivery : inbox.takeUntil(giveUpAt)) {
+  const Moment replyDeadline = std::min(context.deadline, steadyNow() + kReservationTime);
+  while (reservation.state() == Reservation::State::kWaiting && steadyNow() < replyDeadline) {
+    for (const auto& delivery : inbox.takeUntil(replyDeadline)) {
       if (const auto* reply = std::get_if<ReserveReply>(&delivery.content)) {
         reservation.onVerdict(delivery.sender, reply->verdict());
       }
@@ -173,16 +173,16 @@
   context.ownerHealth = &ownerHealth_;
   context.random = &threadRandom();
   EntryQuery query(std::move(context));
-  carryOut(query.start(steadyNow()));
+  apply(query.start(steadyNow()));
   while (!query.finished()) {
     const Moment wake = std::min(query.nextWake(), steadyNow() + kCallerCheckPeriod);
     for (const auto& delivery : inbox.takeUntil(wake)) {
       if (const auto* results = std::get_if<ResultBatch>(&delivery.content)) {
-        carryOut(query.onResults(delivery.sender, *results, steadyNow()));
+        apply(query.onResults(delivery.sender, *results, steadyNow()));
       }
     }
     if (!query.finished()) {
-      carryOut(currentCallerGone() ? query.abandon(steadyNow()) : query.onTime(steadyNow()));
+      apply(currentCallerGone() ? query.abandon(steadyNow()) : query.onTime(steadyNow()));
     }
   }
   answer = query.answer();
@@ -197,7 +197,7 @@
   return envelope;
 }
 
-void EntryService::carryOut(QueryActions actions) {
+void EntryService::apply(QueryActions actions) {
   for (auto& outgoing : actions.work) {
     PeerEnvelope envelope = envelopeWith(outgoing.batch.remaining_ms());
     *envelope.mutable_work() = std::move(outgoing.batch);
--- a/src/programs/daemon/entry_service.h
+++ b/src/programs/daemon/entry_service.h
@@ -62,7 +62,7 @@
   void release(const QueryContext& context, const std::vector<Endpoint>& guardians);
   PeerEnvelope envelopeWith(std::uint32_t timeToLiveMs) const;
   void deliver(const std::string& workId, Delivery delivery);
-  void carryOut(QueryActions actions);
+  void apply(QueryActions actions);
   std::shared_ptr<Inbox> openInbox(const std::string& workId);
   void closeInbox(const std::string& workId);
   ServiceRuntime& runtimeOf(const ServiceEntry& service);
--- a/src/programs/daemon/fault_service.h
+++ b/src/programs/daemon/fault_service.h
@@ -15,13 +15,13 @@
 
   void SetPeerCuts(google::protobuf::RpcController* /*controller*/, const PeerCuts* request,
                    PeerCutsReply* /*reply*/, google::protobuf::Closure* done) override {
-    std::set<Endpoint> cuts;
+    std::set<Endpoint> blocked;
     for (const auto& text : request->peers()) {
       if (const auto peer = Endpoint::parse(text)) {
-        cuts.insert(*peer);
+        blocked.insert(*peer);
       }
     }
-    peers_.setCuts(cuts);
+    peers_.setBlockedPeers(blocked);
     done->Run();
   }
 
--- a/src/programs/daemon/main.cpp
+++ b/src/programs/daemon/main.cpp
@@ -14,10 +14,10 @@
 
 constexpr Duration kIdleCheckPeriod = std::chrono::milliseconds(20);
 /// Peers may not know yet that this daemon leaves, so it serves until no work arrives for this long.
-constexpr Duration kQuietTime = std::chrono::milliseconds(1000);
+constexpr Duration kIdleTime = std::chrono::milliseconds(1000);
 
 /// Timeout for calls in progress once new connections are refused.
-constexpr Duration kCloseLimit = std::chrono::seconds(3);
+constexpr Duration kDrainTimeout = std::chrono::seconds(3);
 
 sigset_t stopSignals() {
   sigset_t signals;
@@ -36,10 +36,10 @@
 }
 
 void finishWork(const Daemon& daemon, const sigset_t& signals, Duration limit) {
-  const Moment giveUpAt = steadyNow() + limit;
+  const Moment stopDeadline = steadyNow() + limit;
   Moment busyAt = steadyNow();
   std::uint64_t callsBefore = daemon.callsBegun();
-  while (steadyNow() < giveUpAt && steadyNow() - busyAt < kQuietTime) {
+  while (steadyNow() < stopDeadline && steadyNow() - busyAt < kIdleTime) {
     if (signalledWithin(signals, kIdleCheckPeriod)) {
       log(LogLevel::kWarning, "second signal: stopping immediately");
       return;
@@ -73,7 +73,7 @@
   log(LogLevel::kInfo, "stopping", {{"signal", received}});
   daemon.beginStop();
   finishWork(daemon, signals, settings.stopTimeout);
-  daemon.closeCallers(kCloseLimit);
+  daemon.drainCallers(kDrainTimeout);
   daemon.stop();
   log(LogLevel::kInfo, "stopped");
   return kExitOk;
--- a/src/programs/daemon/operator_service.cpp
+++ b/src/programs/daemon/operator_service.cpp
@@ -116,7 +116,7 @@
   control_.inspect([&](const ControlPlane& plane) {
     reply->set_revision(plane.store().revision());
     reply->set_guards_ids(plane.guardsIds(steadyNow()));
-    reply->set_not_ready_because(whyNotReady(plane));
+    reply->set_not_ready_because(notReadyReason(plane));
     if (!request->local_only()) {
       describeMembers(plane, *reply);
     }
@@ -128,7 +128,7 @@
   done->Run();
 }
 
-std::string OperatorService::whyNotReady(const ControlPlane& plane) const {
+std::string OperatorService::notReadyReason(const ControlPlane& plane) const {
   if (stopping_) {
     return "stopping";
   }
--- a/src/programs/daemon/operator_service.h
+++ b/src/programs/daemon/operator_service.h
@@ -31,7 +31,7 @@
   Configuration currentConfiguration();
   void describeMembers(const ControlPlane& plane, StatusReply& reply) const;
   void describeLeaves(StatusReply& reply) const;
-  std::string whyNotReady(const ControlPlane& plane) const;
+  std::string notReadyReason(const ControlPlane& plane) const;
 
   SelfMember self_;
   ControlLoop& control_;
--- a/src/programs/daemon/owner_worker.cpp
+++ b/src/programs/daemon/owner_worker.cpp
@@ -29,16 +29,16 @@
       reply_(std::move(reply)),
       dispatcher_(admission),
       timer_(&loop_),
-      connections_(
-          loop_, LeafConnections::Handlers{[this](ExchangeId exchange, const LeafAnswer& answer) {
-                                             carryOut(dispatcher_.onAnswer(exchange, answer, steadyNow()));
-                                           },
-                                           [this](ExchangeId exchange, const LeafState& state) {
-                                             carryOut(dispatcher_.onStatus(exchange, state, steadyNow()));
-                                           },
-                                           [this](ExchangeId exchange, ExchangeFailure failure) {
-                                             carryOut(dispatcher_.onFailure(exchange, failure, steadyNow()));
-                                           }}) {
+      connections_(loop_,
+                   LeafConnections::Handlers{[this](ExchangeId exchange, const LeafAnswer& answer) {
+                                               apply(dispatcher_.onAnswer(exchange, answer, steadyNow()));
+                                             },
+                                             [this](ExchangeId exchange, const LeafState& state) {
+                                               apply(dispatcher_.onStatus(exchange, state, steadyNow()));
+                                             },
+                                             [this](ExchangeId exchange, ExchangeFailure failure) {
+                                               apply(dispatcher_.onFailure(exchange, failure, steadyNow()));
+                                             }}) {
   loop_.eventsPerLoop(kEventsPerLoop);
   cxxtools::connect(loop_.event, *this, &OwnerWorker::onEvent);
   cxxtools::connect(timer_.timeout, *this, &OwnerWorker::onTick);
@@ -62,12 +62,12 @@
   post([this, entry, batch = std::move(batch), received = steadyNow()] {
     // Queueing time counts against the deadline, including time in which the process was paused.
     const Moment deadline = received + fromMilliseconds(batch->remaining_ms());
-    carryOut(dispatcher_.onWork(entry, batch, deadline, *view_.read(), steadyNow()));
+    apply(dispatcher_.onWork(entry, batch, deadline, *view_.read(), steadyNow()));
   });
 }
 
 void OwnerWorker::postCancel(const CancelWork& cancel) {
-  post([this, cancel] { carryOut(dispatcher_.onCancel(cancel, steadyNow())); });
+  post([this, cancel] { apply(dispatcher_.onCancel(cancel, steadyNow())); });
 }
 
 void OwnerWorker::post(std::function<void()> task) {
@@ -84,15 +84,15 @@
 
 void OwnerWorker::onTick() {
   const Moment now = steadyNow();
-  carryOut(dispatcher_.onTime(now));
-  connections_.onTime(now);
+  apply(dispatcher_.onTime(now));
+  connections_.onTimer(now);
   const std::lock_guard<std::mutex> guard(mutex_);
   publishedCounters_ = dispatcher_.counters();
   publishedBusy_ = dispatcher_.busy();
   publishedConnections_ = connections_.openCount();
 }
 
-void OwnerWorker::carryOut(DispatchActions actions) {
+void OwnerWorker::apply(DispatchActions actions) {
   for (const auto& abort : actions.aborts) {
     connections_.abort(abort.exchange);
   }
--- a/src/programs/daemon/owner_worker.h
+++ b/src/programs/daemon/owner_worker.h
@@ -46,7 +46,7 @@
   void post(std::function<void()> task);
   void onEvent(const cxxtools::Event& event);
   void onTick();
-  void carryOut(DispatchActions actions);
+  void apply(DispatchActions actions);
 
   const Published<RoutingView>& view_;
   ReplySender reply_;
--- a/src/protocol/configuration_check.cpp
+++ b/src/protocol/configuration_check.cpp
@@ -28,33 +28,33 @@
   }
 
  private:
-  void fault(const std::string& field, const std::string& value, const std::string& allowed) {
+  void addError(const std::string& field, const std::string& value, const std::string& allowed) {
     errors_.push_back(
         makeError(ERROR_INVALID_CONFIGURATION, field + " is '" + value + "', allowed: " + allowed, field));
   }
 
   void checkRange(const std::string& field, std::uint64_t value, std::uint64_t low, std::uint64_t high) {
     if (value < low || value > high) {
-      fault(field, std::to_string(value), std::to_string(low) + " to " + std::to_string(high));
+      addError(field, std::to_string(value), std::to_string(low) + " to " + std::to_string(high));
     }
   }
 
-  void checkShare(const std::string& field, double value) {
+  void checkFraction(const std::string& field, double value) {
     if (!(value >= 0 && value <= 1)) {
-      fault(field, std::to_string(value), "0 to 1");
+      addError(field, std::to_string(value), "0 to 1");
     }
   }
 
   /// Requires a non-empty name of at most kMaxNameLength characters that is not yet in `seen`.
   void checkName(const std::string& field, const std::string& name, std::set<std::string>& seen) {
     if (name.empty() || name.size() > kMaxNameLength) {
-      fault(field, name, "1 to " + std::to_string(kMaxNameLength) + " characters");
+      addError(field, name, "1 to " + std::to_string(kMaxNameLength) + " characters");
     } else if (!seen.insert(name).second) {
-      fault(field, name, "a name not used before");
+      addError(field, name, "a name not used before");
     }
   }
 
-  static std::string place(const std::string& list, int position) {
+  static std::string elementPath(const std::string& list, int position) {
     return list + "[" + std::to_string(position) + "]";
   }
 
@@ -62,7 +62,7 @@
     std::set<std::string> names;
     for (int position = 0; position < configuration_.classes_size(); ++position) {
       const auto& declared = configuration_.classes(position);
-      const std::string field = place("classes", position);
+      const std::string field = elementPath("classes", position);
       checkName(field + ".name", declared.name(), names);
       checkRange(field + ".max_in_flight", declared.max_in_flight(), 1, 1'000'000);
       checkRange(field + ".priority", declared.priority(), 0, 255);
@@ -73,15 +73,15 @@
     std::set<std::string> addresses;
     for (int position = 0; position < configuration_.leaves_size(); ++position) {
       const auto& declared = configuration_.leaves(position);
-      const std::string field = place("leaves", position);
+      const std::string field = elementPath("leaves", position);
       checkName(field + ".name", declared.name(), leafNames_);
       if (!Endpoint::parse(declared.address())) {
-        fault(field + ".address", declared.address(), "an IP number and a port, like 10.0.0.1:7001");
+        addError(field + ".address", declared.address(), "an IP number and a port, like 10.0.0.1:7001");
       } else if (!addresses.insert(declared.address()).second) {
-        fault(field + ".address", declared.address(), "an address no other leaf has");
+        addError(field + ".address", declared.address(), "an address no other leaf has");
       }
       if (declared.zone().empty()) {
-        fault(field + ".zone", declared.zone(), "the name of a zone");
+        addError(field + ".zone", declared.zone(), "the name of a zone");
       }
       checkRange(field + ".slots", declared.slots(), 1, kMaxSlots);
       checkRange(field + ".max_connections", declared.max_connections(), 1, kMaxSlots);
@@ -92,7 +92,7 @@
     std::set<std::string> names;
     for (int position = 0; position < configuration_.services_size(); ++position) {
       const auto& declared = configuration_.services(position);
-      const std::string field = place("services", position);
+      const std::string field = elementPath("services", position);
       checkName(field + ".name", declared.name(), names);
       checkRange(field + ".max_deadline_ms", declared.max_deadline_ms(), 1, kMaxDeadlineMs);
       checkRange(field + ".default_deadline_ms", declared.default_deadline_ms(), 1,
@@ -104,29 +104,29 @@
   }
 
   void checkPolicies(const std::string& field, const oakpier::Service& declared) {
-    checkShare(field + ".wait.minimum_coverage", declared.wait().minimum_coverage());
+    checkFraction(field + ".wait.minimum_coverage", declared.wait().minimum_coverage());
     checkRange(field + ".hedge.budget_percent", declared.hedge().budget_percent(), 0, 100);
     checkRange(field + ".retry.budget_percent", declared.retry().budget_percent(), 0, 100);
     checkRange(field + ".retry.max_attempts", declared.retry().max_attempts(), 1, 10);
     const double quantile = declared.hedge().delay_quantile();
     if (declared.hedge().enabled() && !(quantile >= 0.5 && quantile <= 0.999)) {
-      fault(field + ".hedge.delay_quantile", std::to_string(quantile), "0.5 to 0.999");
+      addError(field + ".hedge.delay_quantile", std::to_string(quantile), "0.5 to 0.999");
     }
   }
 
   void checkPartitions(const std::string& serviceField, const oakpier::Service& declared) {
     if (declared.partitions().empty()) {
-      fault(serviceField + ".partitions", "", "at least one partition");
+      addError(serviceField + ".partitions", "", "at least one partition");
     }
     for (int position = 0; position < declared.partitions_size(); ++position) {
       const auto& partition = declared.partitions(position);
-      const std::string field = serviceField + "." + place("partitions", position);
+      const std::string field = serviceField + "." + elementPath("partitions", position);
       if (position > 0 && partition.first_snapshot() <= declared.partitions(position - 1).first_snapshot()) {
-        fault(field + ".first_snapshot", std::to_string(partition.first_snapshot()),
-              "more than that of the partition before");
+        addError(field + ".first_snapshot", std::to_string(partition.first_snapshot()),
+                 "more than that of the partition before");
       }
       if (partition.shards().empty()) {
-        fault(field + ".shards", "", "at least one shard");
+        addError(field + ".shards", "", "at least one shard");
       }
       checkShards(field, partition);
     }
@@ -136,17 +136,17 @@
     std::set<std::string> names;
     for (int position = 0; position < partition.shards_size(); ++position) {
       const auto& shard = partition.shards(position);
-      const std::string field = partitionField + "." + place("shards", position);
+      const std::string field = partitionField + "." + elementPath("shards", position);
       checkName(field + ".name", shard.name(), names);
       if (shard.replicas().empty()) {
-        fault(field + ".replicas", "", "at least one leaf");
+        addError(field + ".replicas", "", "at least one leaf");
       }
       std::set<std::string> replicas;
       for (const auto& replica : shard.replicas()) {
         if (leafNames_.count(replica) == 0) {
-          fault(field + ".replicas", replica, "the name of a declared leaf");
+          addError(field + ".replicas", replica, "the name of a declared leaf");
         } else if (!replicas.insert(replica).second) {
-          fault(field + ".replicas", replica, "each leaf once");
+          addError(field + ".replicas", replica, "each leaf once");
         }
       }
     }
--- a/src/state/member_table.cpp
+++ b/src/state/member_table.cpp
@@ -16,7 +16,7 @@
 }
 
 /// For the same refutation the more severe condition takes precedence.
-int gravity(MemberCondition condition) {
+int severity(MemberCondition condition) {
   switch (condition) {
     case MEMBER_ALIVE:
       return 0;
@@ -89,7 +89,7 @@
   if (update.refutation != known.refutation) {
     return update.refutation > known.refutation;
   }
-  return gravity(update.condition) > gravity(known.condition);
+  return severity(update.condition) > severity(known.condition);
 }
 
 }  // namespace oakpier
--- a/src/state/routing_table.cpp
+++ b/src/state/routing_table.cpp
@@ -104,8 +104,8 @@
   entry.maxConnections = static_cast<std::uint16_t>(declared.max_connections());
   entry.drained = declared.drained();
   const LeafEntry* before = former == nullptr ? nullptr : former->leafNamed(entry.name);
-  const bool sameProcess = before != nullptr && before->address == entry.address;
-  entry.knowledge = sameProcess ? before->knowledge : std::make_shared<LeafKnowledge>();
+  const bool sameAddress = before != nullptr && before->address == entry.address;
+  entry.knowledge = sameAddress ? before->knowledge : std::make_shared<LeafKnowledge>();
   writableLeaf(index) = std::move(entry);
   touched_.push_back(index);
 }
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -209,8 +209,8 @@
 void HttpServer::stopListening() {
   closing_ = true;
   // cxxtools does not expose its listening socket, so find the descriptor by its address.
-  constexpr int kMostDescriptors = 4096;
-  for (int descriptor = 0; descriptor < kMostDescriptors; ++descriptor) {
+  constexpr int kMaxDescriptors = 4096;
+  for (int descriptor = 0; descriptor < kMaxDescriptors; ++descriptor) {
     int listening = 0;
     socklen_t size = sizeof(listening);
     sockaddr_in address{};
--- a/src/transport/leaf_connections.cpp
+++ b/src/transport/leaf_connections.cpp
@@ -19,8 +19,8 @@
 constexpr const char* kExecuteUrl = "/oakpier.LeafBackend/Execute";
 constexpr const char* kStatusUrl = "/oakpier.LeafBackend/Status";
 /// Limits concurrent connection attempts of one owner thread, since accept queues of leafs are short.
-constexpr std::size_t kMostOpening = 16;
-constexpr Duration kIdleTime = std::chrono::seconds(30);
+constexpr std::size_t kMaxOpeningConnections = 16;
+constexpr Duration kIdleTimeout = std::chrono::seconds(30);
 
 LeafRequest leafRequestOf(const SendToLeaf& send) {
   const WorkBatch& batch = *send.task.batch;
@@ -150,8 +150,8 @@
 LeafConnections::~LeafConnections() = default;
 
 void LeafConnections::send(const SendToLeaf& request) {
-  if (opening_ >= kMostOpening && idle_[request.leaf].empty()) {
-    waiting_.push_back(request);
+  if (opening_ >= kMaxOpeningConnections && idle_[request.leaf].empty()) {
+    pending_.push_back(request);
   } else {
     begin(request);
   }
@@ -193,7 +193,7 @@
 void LeafConnections::abort(ExchangeId exchange) {
   const auto found = busy_.find(exchange);
   if (found == busy_.end()) {
-    eraseIf(waiting_, [exchange](const SendToLeaf& request) { return request.exchange == exchange; });
+    eraseIf(pending_, [exchange](const SendToLeaf& request) { return request.exchange == exchange; });
     return;
   }
   LeafConnection& connection = *found->second;
@@ -206,17 +206,17 @@
   }
 }
 
-void LeafConnections::onTime(Moment now) {
+void LeafConnections::onTimer(Moment now) {
   for (auto& [leaf, idle] : idle_) {
     eraseIf(idle, [now](LeafConnection* connection) {
-      connection->ended = connection->ended || now - connection->idleSince > kIdleTime;
+      connection->ended = connection->ended || now - connection->idleSince > kIdleTimeout;
       return connection->ended;
     });
   }
   connections_.remove_if([](const auto& connection) { return connection->ended; });
-  while (!waiting_.empty() && opening_ < kMostOpening) {
-    const SendToLeaf request = std::move(waiting_.front());
-    waiting_.pop_front();
+  while (!pending_.empty() && opening_ < kMaxOpeningConnections) {
+    const SendToLeaf request = std::move(pending_.front());
+    pending_.pop_front();
     begin(request);
   }
 }
--- a/src/transport/leaf_connections.h
+++ b/src/transport/leaf_connections.h
@@ -39,7 +39,7 @@
   void abort(ExchangeId exchange);
 
   /// Frees ended and idle connections and opens pending ones. Call every few milliseconds.
-  void onTime(Moment now);
+  void onTimer(Moment now);
 
   std::size_t openCount() const { return connections_.size(); }
 
@@ -56,7 +56,7 @@
   std::unordered_map<Endpoint, std::vector<LeafConnection*>> idle_;
   std::unordered_map<ExchangeId, LeafConnection*> busy_;
   /// Requests waiting for a new connection while too many are being opened.
-  std::deque<SendToLeaf> waiting_;
+  std::deque<SendToLeaf> pending_;
   std::size_t opening_ = 0;
 };
 
--- a/src/transport/peer_transport.cpp
+++ b/src/transport/peer_transport.cpp
@@ -12,7 +12,7 @@
 
 #include "coordination/frame_age.h"
 #include "transport/steady_clock.h"
-#include "transport/unacknowledged_limit.h"
+#include "transport/tcp_user_timeout.h"
 
 namespace oakpier {
 
@@ -27,11 +27,11 @@
 constexpr int kReconnectMaxMs = 400;
 /// How long a frame waits for its peer's connection before it is undeliverable.
 constexpr Duration kConnectGrace = std::chrono::milliseconds(30);
-constexpr std::size_t kMostWaitingFrames = 256;
+constexpr std::size_t kMaxPendingFrames = 256;
 constexpr Duration kIdleSocketTime = std::chrono::seconds(60);
 constexpr std::chrono::milliseconds kPollTime(100);
-constexpr std::chrono::milliseconds kPollTimeWhileWaiting(2);
-constexpr int kFramesPerRound = 256;
+constexpr std::chrono::milliseconds kPollTimeWhilePending(2);
+constexpr int kMaxFramesPerIteration = 256;
 
 }  // namespace
 
@@ -88,7 +88,7 @@
         receiveFrames();
       }
       const Moment now = steadyNow();
-      retryWaiting(now);
+      sendPending(now);
       closeIdle(now);
     }
   }
@@ -116,11 +116,11 @@
     Endpoint to;
     std::string bytes;
     FrameKind kind = FrameKind::kMembership;
-    Moment giveUpAt{};
+    Moment expiresAt{};
   };
   struct Peer {
     zmq::socket_t socket;
-    std::deque<Frame> waiting;
+    std::deque<Frame> pending;
     Moment usedAt{};
     /// The last frame could not be sent.
     bool failing = false;
@@ -135,7 +135,7 @@
   /// The receiver's descriptor is edge-triggered, so the receiver must be drained each time.
   Readable awaitReadable() {
     std::array<pollfd, 2> items{{{receiverDescriptor_, POLLIN, 0}, {wake_, POLLIN, 0}}};
-    const auto timeout = waitingFrames_ == 0 ? kPollTime : kPollTimeWhileWaiting;
+    const auto timeout = pendingFrames_ == 0 ? kPollTime : kPollTimeWhilePending;
     poll(items.data(), items.size(), static_cast<int>(timeout.count()));
     return {(items[0].revents & POLLIN) != 0 || std::exchange(receiveAgain_, false),
             (items[1].revents & POLLIN) != 0};
@@ -153,7 +153,7 @@
   }
 
   void receiveFrames() {
-    for (int count = 0; count < kFramesPerRound; ++count) {
+    for (int count = 0; count < kMaxFramesPerIteration; ++count) {
       zmq::message_t message;
       if (!receiver_.recv(message, zmq::recv_flags::dontwait)) {
         return;
@@ -166,7 +166,7 @@
         ++owner_.counters_.framesMalformed;
         continue;
       }
-      if (owner_.isCut(*sender)) {
+      if (owner_.isBlocked(*sender)) {
         continue;
       }
       ++owner_.counters_.framesReceived;
@@ -190,18 +190,18 @@
     for (auto& frame : frames) {
       Peer& peer = peerOf(frame.to);
       peer.usedAt = now;
-      if (peer.waiting.empty() && trySend(peer, frame)) {
+      if (peer.pending.empty() && trySend(peer, frame)) {
         peer.failing = false;
         continue;
       }
-      if (peer.waiting.size() >= kMostWaitingFrames) {
+      if (peer.pending.size() >= kMaxPendingFrames) {
         peer.failing = true;
         fail(frame);
         continue;
       }
-      frame.giveUpAt = now + kConnectGrace;
-      peer.waiting.push_back(std::move(frame));
-      ++waitingFrames_;
+      frame.expiresAt = now + kConnectGrace;
+      peer.pending.push_back(std::move(frame));
+      ++pendingFrames_;
     }
   }
 
@@ -217,10 +217,10 @@
       return;
     }
     ++owner_.counters_.reconnections;
-    waitingFrames_ -= peer->second.waiting.size();
-    std::deque<Frame> waiting = std::move(peer->second.waiting);
+    pendingFrames_ -= peer->second.pending.size();
+    std::deque<Frame> pending = std::move(peer->second.pending);
     peers_.erase(peer);
-    for (const Frame& frame : waiting) {
+    for (const Frame& frame : pending) {
       fail(frame);
     }
   }
@@ -235,7 +235,7 @@
     peer.socket.set(zmq::sockopt::sndhwm, kHighWaterMark);
     // Otherwise frames queue for a disconnected peer and arrive when it reconnects.
     peer.socket.set(zmq::sockopt::immediate, true);
-    peer.socket.set(zmq::sockopt::tcp_maxrt, static_cast<int>(kUnacknowledgedLimit.count()));
+    peer.socket.set(zmq::sockopt::tcp_maxrt, static_cast<int>(kTcpUserTimeout.count()));
     peer.socket.set(zmq::sockopt::reconnect_ivl, kReconnectMs);
     peer.socket.set(zmq::sockopt::reconnect_ivl_max, kReconnectMaxMs);
     peer.socket.connect("tcp://" + to.text());
@@ -256,23 +256,23 @@
     return true;
   }
 
-  void retryWaiting(Moment now) {
-    if (waitingFrames_ == 0) {
+  void sendPending(Moment now) {
+    if (pendingFrames_ == 0) {
       return;
     }
     for (auto& [to, peer] : peers_) {
-      while (!peer.waiting.empty()) {
-        Frame& frame = peer.waiting.front();
+      while (!peer.pending.empty()) {
+        Frame& frame = peer.pending.front();
         const bool sent = trySend(peer, frame);
-        if (!sent && now < frame.giveUpAt) {
+        if (!sent && now < frame.expiresAt) {
           break;
         }
         peer.failing = !sent;
         if (!sent) {
           fail(frame);
         }
-        peer.waiting.pop_front();
-        --waitingFrames_;
+        peer.pending.pop_front();
+        --pendingFrames_;
       }
     }
   }
@@ -290,7 +290,7 @@
     }
     nextIdleCheckAt_ = now + std::chrono::seconds(1);
     for (auto peer = peers_.begin(); peer != peers_.end();) {
-      const bool idle = peer->second.waiting.empty() && now - peer->second.usedAt > kIdleSocketTime;
+      const bool idle = peer->second.pending.empty() && now - peer->second.usedAt > kIdleSocketTime;
       peer = idle ? peers_.erase(peer) : std::next(peer);
     }
   }
@@ -308,7 +308,7 @@
   std::unordered_map<Endpoint, Peer> peers_;
   /// Incarnation of the process that last sent a frame from each address.
   std::unordered_map<Endpoint, std::uint64_t> incarnations_;
-  std::size_t waitingFrames_ = 0;
+  std::size_t pendingFrames_ = 0;
   Moment nextIdleCheckAt_{};
   FrameAge age_;
 };
@@ -335,18 +335,18 @@
   }
 }
 
-void PeerTransport::setCuts(const std::set<Endpoint>& peers) {
-  const std::lock_guard<std::mutex> guard(cutsMutex_);
-  cuts_ = peers;
-  anyCuts_ = !peers.empty();
+void PeerTransport::setBlockedPeers(const std::set<Endpoint>& peers) {
+  const std::lock_guard<std::mutex> guard(blockedPeersMutex_);
+  blockedPeers_ = peers;
+  anyBlocked_ = !peers.empty();
 }
 
-bool PeerTransport::isCut(const Endpoint& peer) {
-  if (!anyCuts_) {
+bool PeerTransport::isBlocked(const Endpoint& peer) {
+  if (!anyBlocked_) {
     return false;
   }
-  const std::lock_guard<std::mutex> guard(cutsMutex_);
-  return cuts_.count(peer) != 0;
+  const std::lock_guard<std::mutex> guard(blockedPeersMutex_);
+  return blockedPeers_.count(peer) != 0;
 }
 
 void PeerTransport::send(const Endpoint& to, PeerEnvelope envelope) {
@@ -354,7 +354,7 @@
     handlers_.onEnvelope(std::move(envelope), false);
     return;
   }
-  if (isCut(to)) {
+  if (isBlocked(to)) {
     return;
   }
   envelope.set_sent_at_us(static_cast<std::uint64_t>(steadyNow().time_since_epoch().count()));
--- a/src/transport/peer_transport.h
+++ b/src/transport/peer_transport.h
@@ -62,23 +62,23 @@
   void send(const Endpoint& to, PeerEnvelope envelope);
 
   /// Fault injection: drops frames to and from these peers. Thread-safe.
-  void setCuts(const std::set<Endpoint>& peers);
+  void setBlockedPeers(const std::set<Endpoint>& peers);
 
   const PeerTransportCounters& counters() const { return counters_; }
 
  private:
   class Loop;
 
-  bool isCut(const Endpoint& peer);
+  bool isBlocked(const Endpoint& peer);
 
   Endpoint listen_;
   Handlers handlers_;
   PeerTransportCounters counters_;
   std::unique_ptr<Loop> loop_;
   std::thread thread_;
-  std::mutex cutsMutex_;
-  std::set<Endpoint> cuts_;
-  std::atomic<bool> anyCuts_{false};
+  std::mutex blockedPeersMutex_;
+  std::set<Endpoint> blockedPeers_;
+  std::atomic<bool> anyBlocked_{false};
 };
 
 }  // namespace oakpier
--- a/src/transport/serving/leaf_connection.cpp
+++ b/src/transport/serving/leaf_connection.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "transport/serving/socket_options.h"
-#include "transport/unacknowledged_limit.h"
+#include "transport/tcp_user_timeout.h"
 
 namespace oakpier::serving {
 
@@ -41,7 +41,7 @@
       return;
     }
     self->wasAccepted_ = true;
-    configureConnection(self->socket_, kUnacknowledgedLimit);
+    configureConnection(self->socket_, kTcpUserTimeout);
     self->read();
     self->awaitAcceptance();
   });
--- a/src/transport/serving/leaf_pool.cpp
+++ b/src/transport/serving/leaf_pool.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "transport/steady_clock.h"
-#include "transport/unacknowledged_limit.h"
+#include "transport/tcp_user_timeout.h"
 
 namespace oakpier::serving {
 
@@ -15,7 +15,7 @@
 
 /// An opening packet that is lost is sent again after a second; a new attempt is quicker. Some hundred times
 /// the way between zones, and as long as requests are waited for without an acknowledgement.
-constexpr Duration kConnectTimeout = kUnacknowledgedLimit;
+constexpr Duration kConnectTimeout = kTcpUserTimeout;
 /// A leaf that cannot be reached is tried anew after this, as often as a connection may take to open.
 constexpr Duration kReconnectPause = kConnectTimeout;
 /// An abandoned exchange may still end by itself for this long, so that the connection can be kept.
--- a/src/transport/unacknowledged_limit.h
+++ b/src/transport/tcp_user_timeout.h
@@ -10,6 +10,6 @@
 /// connection, and the next request opens a new one. The kernel acknowledges for a slow or paused process, so
 /// that one keeps its connections. Twice the minimum retransmission timeout of Linux (200 ms), so that the
 /// loss of a single segment does not close a connection.
-inline constexpr std::chrono::milliseconds kUnacknowledgedLimit{400};
+inline constexpr std::chrono::milliseconds kTcpUserTimeout{400};
 
 }  // namespace oakpier
--- a/tests/programs/proof_test.cpp
+++ b/tests/programs/proof_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-void prove(std::uint64_t seed, const std::vector<FaultKind>& kinds) {
+void runWithFaults(std::uint64_t seed, const std::vector<FaultKind>& kinds) {
   std::string folder = (std::filesystem::temp_directory_path() / "oakpier-test-XXXXXX").string();
   REQUIRE(mkdtemp(folder.data()) != nullptr);
   ProofOptions options;
@@ -32,17 +32,18 @@
 }  // namespace
 
 TEST_CASE("guarantees hold while daemons are killed, paused, stopped and partitioned", "[proof]") {
-  prove(1, {FaultKind::kKillDaemon, FaultKind::kFreezeDaemon, FaultKind::kStopDaemon, FaultKind::kCutZone});
+  runWithFaults(
+      1, {FaultKind::kKillDaemon, FaultKind::kFreezeDaemon, FaultKind::kStopDaemon, FaultKind::kCutZone});
 }
 
 TEST_CASE("guarantees hold while leafs fail, leave and change snapshots and partitions", "[proof]") {
-  prove(2, {FaultKind::kKillLeaf, FaultKind::kFreezeLeaf, FaultKind::kLeafLeaves, FaultKind::kNextSnapshot,
-            FaultKind::kRepartition, FaultKind::kUnrulyLeaf});
+  runWithFaults(2, {FaultKind::kKillLeaf, FaultKind::kFreezeLeaf, FaultKind::kLeafLeaves,
+                    FaultKind::kNextSnapshot, FaultKind::kRepartition, FaultKind::kUnrulyLeaf});
 }
 
 TEST_CASE("guarantees hold while the platform is down and operators make concurrent changes", "[proof]") {
-  prove(3, {FaultKind::kPlatformOutage, FaultKind::kOperatorRace, FaultKind::kKillDaemon,
-            FaultKind::kStopDaemon});
+  runWithFaults(3, {FaultKind::kPlatformOutage, FaultKind::kOperatorRace, FaultKind::kKillDaemon,
+                    FaultKind::kStopDaemon});
 }
 
 }  // namespace oakpier
--- a/tests/transport/peer_transport_test.cpp
+++ b/tests/transport/peer_transport_test.cpp
@@ -60,12 +60,12 @@
   const Endpoint here = freeEndpoint();
   const Endpoint there = freeEndpoint();
   std::promise<void> failed;
-  std::promise<void> heard;
+  std::promise<void> received;
   std::promise<void> answered;
   std::unique_ptr<PeerTransport> sender;
   bool first = true;
   sender = std::make_unique<PeerTransport>(
-      here, PeerTransport::Handlers{[&](const PeerEnvelope&, bool) { heard.set_value(); },
+      here, PeerTransport::Handlers{[&](const PeerEnvelope&, bool) { received.set_value(); },
                                     [&](const Endpoint& to, const PeerEnvelope& envelope) {
                                       if (std::exchange(first, false)) {
                                         failed.set_value();
@@ -83,7 +83,7 @@
               [&](const Endpoint& to, const PeerEnvelope& envelope) { receiver.send(to, envelope); }});
   REQUIRE(receiver.start().empty());
   receiver.send(here, workFrom(there, "started"));
-  heard.get_future().get();
+  received.get_future().get();
   REQUIRE(sender->counters().reconnections == 1);
   sender->send(there, workFrom(here, "answer"));
   answered.get_future().get();
@@ -110,9 +110,9 @@
     changed_.notify_all();
   }
   /// Returns when a frame of the group arrives or the time is up.
-  bool await(char group, std::chrono::milliseconds longest) {
+  bool await(char group, std::chrono::milliseconds timeout) {
     std::unique_lock<std::mutex> guard(mutex_);
-    return changed_.wait_for(guard, longest, [&] { return group_ == group; });
+    return changed_.wait_for(guard, timeout, [&] { return group_ == group; });
   }
 
  private:
