--- a/src/programs/daemon/control_loop.cpp
+++ b/src/programs/daemon/control_loop.cpp
@@ -142,7 +142,7 @@
 void ControlLoop::publish(bool tableChanged) {
   if (tableChanged) {
     applyConfiguration();
-    log(LogLevel::kInfo, "configuration in force", {{"revision", table_->revision()}});
+    log(LogLevel::kInfo, "configuration in effect", {{"revision", table_->revision()}});
   }
   std::vector<Candidate> members;
   const MemberTable& known = plane_.membership().members();
--- a/src/programs/daemon/entry_service.cpp
+++ b/src/programs/daemon/entry_service.cpp
@@ -46,14 +46,15 @@
   answer->set_configuration_revision(view->table->revision());
   const Error error = prepare(*view, context.request, context.service, priorityClass);
   if (stopping_) {
-    refuse(*answer, makeError(ERROR_STOPPING, "this daemon is stopping; ask another one"),
+    refuse(*answer, makeError(ERROR_STOPPING, "this daemon is stopping; use another one"),
            kRetryAfterStopping);
   } else if (error.code() == ERROR_NOT_READY) {
     refuse(*answer, error, kRetryAfterNotReady);
   } else if (error.code() != ERROR_NONE) {
     refuse(*answer, error, Duration(0));
   } else if (!admission_.admit(*priorityClass)) {
-    refuse(*answer, makeError(ERROR_OVERLOADED, "class " + priorityClass->name + " gives way"),
+    refuse(*answer,
+           makeError(ERROR_OVERLOADED, "class " + priorityClass->name + " is refused under overload"),
            admission_.retryAfter());
   } else {
     context.view = view;
@@ -77,7 +78,7 @@
     return makeError(ERROR_INVALID_FIELD, "minimum_coverage must be 0 to 1", "minimum_coverage");
   }
   if (!view.ready) {
-    return makeError(ERROR_NOT_READY, "this daemon holds no configuration in force yet");
+    return makeError(ERROR_NOT_READY, "this daemon has no accepted configuration yet");
   }
   service = view.table->findService(request.service());
   if (service == nullptr) {
@@ -129,7 +130,8 @@
     *answer.mutable_error() = makeError(
         ERROR_DUPLICATE_REQUEST, "a request with this id was sent before and may have run", "request_id");
   } else {
-    refuse(answer, makeError(ERROR_NO_MAJORITY, "too few daemons can tell whether this id ran before"),
+    refuse(answer,
+           makeError(ERROR_NO_MAJORITY, "no majority of guardians replied whether this id ran before"),
            kRetryAfterNotReady);
   }
   if (state != Reservation::State::kGranted || answer.outcome() == OUTCOME_NOT_RUN) {
--- a/src/programs/daemon/operator_service.cpp
+++ b/src/programs/daemon/operator_service.cpp
@@ -16,15 +16,14 @@
     case ChangeEnd::kAccepted:
       return {};
     case ChangeEnd::kConflict:
-      return makeError(ERROR_REVISION_CONFLICT,
-                       "another change came first; revision " + revision + " is in force");
+      return makeError(ERROR_REVISION_CONFLICT, "concurrent change: revision " + revision + " is in effect");
     case ChangeEnd::kNoMajority:
-      return makeError(ERROR_NO_MAJORITY, "no majority of voters was reached; nothing was changed");
+      return makeError(ERROR_NO_MAJORITY, "no majority of voters reachable; nothing was changed");
     case ChangeEnd::kUndecided:
       return makeError(ERROR_NO_MAJORITY,
-                       "no majority answered in time; the change may yet take effect, look again");
+                       "no majority answered in time; the change may yet take effect, check the status");
     case ChangeEnd::kNotReady:
-      return makeError(ERROR_NOT_READY, "this daemon holds no accepted configuration yet");
+      return makeError(ERROR_NOT_READY, "this daemon has no accepted configuration yet");
   }
   return {};
 }
@@ -42,7 +41,7 @@
                                        GetConfigurationReply* reply, google::protobuf::Closure* done) {
   *reply->mutable_configuration() = currentConfiguration();
   if (reply->configuration().revision() == 0) {
-    *reply->mutable_error() = makeError(ERROR_NOT_READY, "this daemon holds no accepted configuration yet");
+    *reply->mutable_error() = makeError(ERROR_NOT_READY, "this daemon has no accepted configuration yet");
   }
   done->Run();
 }
@@ -64,8 +63,8 @@
   const Configuration current = currentConfiguration();
   if (current.revision() != request->base_revision()) {
     *reply->add_errors() = makeError(ERROR_REVISION_CONFLICT,
-                                     "revision " + std::to_string(current.revision()) + " is in force, not " +
-                                         std::to_string(request->base_revision()),
+                                     "revision " + std::to_string(current.revision()) +
+                                         " is in effect, not " + std::to_string(request->base_revision()),
                                      "base_revision");
   }
   *reply->mutable_change() = differenceBetween(current, request->configuration());
@@ -133,10 +132,10 @@
     return "stopping";
   }
   if (plane.store().revision() == 0) {
-    return "no accepted configuration yet: neither a peer nor a majority of the platform's daemons was "
-           "reached";
+    return "no accepted configuration yet: neither a peer nor a majority of the platform's daemons "
+           "could be reached";
   }
-  return plane.revalidating() ? "woke from a pause and has not heard from a peer yet" : "";
+  return plane.revalidating() ? "process was paused and no peer has replied since" : "";
 }
 
 void OperatorService::describeMembers(const ControlPlane& plane, StatusReply& reply) const {
--- a/src/protocol/configuration_check.cpp
+++ b/src/protocol/configuration_check.cpp
@@ -50,7 +50,7 @@
     if (name.empty() || name.size() > kMaxNameLength) {
       addError(field, name, "1 to " + std::to_string(kMaxNameLength) + " characters");
     } else if (!seen.insert(name).second) {
-      addError(field, name, "a name not used before");
+      addError(field, name, "a unique name");
     }
   }
 
@@ -76,9 +76,9 @@
       const std::string field = elementPath("leaves", position);
       checkName(field + ".name", declared.name(), leafNames_);
       if (!Endpoint::parse(declared.address())) {
-        addError(field + ".address", declared.address(), "an IP number and a port, like 10.0.0.1:7001");
+        addError(field + ".address", declared.address(), "an IPv4 address and a port, like 10.0.0.1:7001");
       } else if (!addresses.insert(declared.address()).second) {
-        addError(field + ".address", declared.address(), "an address no other leaf has");
+        addError(field + ".address", declared.address(), "an address that no other leaf uses");
       }
       if (declared.zone().empty()) {
         addError(field + ".zone", declared.zone(), "the name of a zone");
@@ -123,7 +123,7 @@
       const std::string field = serviceField + "." + elementPath("partitions", position);
       if (position > 0 && partition.first_snapshot() <= declared.partitions(position - 1).first_snapshot()) {
         addError(field + ".first_snapshot", std::to_string(partition.first_snapshot()),
-                 "more than that of the partition before");
+                 "more than that of the preceding partition");
       }
       if (partition.shards().empty()) {
         addError(field + ".shards", "", "at least one shard");
@@ -146,7 +146,7 @@
         if (leafNames_.count(replica) == 0) {
           addError(field + ".replicas", replica, "the name of a declared leaf");
         } else if (!replicas.insert(replica).second) {
-          addError(field + ".replicas", replica, "each leaf once");
+          addError(field + ".replicas", replica, "distinct leafs");
         }
       }
     }
