--- a/src/programs/daemon/control_loop.cpp
+++ b/src/programs/daemon/control_loop.cpp
@@ -108,10 +108,10 @@
     sender_(outgoing.to, std::move(outgoing.envelope));
   }
   for (const auto& result : actions.results) {
-    const auto waiting = promises_.find(result.token);
-    if (waiting != promises_.end()) {
-      waiting->second.set_value(result);
-      promises_.erase(waiting);
+    const auto promise = promises_.find(result.token);
+    if (promise != promises_.end()) {
+      promise->second.set_value(result);
+      promises_.erase(promise);
     }
   }
 }
@@ -126,14 +126,14 @@
 
 /// Applies the individual changes while the store retains them, else rebuilds the complete table.
 void ControlLoop::applyConfiguration() {
-  const ChangesReply news = plane_.store().changesSince(table_->revision());
-  if (news.has_whole()) {
-    table_ = std::make_shared<const RoutingTable>(news.whole(), table_.get());
+  const ChangesReply reply = plane_.store().changesSince(table_->revision());
+  if (reply.has_whole()) {
+    table_ = std::make_shared<const RoutingTable>(reply.whole(), table_.get());
     placement_ = Placement();
     placement_.updateLeaves(*table_);
     return;
   }
-  for (const auto& change : news.changes()) {
+  for (const auto& change : reply.changes()) {
     table_ = std::make_shared<const RoutingTable>(*table_, change);
     placement_.updateLeaves(*table_);
   }
--- a/tests/support/silencing_proxy.h
+++ b/tests/support/stalling_proxy.h
@@ -18,17 +18,17 @@
 
 namespace oakpier {
 
-class SilencingProxy {
+class StallingProxy {
  public:
   /// Forwards connections to `address()` to `target`.
-  explicit SilencingProxy(const Endpoint& target)
+  explicit StallingProxy(const Endpoint& target)
       : target_(target), acceptor_(context_, {boost::asio::ip::address_v4::loopback(), 0}) {
     accept();
     thread_ = std::thread([this] { context_.run(); });
   }
-  SilencingProxy(const SilencingProxy&) = delete;
-  SilencingProxy& operator=(const SilencingProxy&) = delete;
-  ~SilencingProxy() {
+  StallingProxy(const StallingProxy&) = delete;
+  StallingProxy& operator=(const StallingProxy&) = delete;
+  ~StallingProxy() {
     context_.stop();
     thread_.join();
   }
@@ -36,15 +36,15 @@
   Endpoint address() const { return Endpoint(0x7f000001, acceptor_.local_endpoint().port()); }
 
   /// Stalls all open connections; they are stalled when this returns.
-  void silence() {
-    std::promise<void> silenced;
+  void stallConnections() {
+    std::promise<void> done;
     boost::asio::post(context_, [&] {
       for (const auto& connection : connections_) {
-        connection->silent = true;
+        connection->stalled = true;
       }
-      silenced.set_value();
+      done.set_value();
     });
-    silenced.get_future().get();
+    done.get_future().get();
   }
 
  private:
@@ -54,7 +54,7 @@
     boost::asio::ip::tcp::socket far;
     std::array<char, 16384> fromNear{};
     std::array<char, 16384> fromFar{};
-    bool silent = false;
+    bool stalled = false;
   };
   using ConnectionPointer = std::shared_ptr<Connection>;
 
@@ -80,7 +80,7 @@
     from.async_read_some(
         boost::asio::buffer(chunk),
         [this, connection, &from, &to, &chunk](const boost::system::error_code& error, std::size_t count) {
-          if (connection->silent) {
+          if (connection->stalled) {
             return;
           }
           if (error) {
--- a/tests/transport/peer_transport_test.cpp
+++ b/tests/transport/peer_transport_test.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "support/free_endpoint.h"
-#include "support/silencing_proxy.h"
+#include "support/stalling_proxy.h"
 
 namespace oakpier {
 
@@ -130,7 +130,7 @@
   PeerTransport receiver(there, {[&](const PeerEnvelope& envelope, bool) { arrived.onFrame(envelope); },
                                  [](const Endpoint&, const PeerEnvelope&) {}});
   REQUIRE(receiver.start().empty());
-  SilencingProxy proxy(there);
+  StallingProxy proxy(there);
   PeerTransport sender(here, {[](const PeerEnvelope&, bool) {}, [](const Endpoint&, const PeerEnvelope&) {}});
   REQUIRE(sender.start().empty());
   const auto sendUntilArrived = [&](char group) {
@@ -147,7 +147,7 @@
     return false;
   };
   REQUIRE(sendUntilArrived('a'));
-  proxy.silence();
+  proxy.stallConnections();
   REQUIRE(sendUntilArrived('b'));
 }
 
--- a/tests/transport/send_once_test.cpp
+++ b/tests/transport/send_once_test.cpp
@@ -101,8 +101,8 @@
                                        loop.exit();
                                      }});
   ExchangeId exchange = 1;
-  for (const bool once : notRepeatable) {
-    connections.send(requestTo(leaf, exchange++, once));
+  for (const bool notRepeatableRequest : notRepeatable) {
+    connections.send(requestTo(leaf, exchange++, notRepeatableRequest));
     loop.run();
   }
 }
@@ -124,10 +124,10 @@
 
 TEST_CASE("a refused connection is reported as not connected", "[transport]") {
   std::unique_ptr<StaleServer> server = std::make_unique<StaleServer>(false);
-  const Endpoint gone = server->endpoint();
+  const Endpoint closedEndpoint = server->endpoint();
   server.reset();
   std::vector<ExchangeFailure> failures;
-  exchangeAll(gone, {true}, failures);
+  exchangeAll(closedEndpoint, {true}, failures);
   REQUIRE(failures == std::vector<ExchangeFailure>{ExchangeFailure::kNotConnected});
 }
 
