--- a/src/programs/daemon/control_loop.cpp
+++ b/src/programs/daemon/control_loop.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(50);
-/// How long a leaving voter waits until its successor is a voter.
+/// How long a leaving voter waits at most for its successor to become a voter.
 constexpr Duration kVoteTransferTimeout = std::chrono::seconds(5);
 
 }  // namespace
--- a/src/programs/daemon/daemon.cpp
+++ b/src/programs/daemon/daemon.cpp
@@ -15,13 +15,14 @@
 /// HTTP threads in addition to one per admitted query, so that refusals can be sent at the limit.
 constexpr unsigned kSpareCallerThreads = 32;
 constexpr unsigned kOperatorThreads = 8;
-/// Upper bound, in probe periods, on the time in which voter heartbeats propagate to all daemons.
+/// Length of the voter lease in probe periods; voter heartbeats propagate to all daemons well within it.
 constexpr int kLeasePeriods = 15;
 constexpr unsigned kHttpUnavailable = 503;
 /// Operators send complete configurations, which are larger than queries.
 constexpr std::size_t kMaxOperatorBytes = std::size_t{64} << 20U;
 
-/// Higher after each restart at the same address, with random low bits so that no two starts share it.
+/// The system clock in milliseconds, so that it is higher after each restart, with 10 random low bits to tell
+/// apart starts in the same millisecond.
 std::uint64_t newIncarnation() {
   constexpr unsigned kRandomBits = 10;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
--- a/src/programs/daemon/daemon_settings.h
+++ b/src/programs/daemon/daemon_settings.h
@@ -35,7 +35,7 @@
   bool admission = true;
   LogLevel logLevel = LogLevel::kInfo;
   bool checkConfigOnly = false;
-  /// For tests only: serve the interface that blocks traffic with chosen peers.
+  /// For tests only: serve the fault injection interface, which blocks traffic with chosen peers.
   bool allowFaultInjection = false;
 };
 
--- a/src/programs/daemon/entry_service.cpp
+++ b/src/programs/daemon/entry_service.cpp
@@ -11,11 +11,11 @@
 constexpr std::size_t kMaxIdLength = 128;
 /// How often a waiting query checks whether its caller has disconnected.
 constexpr Duration kCallerCheckPeriod = std::chrono::milliseconds(20);
-/// The request is refused if its guardians do not reply within this time.
+/// A non-repeatable request is refused if too few guardians of its id reply within this time.
 constexpr Duration kReservationTime = std::chrono::milliseconds(250);
 constexpr std::uint32_t kCancelTimeToLiveMs = 1000;
 constexpr Duration kRetryAfterNotReady = std::chrono::milliseconds(500);
-/// Another daemon can take the request immediately.
+/// Short, since another daemon can take the request immediately.
 constexpr Duration kRetryAfterStopping = std::chrono::milliseconds(10);
 
 RandomEngine& threadRandom() {
--- a/src/programs/daemon/entry_service.h
+++ b/src/programs/daemon/entry_service.h
@@ -35,7 +35,7 @@
 
   /// Results for a query of this daemon; discarded if the query has ended.
   void onResults(const Endpoint& owner, ResultBatch results);
-  /// A guardian's reply to the reservation of a non-repeatable request's id.
+  /// A reply to `reserve` from a guardian: a daemon that remembers the ids of non-repeatable requests.
   void onVerdict(const Endpoint& guardian, const ReserveReply& reply);
 
   /// Refuses all queries that arrive later.
--- a/src/programs/daemon/main.cpp
+++ b/src/programs/daemon/main.cpp
@@ -16,7 +16,7 @@
 /// Peers may not know yet that this daemon leaves, so it serves until no work arrives for this long.
 constexpr Duration kIdleTime = std::chrono::milliseconds(1000);
 
-/// Timeout for calls in progress once new connections are refused.
+/// How long calls in progress may continue once new connections are refused.
 constexpr Duration kDrainTimeout = std::chrono::seconds(3);
 
 sigset_t stopSignals() {
--- a/src/programs/daemon/operator_service.h
+++ b/src/programs/daemon/operator_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The operator interface of the daemon. Changes go through the control thread; a call
-/// returns when the voters have decided.
+/// The operator interface of the daemon. Changes go through the control thread; a call returns when the
+/// voters have decided or have not answered in time.
 
 #include "oakpier/operator.pb.h"
 #include "programs/daemon/control_loop.h"
--- a/src/programs/daemon/owner_worker.h
+++ b/src/programs/daemon/owner_worker.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// One thread of the owner role: an event loop with leaf connections and the dispatcher that schedules them.
+/// One thread of the owner role: an event loop with leaf connections and the dispatcher that schedules
+/// requests to the leafs.
 
 #include <cxxtools/connectable.h>
 #include <cxxtools/eventloop.h>
@@ -62,7 +63,7 @@
   std::size_t publishedConnections_ = 0;
 };
 
-/// All owner threads of a daemon. Each leaf is assigned to one thread.
+/// All owner threads of a daemon. A leaf is always handled by the same thread.
 class OwnerWorkers {
  public:
   OwnerWorkers(std::uint32_t threads, const Published<RoutingView>& view, bool admission,
--- a/src/state/configuration_change.cpp
+++ b/src/state/configuration_change.cpp
@@ -51,7 +51,8 @@
   return position < items.size() && items.Get(position).name() == name;
 }
 
-/// Requires items sorted by name, which makes each lookup logarithmic.
+/// Requires items sorted by name, so that lookups are logarithmic and a small change to a large configuration
+/// is cheap.
 template <typename Item>
 void apply(const Items<Item>& put, const Items<std::string>& removed, Items<Item>& items) {
   for (const auto& name : removed) {
--- a/src/state/configuration_store.h
+++ b/src/state/configuration_store.h
@@ -19,11 +19,12 @@
 
   /// Applies an accepted proposal; false unless it has the next revision and the same cluster.
   bool adopt(const Proposal& accepted);
-  /// Applies changes accepted by a peer; false if the reply is not newer, belongs to another cluster, or
-  /// leaves a gap in the revisions.
+  /// Applies accepted changes received from a peer; false if the reply is not newer, belongs to another
+  /// cluster, or has neither a complete configuration nor the change to the next revision.
   bool adopt(const ChangesReply& reply);
 
-  /// The changes after `revision` if all of them are retained, else the complete configuration.
+  /// The changes after `revision` if all of them are retained, else, and always for revision 0, the complete
+  /// configuration.
   ChangesReply changesSince(std::uint64_t revision) const;
 
  private:
--- a/src/state/leaf_knowledge.h
+++ b/src/state/leaf_knowledge.h
@@ -46,7 +46,8 @@
   std::uint32_t reportedInFlight() const { return reportedInFlight_.load(std::memory_order_relaxed); }
   std::uint32_t consecutiveFailures() const { return consecutiveFailures_.load(std::memory_order_relaxed); }
 
-  /// Requests of this daemon to the leaf that are in flight.
+  /// Requests in flight from this daemon to the leaf, counted by the sender; `reportedInFlight` is the leaf's
+  /// own count.
   std::uint32_t outstanding() const { return outstanding_.load(std::memory_order_relaxed); }
   void addOutstanding() { outstanding_.fetch_add(1, std::memory_order_relaxed); }
   void removeOutstanding() { outstanding_.fetch_sub(1, std::memory_order_relaxed); }
--- a/src/state/member_table.cpp
+++ b/src/state/member_table.cpp
@@ -15,7 +15,7 @@
       [](const MemberRecord& record, const Endpoint& wanted) { return record.address < wanted; });
 }
 
-/// For the same refutation the more severe condition takes precedence.
+/// Orders conditions; of two records with the same refutation, the one with the higher severity is kept.
 int severity(MemberCondition condition) {
   switch (condition) {
     case MEMBER_ALIVE:
--- a/src/state/member_table.h
+++ b/src/state/member_table.h
@@ -34,8 +34,8 @@
 /// Daemons compare their tables by digests of its parts; a member's address determines its part.
 inline constexpr std::size_t kTableParts = 64;
 std::size_t partOf(const Endpoint& address);
-/// A serving member's contribution to the digest of its part. It covers the capacity too, so that tables that
-/// place work by different capacities differ.
+/// A serving member's contribution to the digest of its part: a hash of its address, incarnation and
+/// capacity. With the capacity, daemons that would place work by different capacities detect the difference.
 std::uint64_t digestOf(const MemberRecord& record);
 
 /// Records sorted by address. Not thread-safe.
@@ -63,8 +63,8 @@
 };
 
 /// True when `update` replaces `known`: it has a higher incarnation or, within one incarnation, a higher
-/// refutation or, for the same refutation, the more severe condition. MEMBER_LEFT is final for an
-/// incarnation.
+/// refutation or, for the same refutation, the more severe condition. Within one incarnation, MEMBER_LEFT
+/// replaces every other condition whatever the refutation, and is final.
 bool supersedes(const MemberRecord& update, const MemberRecord& known);
 
 }  // namespace oakpier
--- a/src/state/routing_table.h
+++ b/src/state/routing_table.h
@@ -51,7 +51,7 @@
   HedgePolicy hedge;
   RetryPolicy retry;
 
-  /// The partition in force at `snapshot`; the oldest one for snapshots before it.
+  /// The partition in effect at `snapshot`; the oldest one for snapshots before it.
   const PartitionEntry& partitionAt(std::uint64_t snapshot) const;
 };
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -50,7 +50,7 @@
   std::string start();
 
   /// Begins a graceful shutdown: refuses new connections, keeps serving open ones, and asks their callers in
-  /// each reply to close them.
+  /// each reply to close them, so that no call is interrupted.
   void stopListening();
   /// Calls in progress, up to when the reply is written.
   std::size_t callsInProgress() const { return callsInProgress_; }
--- a/src/transport/leaf_connections.h
+++ b/src/transport/leaf_connections.h
@@ -38,7 +38,8 @@
   void send(const SendToLeaf& request);
   void abort(ExchangeId exchange);
 
-  /// Frees ended and idle connections and opens pending ones. Call every few milliseconds.
+  /// Frees ended connections, closes idle ones, and opens connections for pending requests. Call every few
+  /// milliseconds.
   void onTimer(Moment now);
 
   std::size_t openCount() const { return connections_.size(); }
--- a/src/transport/peer_transport.cpp
+++ b/src/transport/peer_transport.cpp
@@ -23,7 +23,7 @@
 constexpr int kHighWaterMark = 1000;
 constexpr std::int64_t kMaxFrameBytes = std::int64_t{64} << 20U;
 constexpr int kReconnectMs = 50;
-/// Bounds both the time to reach a restarted daemon and the rate of attempts to a dead one.
+/// Maximum time to reach a restarted daemon; limits attempts to a dead one to about three per second.
 constexpr int kReconnectMaxMs = 400;
 /// How long a frame waits for its peer's connection before it is undeliverable.
 constexpr Duration kConnectGrace = std::chrono::milliseconds(30);
@@ -122,7 +122,7 @@
     zmq::socket_t socket;
     std::deque<Frame> pending;
     Moment usedAt{};
-    /// The last frame could not be sent.
+    /// The last frame was undeliverable.
     bool failing = false;
   };
 
@@ -205,9 +205,9 @@
     }
   }
 
-  /// Drops the connection to a peer that has restarted or to which the last frame failed, and fails the
-  /// frames that wait for it. The next frame then connects immediately instead of after the reconnect
-  /// interval.
+  /// Called for each received frame. If the sender has restarted or the last frame to it was undeliverable,
+  /// drops the connection to it and reports pending frames as undeliverable. The next frame then connects
+  /// immediately instead of after the reconnect interval.
   void reconnectTo(const Endpoint& sender, std::uint64_t incarnation) {
     const auto [known, isFirst] = incarnations_.try_emplace(sender, incarnation);
     const bool isNewProcess = !isFirst && known->second != incarnation;
@@ -299,7 +299,7 @@
   zmq::context_t context_;
   zmq::socket_t receiver_;
   int receiverDescriptor_ = -1;
-  /// The receiver may not have been drained.
+  /// The receiver may hold frames for which its descriptor will not become readable again.
   bool receiveAgain_ = false;
   int wake_;
   std::atomic<bool> stopping_{false};
--- a/src/transport/peer_transport.h
+++ b/src/transport/peer_transport.h
@@ -45,7 +45,7 @@
   struct Handlers {
     /// Called on the transport's thread. `stale`: the frame's age exceeds its time to live.
     std::function<void(PeerEnvelope envelope, bool stale)> onEnvelope;
-    /// The frame was not sent. Called on the transport's thread.
+    /// The frame was never passed to ZeroMQ, so the peer cannot receive it. Called on the transport's thread.
     std::function<void(const Endpoint& to, PeerEnvelope envelope)> onUndeliverable;
   };
 
--- a/src/transport/steady_clock.h
+++ b/src/transport/steady_clock.h
@@ -11,9 +11,9 @@
 
 namespace oakpier {
 
-/// CLOCK_BOOTTIME, since std::chrono::steady_clock stops while the machine is suspended: after a suspension,
-/// peers would take every frame of this process for that much too old, and deadlines, leases and failure
-/// detection would be extended by that time.
+/// CLOCK_BOOTTIME, since std::chrono::steady_clock stops while the machine is suspended. With that clock,
+/// after a suspension, peers would overestimate the age of each frame from this process by the suspended
+/// time until the process ends, and its deadlines, leases and failure detection would be extended by it.
 inline Moment steadyNow() {
   std::timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
@@ -21,8 +21,8 @@
   return Moment(std::chrono::duration_cast<Duration>(sinceBoot));
 }
 
-/// Sets the timer for a time of `steadyNow`. Timers stop while the machine is suspended and then expire late
-/// by that time, so callers with hard deadlines must also check the clock.
+/// Sets the timer for a time of `steadyNow`. Timers stop while the machine is suspended and expire late by
+/// the suspended time, so callers with hard deadlines must also check the clock.
 inline void setFor(boost::asio::steady_timer& timer, Moment moment) {
   timer.expires_after(std::max(moment - steadyNow(), Duration(0)));
 }
--- a/tests/programs/fleet_test.cpp
+++ b/tests/programs/fleet_test.cpp
@@ -73,7 +73,7 @@
   const Endpoint caller = fleet.daemons()[0].caller;
   const Endpoint operators = fleet.daemons()[0].operators;
 
-  SECTION("small and large numbers of rows") {
+  SECTION("few and many rows") {
     QueryRequest few = fixture.request("few");
     few.set_max_rows(2);
     const auto handful = fleet.query(0, few);
@@ -189,7 +189,7 @@
   REQUIRE(second.wait() == kExitUnreachable);
 }
 
-TEST_CASE("outcomes are correct when leafs and daemons are killed", "[fleet]") {
+TEST_CASE("answers match the execution logs when leafs and daemons are killed", "[fleet]") {
   FleetFixture fixture;
   fixture.start();
   Fleet& fleet = fixture.fleet;
--- a/tests/support/stalling_proxy.h
+++ b/tests/support/stalling_proxy.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// A loopback proxy that can stall its open connections: it neither reads from them nor closes them, while
-/// new ones work. To the sender this is a path that drops all packets, since its data is not acknowledged
-/// once the proxy's buffers are full.
+/// new ones work. To the sender this looks like a path that drops all packets, since its data is not
+/// acknowledged once the proxy's buffers are full.
 
 #include <array>
 #include <boost/asio/io_context.hpp>
--- a/tests/transport/http_server_test.cpp
+++ b/tests/transport/http_server_test.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("valid calls reach their service and unreadable ones do not", "[transport]") {
+TEST_CASE("valid calls reach their service and invalid ones do not", "[transport]") {
   MockCaller caller;
   HttpServer server({freeEndpoint(), 8, 1024});
   server.addRpcService(caller);
--- a/tests/transport/peer_transport_test.cpp
+++ b/tests/transport/peer_transport_test.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("a frame to a disconnected peer is returned and does not arrive later", "[transport]") {
+TEST_CASE("a frame to a disconnected peer is undeliverable and does not arrive later", "[transport]") {
   const Endpoint here = freeEndpoint();
   const Endpoint there = freeEndpoint();
   std::promise<std::string> undeliverable;
@@ -44,7 +44,7 @@
               [](const Endpoint&, const PeerEnvelope&) {}});
   REQUIRE(receiver.start().empty());
   auto first = arrived.get_future();
-  // The peer is up, but connecting takes time: resend a frame that is returned before the connection exists.
+  // The peer is up, but connecting takes time: resend the frame if it is undeliverable until then.
   std::unique_ptr<PeerTransport> other;
   other = std::make_unique<PeerTransport>(
       freeEndpoint(), PeerTransport::Handlers{[](const PeerEnvelope&, bool) {},
--- a/tests/transport/send_once_test.cpp
+++ b/tests/transport/send_once_test.cpp
@@ -90,7 +90,7 @@
   return send;
 }
 
-/// Runs the exchanges one after the other.
+/// Runs the exchanges one after the other, each until it has ended.
 void exchangeAll(const Endpoint& leaf, const std::vector<bool>& notRepeatable,
                  std::vector<ExchangeFailure>& failures) {
   cxxtools::EventLoop loop;
