--- a/src/programs/daemon/control_loop.cpp
+++ b/src/programs/daemon/control_loop.cpp
@@ -108,10 +108,10 @@
     sender_(outgoing.to, std::move(outgoing.envelope));
   }
   for (const auto& result : actions.results) {
-    const auto promise = promises_.find(result.token);
-    if (promise != promises_.end()) {
-      promise->second.set_value(result);
-      promises_.erase(promise);
+    const auto pending = promises_.find(result.token);
+    if (pending != promises_.end()) {
+      pending->second.set_value(result);
+      promises_.erase(pending);
     }
   }
 }
--- a/tests/transport/send_once_test.cpp
+++ b/tests/transport/send_once_test.cpp
@@ -101,8 +101,8 @@
                                        loop.exit();
                                      }});
   ExchangeId exchange = 1;
-  for (const bool notRepeatableRequest : notRepeatable) {
-    connections.send(requestTo(leaf, exchange++, notRepeatableRequest));
+  for (const bool once : notRepeatable) {
+    connections.send(requestTo(leaf, exchange++, once));
     loop.run();
   }
 }
