--- a/src/coordination/admission.h
+++ b/src/coordination/admission.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Admission of queries by class: when capacity is short, lower classes are refused first, at once.
+/// Admission control of queries by priority class: near capacity, lower classes are refused first.
 
 #include <atomic>
 #include <cstdint>
@@ -13,25 +13,27 @@
 
 namespace oakpier {
 
-/// Thread-safe. Counts queries in progress, in all and by class.
+/// Thread-safe. Counts queries in flight, in total and by class.
 class Admission {
  public:
+  /// `enabled` = false: only `maxQueries` limits, whatever the class.
   Admission(std::uint32_t maxQueries, bool enabled) : maxQueries_(maxQueries), enabled_(enabled) {}
 
-  /// Takes a place for a query of `entry`; false when its class must give way. Each true needs one `release`.
+  /// Admits a query of class `entry`; false if it is refused. Each admitted query needs one `release`.
   bool admit(const ClassEntry& entry);
-  /// Ends a query that took `elapsed`.
+  /// Ends an admitted query that took `elapsed`.
   void release(const ClassEntry& entry, Duration elapsed);
 
-  /// When a refused query has a chance: the time in which a place comes free, at the recent rate.
+  /// Retry-after time for refused queries: the moving average of query times, at least 1 ms.
   Duration retryAfter() const;
 
   std::uint32_t inFlight() const { return inFlight_.load(std::memory_order_relaxed); }
 
  private:
-  /// Each step of priority leaves this share of the places to those above it.
+  /// Each step of the priority number (lower numbers are higher priority) lowers a class's share of
+  /// `maxQueries_` by this, down to `kMinShare`.
   static constexpr double kReservePerPriority = 0.1;
-  static constexpr double kLowestShare = 0.5;
+  static constexpr double kMinShare = 0.5;
   static constexpr std::int64_t kSmoothing = 16;
 
   std::uint32_t limitOf(const ClassEntry& entry) const;
--- a/src/coordination/entry_query.cpp
+++ b/src/coordination/entry_query.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-/// Plans tried for one query before it gives up on finding a snapshot that holds.
-constexpr std::uint32_t kMostPlans = 3;
-/// Hedge delay before any latency was learnt, and that of the fixed baseline.
+/// Maximum number of plans (snapshots) tried for one query.
+constexpr std::uint32_t kMaxPlans = 3;
+/// Hedge delay of `HedgeMode::kFixed`, and the fallback until enough latencies were recorded.
 constexpr Duration kDefaultHedgeDelay = std::chrono::milliseconds(30);
-/// Told to the caller when no daemon or leaf gave a better time.
+/// Returned to the caller when neither a daemon nor a leaf sent a retry-after time.
 constexpr std::uint32_t kDefaultRetryAfterMs = 100;
-/// Most bytes of rows in one answer.
+/// Maximum size of the rows in one answer.
 constexpr std::size_t kMaxAnswerBytes = std::size_t{4} << 20U;
 
-bool saysNotRun(const LeafAnswer& answer) {
+bool confirmsNotRun(const LeafAnswer& answer) {
   switch (answer.status()) {
     case LEAF_SNAPSHOT_NOT_HELD:
     case LEAF_SHED:
@@ -40,7 +40,7 @@
 
 EntryQuery::~EntryQuery() {
   for (std::uint32_t number = 0; number < attempts_.size(); ++number) {
-    settle(number, AttemptState::kCancelled);
+    endAttempt(number, AttemptState::kCancelled);
   }
 }
 
@@ -66,7 +66,7 @@
     if (finished()) {
       break;
     }
-    takeResult(result, now, actions);
+    onResult(result, now, actions);
   }
   if (!finished()) {
     finishWhenPossible(now, actions);
@@ -74,7 +74,7 @@
   return actions;
 }
 
-QueryActions EntryQuery::onTime(Moment now) {
+QueryActions EntryQuery::onTimer(Moment now) {
   QueryActions actions;
   if (finished()) {
     return actions;
@@ -86,14 +86,15 @@
   return actions;
 }
 
-QueryActions EntryQuery::abandon(Moment /*now*/) {
+QueryActions EntryQuery::cancel(Moment /*now*/) {
   QueryActions actions;
-  abandoned_ = true;
+  cancelledByCaller_ = true;
   finish(actions);
   return actions;
 }
 
-/// Lays out the shards of the partition that `snapshot_` belongs to.
+/// Starts a new plan: discards the rows and selects the shards to query (only one if the request has a
+/// routing key) from the partition that `snapshot_` belongs to; 0 means the newest partition.
 void EntryQuery::plan() {
   ++planNumber_;
   rows_.clear();
@@ -113,15 +114,15 @@
   phase_ = Phase::kExecuting;
 }
 
-/// Asks one replica of each shard that nothing is known of for its state, which includes its snapshots.
+/// Requests the state, which lists the snapshots held, from one replica of each unreported shard.
 void EntryQuery::discover(const std::vector<const ShardEntry*>& unreported, Moment now,
                           QueryActions& actions) {
   ++counters_.discoveries;
-  LeafChooser chooser(*context_.view, context_.policy.choice, *context_.random);
+  ReplicaSelector selector(*context_.view, context_.policy.choice, *context_.random);
   for (std::size_t shard = 0; shard < shards_.size(); ++shard) {
     const bool wanted =
         std::find(unreported.begin(), unreported.end(), shards_[shard].shard) != unreported.end();
-    const auto leaf = wanted ? chooser.choose(*shards_[shard].shard, 0, {}, now) : std::nullopt;
+    const auto leaf = wanted ? selector.choose(*shards_[shard].shard, 0, {}, now) : std::nullopt;
     if (leaf) {
       addAttempt(shard, *leaf, true, now, actions);
       phase_ = Phase::kDiscovering;
@@ -139,10 +140,10 @@
   context_.runtime->retries.earn(count, context_.service->retry.budget_percent());
 }
 
-/// False when no replica is left for the shard.
+/// Returns false when the shard has no untried replica.
 bool EntryQuery::sendAttempt(std::size_t shard, Moment now, QueryActions& actions) {
-  LeafChooser chooser(*context_.view, context_.policy.choice, *context_.random);
-  const auto leaf = chooser.choose(*shards_[shard].shard, snapshot_, shards_[shard].excluded, now);
+  ReplicaSelector selector(*context_.view, context_.policy.choice, *context_.random);
+  const auto leaf = selector.choose(*shards_[shard].shard, snapshot_, shards_[shard].excluded, now);
   if (!leaf) {
     return false;
   }
@@ -173,7 +174,7 @@
   attempts_.push_back(attempt);
 }
 
-/// One frame an owner: leaf requests that leave together travel together.
+/// Returns the batch for `owner`: leaf requests sent to one owner at the same time share a frame.
 WorkBatch& EntryQuery::batchFor(const Endpoint& owner, bool statusOnly, Moment now,
                                 QueryActions& actions) const {
   for (auto& outgoing : actions.work) {
@@ -202,14 +203,14 @@
   for (const Endpoint& owner : owners) {
     const bool failed =
         std::find(unreachableOwners_.begin(), unreachableOwners_.end(), owner) != unreachableOwners_.end();
-    if (owner != Endpoint() && !failed && !context_.ownerHealth->suspected(owner, now)) {
+    if (owner != Endpoint() && !failed && !context_.ownerHealth->unresponsive(owner, now)) {
       return owner;
     }
   }
   return owners.front();
 }
 
-void EntryQuery::takeResult(const WorkResult& result, Moment now, QueryActions& actions) {
+void EntryQuery::onResult(const WorkResult& result, Moment now, QueryActions& actions) {
   const std::uint32_t number = result.attempt();
   if (number >= attempts_.size()) {
     return;
@@ -225,24 +226,24 @@
     return;
   }
   retryAfterMs_ = std::max(retryAfterMs_, result.retry_after_ms());
-  takeAnswer(number, result, now, actions);
+  onAttemptResult(number, result, now, actions);
 }
 
-/// `number` was in flight until now.
-void EntryQuery::takeAnswer(std::uint32_t number, const WorkResult& result, Moment now,
-                            QueryActions& actions) {
+/// Precondition: attempt `number` is in flight.
+void EntryQuery::onAttemptResult(std::uint32_t number, const WorkResult& result, Moment now,
+                                 QueryActions& actions) {
   Attempt& attempt = attempts_[number];
   const std::size_t shard = attempt.shard;
   if (attempt.statusOnly) {
-    settle(number, AttemptState::kNotRun);
+    endAttempt(number, AttemptState::kNotRun);
     return;
   }
   const LeafEntry& leaf = context_.view->table->leaf(attempt.leaf);
   if (result.status() == WORK_NOT_SENT) {
-    settle(number, AttemptState::kNotRun);
+    endAttempt(number, AttemptState::kNotRun);
     if (result.reason() == NOT_SENT_OWNER_UNREACHABLE || result.reason() == NOT_SENT_STALE_FRAME ||
         result.reason() == NOT_SENT_STOPPING) {
-      // The leaf itself may be fine; another owner can ask it.
+      // The failure is the owner's: the same leaf may be retried through another owner.
       unreachableOwners_.push_back(attempt.owner);
       eraseValue(shards_[shard].excluded, attempt.leaf);
     } else if (result.reason() == NOT_SENT_LEAF_UNREACHABLE) {
@@ -252,24 +253,24 @@
     return;
   }
   if (result.status() != WORK_ANSWERED || result.answer().status() == LEAF_FAILED) {
-    settle(number, AttemptState::kLost);
+    endAttempt(number, AttemptState::kLost);
     leaf.knowledge->recordFailure();
     retry(shard, now, actions);
     return;
   }
-  if (saysNotRun(result.answer())) {
-    settle(number, AttemptState::kNotRun);
+  if (confirmsNotRun(result.answer())) {
+    endAttempt(number, AttemptState::kNotRun);
     retry(shard, now, actions);
     return;
   }
-  settle(number, AttemptState::kExecuted);
+  endAttempt(number, AttemptState::kExecuted);
   const Duration latency = now - attempt.sentAt;
   context_.runtime->latencies.record(latency, now);
   leaf.knowledge->recordLatency(latency);
-  // An answer of another plan is of another snapshot, and counts for nothing.
-  const bool ours = result.answer().snapshot() == snapshot_ && attempt.plan == planNumber_ &&
-                    result.answer().shard() == shards_[shard].shard->name;
-  if (ours) {
+  // Answers of an earlier plan come from another snapshot and are discarded.
+  const bool current = result.answer().snapshot() == snapshot_ && attempt.plan == planNumber_ &&
+                       result.answer().shard() == shards_[shard].shard->name;
+  if (current) {
     coverShard(shards_[shard], result.answer(), actions);
   }
 }
@@ -289,8 +290,8 @@
   }
 }
 
-/// Ends an attempt that is in flight; later states do not change.
-void EntryQuery::settle(std::uint32_t number, AttemptState state) {
+/// Moves an attempt in flight to its final state; no effect on an attempt that already ended.
+void EntryQuery::endAttempt(std::uint32_t number, AttemptState state) {
   Attempt& attempt = attempts_[number];
   if (attempt.state != AttemptState::kInFlight) {
     return;
@@ -299,7 +300,8 @@
   context_.view->table->leaf(attempt.leaf).knowledge->removeOutstanding();
 }
 
-/// After an attempt ended without rows: another one, when the shard needs it and the rules allow it.
+/// Retries a shard whose attempt ended without rows, within the attempt limit and the retry budget. A lost
+/// attempt of a non-repeatable request is never retried.
 void EntryQuery::retry(std::size_t shard, Moment now, QueryActions& actions) {
   ShardProgress& progress = shards_[shard];
   if (progress.covered || newestInFlight(progress) != nullptr || now >= context_.deadline) {
@@ -321,13 +323,13 @@
   }
 }
 
-/// A shard that no replica can answer at this snapshot: try another snapshot for the whole request, once it
-/// is sure that nothing of a request not to be repeated has run.
-void EntryQuery::replanOrGiveUp(Moment now, QueryActions& actions) {
-  const bool mayRepeat = !context_.request.not_repeatable() || !mayHaveRun();
+/// Called when no attempt is in flight and the answer is still incomplete. Replans the whole request at
+/// another snapshot, a non-repeatable one only if none of its attempts may have run; otherwise finishes.
+void EntryQuery::replanOrFinish(Moment now, QueryActions& actions) {
+  const bool mayReplan = !context_.request.not_repeatable() || !mayHaveRun();
   const SnapshotChoice choice = chooseSnapshot(*context_.view, *context_.service);
   const bool better = choice.snapshot != 0 && choice.snapshot != snapshot_;
-  if (!mayRepeat || !better || planNumber_ >= kMostPlans || now >= context_.deadline) {
+  if (!mayReplan || !better || planNumber_ >= kMaxPlans || now >= context_.deadline) {
     finish(actions);
     return;
   }
@@ -339,7 +341,7 @@
 }
 
 void EntryQuery::hedgeSlowShards(Moment now, QueryActions& actions) {
-  const bool allowed = context_.policy.hedge != HedgeRule::kOff && context_.service->hedge.enabled() &&
+  const bool allowed = context_.policy.hedge != HedgeMode::kOff && context_.service->hedge.enabled() &&
                        !context_.request.not_repeatable() && phase_ == Phase::kExecuting;
   if (!allowed) {
     return;
@@ -365,11 +367,11 @@
 }
 
 Duration EntryQuery::hedgeDelay() const {
-  if (context_.policy.hedge == HedgeRule::kFixed) {
+  if (context_.policy.hedge == HedgeMode::kFixed) {
     return kDefaultHedgeDelay;
   }
-  const Duration learnt = context_.runtime->latencies.estimate().value_or(kDefaultHedgeDelay);
-  return std::max(learnt, fromMilliseconds(context_.service->hedge.minimum_delay_ms()));
+  const Duration estimate = context_.runtime->latencies.estimate().value_or(kDefaultHedgeDelay);
+  return std::max(estimate, fromMilliseconds(context_.service->hedge.minimum_delay_ms()));
 }
 
 const EntryQuery::Attempt* EntryQuery::newestInFlight(const ShardProgress& progress) const {
@@ -404,7 +406,7 @@
     return;
   }
   if (phase_ == Phase::kDiscovering) {
-    if (everyShardSettled()) {
+    if (noAttemptInFlight()) {
       snapshot_ = chooseSnapshot(*context_.view, *context_.service).snapshot;
       plan();
       if (snapshot_ != 0) {
@@ -415,15 +417,16 @@
     }
   }
   const Duration partialAfter = fromMilliseconds(context_.service->wait.partial_after_ms());
-  const bool late = partialAfter.count() > 0 && now - context_.arrivedAt >= partialAfter;
-  if (reachedCoverage() >= 1.0 || (late && reachedCoverage() > 0 && reachedCoverage() >= minimumCoverage())) {
+  const bool partialAllowed = partialAfter.count() > 0 && now - context_.arrivedAt >= partialAfter;
+  if (reachedCoverage() >= 1.0 ||
+      (partialAllowed && reachedCoverage() > 0 && reachedCoverage() >= minimumCoverage())) {
     finish(actions);
-  } else if (everyShardSettled()) {
-    replanOrGiveUp(now, actions);
+  } else if (noAttemptInFlight()) {
+    replanOrFinish(now, actions);
   }
 }
 
-bool EntryQuery::everyShardSettled() const {
+bool EntryQuery::noAttemptInFlight() const {
   return std::none_of(shards_.begin(), shards_.end(),
                       [&](const ShardProgress& progress) { return newestInFlight(progress) != nullptr; });
 }
@@ -445,7 +448,7 @@
   if (attempt.state != AttemptState::kInFlight) {
     return;
   }
-  settle(number, AttemptState::kCancelled);
+  endAttempt(number, AttemptState::kCancelled);
   for (auto& outgoing : actions.cancels) {
     if (outgoing.owner == attempt.owner) {
       outgoing.cancel.add_attempts(number);
@@ -458,7 +461,7 @@
   actions.cancels.push_back(std::move(outgoing));
 }
 
-/// Some leaf may have executed some of the query: it did, or its answer is missing.
+/// Whether any leaf request was executed or may have been: lost, cancelled and in-flight attempts count.
 bool EntryQuery::mayHaveRun() const {
   return std::any_of(attempts_.begin(), attempts_.end(), [](const Attempt& attempt) {
     return !attempt.statusOnly && attempt.state != AttemptState::kNotRun;
@@ -491,7 +494,7 @@
   }
   if (mayHaveRun()) {
     answer_.set_outcome(OUTCOME_UNKNOWN);
-    answer_.mutable_error()->set_code(abandoned_ ? ERROR_DEADLINE : ERROR_COVERAGE_TOO_LOW);
+    answer_.mutable_error()->set_code(cancelledByCaller_ ? ERROR_DEADLINE : ERROR_COVERAGE_TOO_LOW);
     answer_.mutable_error()->set_message("too few shards answered in time");
     return;
   }
@@ -501,7 +504,7 @@
   answer_.mutable_error()->set_message("no leaf took the request");
 }
 
-/// Merges the shards' rows in order of their keys, within the limits on rows and bytes.
+/// Writes the rows of all shards sorted by key, truncated to the row and byte limits.
 void EntryQuery::writeRows() {
   std::sort(rows_.begin(), rows_.end(), [](const Row& left, const Row& right) {
     return left.key() != right.key() ? left.key() < right.key() : left.shard() < right.shard();
--- a/src/coordination/entry_query.h
+++ b/src/coordination/entry_query.h
@@ -1,21 +1,22 @@
 #pragma once
 
-/// The entry daemon's side of one query, as a state machine: results and time in, work and an answer out.
+/// State machine of one query at its entry daemon. Input: results and time; output: work for owners and the
+/// answer.
 ///
-///   kDiscovering --every asked leaf reported--> kExecuting --enough shards or deadline--> kFinished
-///        ^                                          |
-///        +---- snapshot retired: plan anew ---------+
+///   kDiscovering --all state requests ended--> kExecuting --enough shards or deadline--> kFinished
+///                                               |      ^
+///                                               +------+ no attempt in flight: replan at another snapshot
 ///
-/// Invariants: every accepted row comes from `snapshot_`; a shard is covered by one attempt only; an attempt
-/// that is in flight or lost counts as possibly run; a request not to be repeated gets a second attempt only
-/// after a statement that the first did not run.
+/// Invariants: every accepted row comes from `snapshot_`; a shard is covered by at most one attempt; an
+/// attempt that is in flight or lost counts as possibly executed; a non-repeatable request is retried only
+/// after the previous attempt is confirmed not to have run.
 
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "coordination/leaf_chooser.h"
 #include "coordination/owner_health.h"
+#include "coordination/replica_selector.h"
 #include "coordination/service_runtime.h"
 #include "coordination/snapshot_choice.h"
 #include "oakpier/caller.pb.h"
@@ -24,13 +25,14 @@
 
 namespace oakpier {
 
-/// When a second copy of a slow leaf request is sent. All but kLearnt exist for comparison.
-enum class HedgeRule { kLearnt, kFixed, kOff };
+/// When a slow leaf request is hedged. `kAdaptive` derives the delay from observed latencies; the others are
+/// baselines for benchmarks.
+enum class HedgeMode { kAdaptive, kFixed, kOff };
 
-/// Variants of a policy, chosen when the daemon starts, so that measurements can compare them.
+/// Policy variants, fixed when the daemon starts.
 struct QueryPolicy {
-  ChoiceRule choice = ChoiceRule::kLeastLoadedOfTwo;
-  HedgeRule hedge = HedgeRule::kLearnt;
+  ReplicaPolicy choice = ReplicaPolicy::kPowerOfTwoChoices;
+  HedgeMode hedge = HedgeMode::kAdaptive;
 };
 
 struct QueryContext {
@@ -38,7 +40,7 @@
   const ServiceEntry* service = nullptr;
   QueryRequest request;
   std::uint32_t priority = 0;
-  /// Unique over daemons and restarts.
+  /// Unique across daemons and restarts.
   std::string workId;
   Moment arrivedAt{};
   Moment deadline{};
@@ -63,7 +65,7 @@
   std::vector<OutgoingCancel> cancels;
 };
 
-/// Counters of decisions, for metrics.
+/// Exported as metrics.
 struct QueryCounters {
   std::uint32_t leafRequests = 0;
   std::uint32_t hedges = 0;
@@ -83,11 +85,11 @@
 
   QueryActions start(Moment now);
   QueryActions onResults(const Endpoint& owner, const ResultBatch& results, Moment now);
-  QueryActions onTime(Moment now);
-  /// The caller has gone; whatever runs is cancelled.
-  QueryActions abandon(Moment now);
+  QueryActions onTimer(Moment now);
+  /// The caller disconnected: cancels all attempts in flight.
+  QueryActions cancel(Moment now);
 
-  /// When `onTime` has something to do next.
+  /// Next time at which `onTimer` must be called.
   Moment nextWake() const;
   bool finished() const { return phase_ == Phase::kFinished; }
   /// Valid once finished.
@@ -125,12 +127,12 @@
   WorkBatch& batchFor(const Endpoint& owner, bool statusOnly, Moment now, QueryActions& actions) const;
   Endpoint ownerOf(LeafIndex leaf, Moment now) const;
 
-  void takeResult(const WorkResult& result, Moment now, QueryActions& actions);
-  void takeAnswer(std::uint32_t number, const WorkResult& result, Moment now, QueryActions& actions);
+  void onResult(const WorkResult& result, Moment now, QueryActions& actions);
+  void onAttemptResult(std::uint32_t number, const WorkResult& result, Moment now, QueryActions& actions);
   void coverShard(ShardProgress& progress, const LeafAnswer& answer, QueryActions& actions);
-  void settle(std::uint32_t number, AttemptState state);
+  void endAttempt(std::uint32_t number, AttemptState state);
   void retry(std::size_t shard, Moment now, QueryActions& actions);
-  void replanOrGiveUp(Moment now, QueryActions& actions);
+  void replanOrFinish(Moment now, QueryActions& actions);
   void hedgeSlowShards(Moment now, QueryActions& actions);
   Duration hedgeDelay() const;
   const Attempt* newestInFlight(const ShardProgress& progress) const;
@@ -144,7 +146,7 @@
   bool mayHaveRun() const;
   double reachedCoverage() const;
   double minimumCoverage() const;
-  bool everyShardSettled() const;
+  bool noAttemptInFlight() const;
 
   QueryContext context_;
   Phase phase_ = Phase::kDiscovering;
@@ -155,7 +157,7 @@
   std::vector<Endpoint> unreachableOwners_;
   std::vector<Row> rows_;
   bool truncated_ = false;
-  bool abandoned_ = false;
+  bool cancelledByCaller_ = false;
   std::uint32_t retryAfterMs_ = 0;
   QueryAnswer answer_;
   QueryCounters counters_;
--- a/src/coordination/frame_age.h
+++ b/src/coordination/frame_age.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Tells how long a frame was on the way, without synchronised clocks: the quickest frame of a sender process
-/// is taken as immediate, and later ones are measured against it. So frames that waited in a queue while
-/// either side was paused, or a network was cut, are recognised as old.
+/// Estimates the age of a received frame without synchronised clocks: the smallest clock offset seen from a
+/// sender's incarnation is the baseline, and the excess over it is the age. Detects frames that were queued
+/// while either process was paused or during a network partition.
 
 #include <algorithm>
 #include <cstdint>
@@ -24,14 +24,14 @@
     if (baseline.incarnation != incarnation) {
       baseline = Baseline{incarnation, offset};
     }
-    baseline.smallestOffset = std::min(baseline.smallestOffset, offset);
-    return Duration(offset - baseline.smallestOffset);
+    baseline.minOffset = std::min(baseline.minOffset, offset);
+    return Duration(offset - baseline.minOffset);
   }
 
  private:
   struct Baseline {
     std::uint64_t incarnation = 0;
-    std::int64_t smallestOffset = 0;
+    std::int64_t minOffset = 0;
   };
   std::unordered_map<Endpoint, Baseline> baselines_;
 };
--- a/src/coordination/latency_tracker.h
+++ b/src/coordination/latency_tracker.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Learns a quantile of recent leaf latencies of one service, from which the hedge delay is taken.
+/// Estimates a quantile of a service's recent leaf latencies, used as the hedge delay.
 
 #include <boost/accumulators/accumulators.hpp>
 #include <boost/accumulators/statistics/count.hpp>
@@ -13,22 +13,24 @@
 
 namespace oakpier {
 
-/// Two windows: one fills while the other, complete one is read. So the estimate forgets old load.
+/// Thread-safe. Reads the last complete window while the next one is filled, so that old latencies expire.
+/// A window is complete after `kWindow` and at least `kMinSamples` samples.
 class LatencyTracker {
  public:
-  explicit LatencyTracker(double quantile) : quantile_(quantile), filling_(fresh()), complete_(fresh()) {}
+  explicit LatencyTracker(double quantile)
+      : quantile_(quantile), current_(newWindow()), previous_(newWindow()) {}
 
   void record(Duration latency, Moment now) {
     const std::lock_guard<std::mutex> guard(mutex_);
-    rotateWhenDue(now);
-    filling_(static_cast<double>(latency.count()));
+    rotateIfDue(now);
+    current_(static_cast<double>(latency.count()));
   }
 
-  /// Empty until enough latencies were seen.
+  /// Uses the window being filled until one is complete; empty below `kMinSamples` samples.
   std::optional<Duration> estimate() const {
     const std::lock_guard<std::mutex> guard(mutex_);
-    for (const Window* window : {&complete_, &filling_}) {
-      if (boost::accumulators::count(*window) >= kEnough) {
+    for (const Window* window : {&previous_, &current_}) {
+      if (boost::accumulators::count(*window) >= kMinSamples) {
         return Duration(static_cast<std::int64_t>(boost::accumulators::p_square_quantile(*window)));
       }
     }
@@ -39,24 +41,24 @@
   using Window = boost::accumulators::accumulator_set<
       double, boost::accumulators::stats<boost::accumulators::tag::p_square_quantile,
                                          boost::accumulators::tag::count>>;
-  static constexpr std::size_t kEnough = 50;
+  static constexpr std::size_t kMinSamples = 50;
   static constexpr Duration kWindow = std::chrono::seconds(5);
 
-  Window fresh() const { return Window(boost::accumulators::quantile_probability = quantile_); }
+  Window newWindow() const { return Window(boost::accumulators::quantile_probability = quantile_); }
 
-  void rotateWhenDue(Moment now) {
-    if (now - startedAt_ < kWindow || boost::accumulators::count(filling_) < kEnough) {
+  void rotateIfDue(Moment now) {
+    if (now - startedAt_ < kWindow || boost::accumulators::count(current_) < kMinSamples) {
       return;
     }
-    complete_ = filling_;
-    filling_ = fresh();
+    previous_ = current_;
+    current_ = newWindow();
     startedAt_ = now;
   }
 
   mutable std::mutex mutex_;
   double quantile_;
-  Window filling_;
-  Window complete_;
+  Window current_;
+  Window previous_;
   Moment startedAt_{};
 };
 
--- a/src/coordination/leaf_dispatcher.h
+++ b/src/coordination/leaf_dispatcher.h
@@ -1,11 +1,12 @@
 #pragma once
 
-/// The owner daemon's side: takes leaf requests from entry daemons, keeps each leaf within its limit, and
-/// answers what became of every one. A state machine: messages and time in, actions out.
+/// State machine of an owner daemon: queues the leaf requests of entry daemons, enforces each leaf's
+/// concurrency limit, and replies with the result of each request that was not cancelled. Input: messages and
+/// time; output: actions.
 ///
-/// Invariants: a task is sent to its leaf at most once; a task that was sent ends as WORK_ANSWERED or
-/// WORK_NO_ANSWER, never as WORK_NOT_SENT, unless no byte of it left; a leaf whose own word is older than
-/// `kStateLease` is asked for its state before it gets work.
+/// Invariants: a task is sent to its leaf at most once; WORK_NOT_SENT is reported only if no byte of the task
+/// was sent, otherwise the result is WORK_ANSWERED or WORK_NO_ANSWER; when a leaf's reported state is older
+/// than `kStateLease`, a status check precedes the next task.
 
 #include <functional>
 #include <memory>
@@ -19,23 +20,22 @@
 
 namespace oakpier {
 
-/// How long a leaf's own report of its state may be acted on.
+/// How long an owner uses a leaf's reported state without another status check.
 inline constexpr Duration kStateLease = std::chrono::seconds(2);
 
-/// Names one exchange with a leaf.
+/// Identifies one request to a leaf and its answer.
 using ExchangeId = std::uint64_t;
 
-/// Send this to the leaf.
 struct SendToLeaf {
   ExchangeId exchange = 0;
   Endpoint leaf;
-  /// Ask for the state only; `task` is unset.
+  /// Status check; `task` is unset.
   bool statusOnly = false;
   LeafTask task;
   std::uint32_t remainingMs = 0;
 };
 
-/// Give up an exchange; the connection it used is closed, since its answer may still come.
+/// Aborts an exchange. Its connection must be closed, since a late answer may still arrive on it.
 struct AbortExchange {
   ExchangeId exchange = 0;
 };
@@ -51,10 +51,11 @@
   std::vector<ReplyToEntry> replies;
 };
 
-/// How an exchange ended without an answer.
+/// Why an exchange ended without an answer.
 enum class ExchangeFailure {
-  /// No connection was made, so no byte of the request left.
+  /// No connection was established: no byte of the request was sent.
   kNotConnected,
+  /// Connection lost or timeout: the leaf may have received the request.
   kBroken,
 };
 
@@ -72,19 +73,19 @@
 
 class LeafDispatcher {
  public:
-  /// Admission control off is the baseline that measurements compare with.
-  explicit LeafDispatcher(bool refuseHopeless) : refuseHopeless_(refuseHopeless) {}
+  /// `admissionControl`: refuse tasks that are not expected to finish before their deadline.
+  explicit LeafDispatcher(bool admissionControl) : admissionControl_(admissionControl) {}
 
-  /// `deadline`: when the work was received plus the time that it had left.
+  /// `deadline`: the time of receipt plus the batch's `remaining_ms`.
   DispatchActions onWork(const Endpoint& entry, const std::shared_ptr<const WorkBatch>& batch,
                          Moment deadline, const RoutingView& view, Moment now);
   DispatchActions onCancel(const CancelWork& cancel, Moment now);
   DispatchActions onAnswer(ExchangeId exchange, const LeafAnswer& answer, Moment now);
   DispatchActions onStatus(ExchangeId exchange, const LeafState& state, Moment now);
   DispatchActions onFailure(ExchangeId exchange, ExchangeFailure failure, Moment now);
-  DispatchActions onTime(Moment now);
+  DispatchActions onTimer(Moment now);
 
-  /// Tasks waiting or in progress; a planned stop waits until there are none.
+  /// Number of queued tasks and open exchanges; a graceful shutdown waits until it is zero.
   std::size_t busy() const;
   const DispatchCounters& counters() const { return counters_; }
 
@@ -99,21 +100,21 @@
   };
 
   LeafLane& laneOf(const LeafEntry& leaf, Moment now);
-  void take(LeafTask task, const RoutingView& view, Moment now, DispatchActions& actions);
+  void acceptTask(LeafTask task, const RoutingView& view, Moment now, DispatchActions& actions);
   void enqueue(LeafTask task, const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions);
-  void pump(const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions);
+  void sendQueued(const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions);
   void sendTask(const std::string& leaf, LeafLane& lane, LeafTask task, Moment now, DispatchActions& actions);
   void sendStatus(const std::string& leaf, LeafLane& lane, Moment now, DispatchActions& actions);
   void refuseAll(LeafLane& lane, NotSentReason reason, DispatchActions& actions);
   void expireQueued(LeafLane& lane, Moment now, DispatchActions& actions);
-  void learn(LeafLane& lane, const LeafState& state, Moment now);
+  void updateState(LeafLane& lane, const LeafState& state, Moment now);
 
   static WorkResult resultFor(const LeafTask& task, const LeafLane* lane);
   static void refuse(const LeafTask& task, const LeafLane* lane, NotSentReason reason, Duration retryAfter,
                      DispatchActions& actions);
   static void reply(const LeafTask& task, WorkResult result, DispatchActions& actions);
 
-  bool refuseHopeless_;
+  bool admissionControl_;
   ExchangeId nextExchange_ = 1;
   std::unordered_map<std::string, std::unique_ptr<LeafLane>> lanes_;
   std::unordered_map<ExchangeId, Exchange> exchanges_;
--- a/src/coordination/repeat_guard.h
+++ b/src/coordination/repeat_guard.h
@@ -1,14 +1,15 @@
 #pragma once
 
-/// Keeps a request not to be repeated from running twice when its caller sends it again, to this daemon or
-/// another. Before such a request runs, most of its guardians must remember its id: the three daemons that
-/// rank first for the id by rendezvous hashing.
+/// Prevents a non-repeatable request from running twice when its caller resends it, to this daemon or
+/// another. Before such a request runs, a majority of its guardians must reserve its id. The guardians of an
+/// id are the three daemons that rank first for it by rendezvous hashing.
 ///
-/// A guardian abstains whenever an earlier reservation could exist that it does not know of:
-///  - it started lately and has not yet heard from every member what they hold for it;
-///  - a daemon that ranks before it went within the window, so the reservation may have gone with that one;
-///  - it does not hold the voters' lease, so it may be on the smaller side of a cut.
-/// Reservations are remembered for the window; a caller that sends an id again later is not protected.
+/// A guardian abstains whenever an earlier reservation may exist that it does not know of:
+///  - it restarted recently and has not yet received the reservations of every member;
+///  - it is not among the id's guardians when daemons that departed less than the window plus a lease ago,
+///    and may have held the reservation, are counted too;
+///  - it does not hold the voters' lease, so it may be on the minority side of a network partition.
+/// Reservations expire after the window; an id that is resent later is not protected.
 
 #include <string>
 #include <unordered_map>
@@ -22,16 +23,17 @@
 
 inline constexpr std::size_t kGuardiansPerId = 3;
 
-/// The daemons of `members` that guard `requestId`, first rank first; fewer when there are fewer members.
+/// The guardians of `requestId` among `members`, in order of rank; fewer than `kGuardiansPerId` if there are
+/// fewer members.
 std::vector<Endpoint> guardiansOf(const std::string& requestId, const std::vector<Endpoint>& members);
 
 struct RepeatGuardSettings {
   Duration window = std::chrono::seconds(30);
-  /// Added to the window for daemons that went: a cut-off one may grant on until its lease ends.
+  /// Added to the window for departed daemons: a partitioned one may grant until its lease expires.
   Duration leaseLength = std::chrono::seconds(15);
-  /// A starting daemon is not sure to know all members before this.
-  Duration shortestSettling = std::chrono::seconds(5);
-  Duration askPeriod = std::chrono::seconds(1);
+  /// Minimum time after the start before the member table is assumed to be complete.
+  Duration minStartupPeriod = std::chrono::seconds(5);
+  Duration syncPeriod = std::chrono::seconds(1);
 };
 
 class RepeatGuard {
@@ -41,36 +43,36 @@
   ReserveReply onReserve(const Reserve& reserve, const MemberTable& members, bool leaseHeld, Moment now);
   void onRelease(const ReserveRelease& release);
 
-  /// What is held here that `asker` guards too.
-  ReservationsReply reservationsFor(const Endpoint& asker, const MemberTable& members, Moment now) const;
+  /// The unexpired reservations held here whose guardians include `requester`.
+  ReservationsReply reservationsFor(const Endpoint& requester, const MemberTable& members, Moment now) const;
   void onReservations(const Endpoint& sender, const ReservationsReply& reply, Moment now);
 
-  /// Members to ask for their reservations now; forgets what is past its window.
-  std::vector<Endpoint> onTime(const MemberTable& members, Moment now);
+  /// Returns the members to request reservations from; removes expired reservations.
+  std::vector<Endpoint> onTimer(const MemberTable& members, Moment now);
 
-  /// Everything reserved before this daemon started is known here, or too old to matter.
-  bool settled() const { return settled_; }
+  /// All unexpired reservations from before this daemon's start are known here.
+  bool synchronized() const { return synchronized_; }
 
  private:
-  struct Holding {
+  struct HeldReservation {
     std::string workId;
     Moment until{};
   };
 
   std::vector<Endpoint> rankedMembers(const MemberTable& members, Moment now) const;
   bool guards(const std::string& requestId, const MemberTable& members, Moment now) const;
-  void settle(const MemberTable& members, Moment now);
+  void updateSynchronized(const MemberTable& members, Moment now);
 
   Endpoint self_;
   RepeatGuardSettings settings_;
-  std::unordered_map<std::string, Holding> held_;
-  std::unordered_set<Endpoint> heardFrom_;
-  bool settled_ = false;
+  std::unordered_map<std::string, HeldReservation> reservations_;
+  std::unordered_set<Endpoint> synchronizedPeers_;
+  bool synchronized_ = false;
   Moment startedAt_{};
-  Moment nextAskAt_{};
+  Moment nextSyncAt_{};
 };
 
-/// The entry's side: counts the guardians' verdicts for one request.
+/// Counts the guardians' verdicts for one request, at its entry daemon.
 class Reservation {
  public:
   enum class State { kWaiting, kGranted, kDuplicate, kRefused };
--- a/src/coordination/leaf_chooser.h
+++ b/src/coordination/replica_selector.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Chooses which replica of a shard answers: the less loaded of two eligible ones drawn at random.
+/// Selects a replica of a shard by the power of two choices: the less loaded of two random eligible ones.
 
 #include <cstdint>
 #include <optional>
@@ -12,18 +12,18 @@
 
 namespace oakpier {
 
-/// What a leaf said of itself is acted on for this long.
-inline constexpr Duration kDrainingWordLease = std::chrono::seconds(5);
-/// After this many failures in a row a leaf is used only when no other replica is left.
+/// How long an entry daemon excludes a leaf because of its reported draining state or missing snapshot.
+inline constexpr Duration kReportValidity = std::chrono::seconds(5);
+/// After this many consecutive failures a leaf is used only if no other replica is eligible.
 inline constexpr std::uint32_t kEjectionFailures = 3;
 
-/// How replicas are told apart. `kRandom` is the baseline that measurements compare with.
-enum class ChoiceRule { kLeastLoadedOfTwo, kRandom };
+/// Replica selection policy. `kRandom` is a baseline for benchmarks.
+enum class ReplicaPolicy { kPowerOfTwoChoices, kRandom };
 
-class LeafChooser {
+class ReplicaSelector {
  public:
-  LeafChooser(const RoutingView& view, ChoiceRule rule, RandomEngine& random)
-      : view_(view), rule_(rule), random_(random) {}
+  ReplicaSelector(const RoutingView& view, ReplicaPolicy policy, RandomEngine& random)
+      : view_(view), policy_(policy), random_(random) {}
 
   /// A replica of `shard` that may hold `snapshot` (0 = any) and is not in `excluded`; empty when there is
   /// none.
@@ -36,7 +36,7 @@
   double load(LeafIndex index) const;
 
   const RoutingView& view_;
-  ChoiceRule rule_;
+  ReplicaPolicy policy_;
   RandomEngine& random_;
 };
 
--- a/src/coordination/serving/admission.cpp
+++ b/src/coordination/serving/admission.cpp
@@ -10,39 +10,39 @@
 
 namespace {
 
-/// A request is refused when its answer is expected after this multiple of the target latency.
-constexpr double kPatience = 1.5;
-/// A refused caller is told to come back no later than after this and half as much.
-constexpr Duration kLongestRetryAfter = std::chrono::seconds(1);
-/// For services without a usable leaf.
-constexpr Duration kUnreachable = std::chrono::seconds(60);
+/// A request is refused if its expected answer time exceeds this multiple of the target latency.
+constexpr double kOverloadFactor = 1.5;
+/// Maximum retry delay. `refuseIfUnservable` adds up to half as much at random.
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(1);
+/// Stands for the answer time of a service without a usable leaf.
+constexpr Duration kNoUsableLeaf = std::chrono::seconds(60);
 
 Duration expectedPartTime(const std::string& service, const Route& route, QueryContext& context, Moment now) {
-  const Duration typical = context.latencyOf(route).typical();
-  Duration best = kUnreachable;
+  const Duration median = context.latencyOf(route).median();
+  Duration best = kNoUsableLeaf;
   for (const auto& leaf : context.leafs.leafsOf(service)) {
     if (leaf->usable() && !leaf->unreachable(now)) {
-      best = std::min(best, queueingLatency(*leaf, typical, now));
+      best = std::min(best, latencyWithQueue(*leaf, median, now));
     }
   }
   return best;
 }
 
-/// How long until a leaf of the service may be sent to, as far as this daemon knows; zero when one may now.
+/// Time until a leaf of the service can be tried, as far as this daemon knows; zero if one can be used now.
 Duration timeUntilServable(const std::string& service, const ServingView& view, QueryContext& context,
                            Moment now) {
   const auto listed = view.leafs->find(service);
-  const bool anyTakesWork =
-      listed != view.leafs->end() && std::any_of(listed->second.begin(), listed->second.end(),
-                                                 [](const LeafEntry& leaf) { return leaf.takesWork(); });
+  const bool anyTakesWork = listed != view.leafs->end() &&
+                            std::any_of(listed->second.begin(), listed->second.end(),
+                                        [](const LeafEntry& leaf) { return leaf.acceptsRequests(); });
   if (!anyTakesWork) {
-    return kUnreachable;
+    return kNoUsableLeaf;
   }
   const LeafRegistry::Leafs& known = context.leafs.leafsOf(service);
   if (known.empty()) {
     return Duration(0);
   }
-  Duration soonest = kUnreachable;
+  Duration soonest = kNoUsableLeaf;
   for (const auto& leaf : known) {
     if (leaf->usable()) {
       soonest = std::min(soonest, leaf->unreachable(now) ? leaf->retryAt() - now : Duration(0));
@@ -51,19 +51,19 @@
   return soonest;
 }
 
-/// The one of `times` by which enough parts of an answer on the route are there.
-Duration whenEnough(const Route& route, std::vector<Duration>& times) {
+/// The time within which enough shards for an answer on the route are ready, from the time of each shard.
+Duration timeUntilEnough(const Route& route, std::vector<Duration>& times) {
   std::size_t needed = 1;
   if (const auto* gather = std::get_if<GatherTarget>(&route.target)) {
-    const double least = gather->minimumShardShare * static_cast<double>(times.size());
-    needed = std::clamp<std::size_t>(static_cast<std::size_t>(std::ceil(least)), 1, times.size());
+    const double minimum = gather->minimumShardShare * static_cast<double>(times.size());
+    needed = std::clamp<std::size_t>(static_cast<std::size_t>(std::ceil(minimum)), 1, times.size());
   }
   const auto place = times.begin() + static_cast<std::ptrdiff_t>(needed - 1);
   std::nth_element(times.begin(), place, times.end());
   return *place;
 }
 
-/// Applies `timeOf` to each service of the route.
+/// The result of `timeOf` for each service of the route.
 template <typename TimeOf>
 std::vector<Duration> timesOfServices(const Route& route, TimeOf timeOf) {
   std::vector<Duration> times;
@@ -80,8 +80,8 @@
   return times;
 }
 
-/// Later by up to half, so that callers that were refused together do not come back together.
-Duration spread(Duration retryAfter, RandomEngine& random) {
+/// Adds a random delay of up to half, so that callers that were refused together do not retry together.
+Duration addJitter(Duration retryAfter, RandomEngine& random) {
   const auto half = static_cast<std::size_t>(retryAfter.count() / 2 + 1);
   return retryAfter + Duration(static_cast<std::int64_t>(drawBelow(half, random)));
 }
@@ -91,28 +91,28 @@
 Duration expectedAnswerTime(const Route& route, QueryContext& context, Moment now) {
   std::vector<Duration> times = timesOfServices(
       route, [&](const std::string& service) { return expectedPartTime(service, route, context, now); });
-  return whenEnough(route, times);
+  return timeUntilEnough(route, times);
 }
 
-std::optional<Refusal> refuseWhenUnservable(const Route& route, const ServingView& view,
-                                            QueryContext& context, Moment now) {
+std::optional<Refusal> refuseIfUnservable(const Route& route, const ServingView& view, QueryContext& context,
+                                          Moment now) {
   std::vector<Duration> times = timesOfServices(
       route, [&](const std::string& service) { return timeUntilServable(service, view, context, now); });
-  const Duration wait = whenEnough(route, times);
+  const Duration wait = timeUntilEnough(route, times);
   if (wait <= Duration(0)) {
     return std::nullopt;
   }
-  const Duration retryAfter = std::clamp(wait, context.policy.retryAfter, kLongestRetryAfter);
-  return Refusal{spread(retryAfter, context.random)};
+  const Duration retryAfter = std::clamp(wait, context.policy.retryAfter, kMaxRetryAfter);
+  return Refusal{addJitter(retryAfter, context.random)};
 }
 
-std::optional<Refusal> refuseWhenBusy(const Route& route, QueryContext& context, Moment now) {
+std::optional<Refusal> refuseIfOverloaded(const Route& route, QueryContext& context, Moment now) {
   const Duration expected = expectedAnswerTime(route, context, now);
-  const auto bound = Duration(static_cast<std::int64_t>(route.targetLatency.count() * kPatience));
-  if (expected >= kUnreachable || expected <= bound) {
+  const auto bound = Duration(static_cast<std::int64_t>(route.targetLatency.count() * kOverloadFactor));
+  if (expected >= kNoUsableLeaf || expected <= bound) {
     return std::nullopt;
   }
-  return Refusal{std::clamp(expected - route.targetLatency, context.policy.retryAfter, kLongestRetryAfter)};
+  return Refusal{std::clamp(expected - route.targetLatency, context.policy.retryAfter, kMaxRetryAfter)};
 }
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/daemon_order.cpp
+++ b/src/coordination/serving/daemon_order.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Rises with the place: what the weight lacks to the greatest, then the address.
+/// Sort key, ascending: the weight subtracted from its upper bound, then the address.
 std::pair<unsigned, Endpoint> keyOf(const ServingDaemon& daemon) {
-  return {kMostCapacity - placementWeight(daemon.capacity), daemon.address};
+  return {kMaxCapacity - placementWeight(daemon.capacity), daemon.address};
 }
 
 bool comesBefore(const ServingDaemon& left, const ServingDaemon& right) { return keyOf(left) < keyOf(right); }
@@ -28,12 +28,12 @@
   return serving::keyOf(known != daemons_.end() ? *known : ServingDaemon(address));
 }
 
-std::size_t DaemonOrder::placeOf(const Endpoint& address) const {
+std::size_t DaemonOrder::rankOf(const Endpoint& address) const {
   const Key wanted = keyOf(address);
-  const auto place = std::lower_bound(
+  const auto position = std::lower_bound(
       daemons_.begin(), daemons_.end(), wanted,
       [](const ServingDaemon& daemon, const Key& key) { return serving::keyOf(daemon) < key; });
-  return static_cast<std::size_t>(place - daemons_.begin());
+  return static_cast<std::size_t>(position - daemons_.begin());
 }
 
 bool DaemonOrder::before(const Endpoint& left, const Endpoint& right) const {
@@ -41,9 +41,9 @@
 }
 
 void DaemonOrder::add(const Endpoint& address) {
-  const auto place = daemons_.begin() + static_cast<std::ptrdiff_t>(placeOf(address));
-  if (place == daemons_.end() || place->address != address) {
-    daemons_.insert(place, ServingDaemon(address));
+  const auto position = daemons_.begin() + static_cast<std::ptrdiff_t>(rankOf(address));
+  if (position == daemons_.end() || position->address != address) {
+    daemons_.insert(position, ServingDaemon(address));
   }
 }
 
--- a/src/coordination/serving/forwarding_tree.cpp
+++ b/src/coordination/serving/forwarding_tree.cpp
@@ -2,13 +2,13 @@
 
 namespace oakpier::serving {
 
-std::vector<Endpoint> forwardTo(DaemonOrder members, const Endpoint& root, const Endpoint& self) {
+std::vector<Endpoint> forwardingChildren(DaemonOrder members, const Endpoint& root, const Endpoint& self) {
   members.add(root);
   members.add(self);
-  // Places are counted from the root on.
+  // Ranks are counted from the root.
   const std::size_t count = members.size();
-  const std::size_t first = members.placeOf(root);
-  const std::size_t own = (members.placeOf(self) + count - first) % count;
+  const std::size_t first = members.rankOf(root);
+  const std::size_t own = (members.rankOf(self) + count - first) % count;
   std::vector<Endpoint> children;
   for (std::size_t child = own * kForwardingDegree + 1;
        child <= (own + 1) * kForwardingDegree && child < count; ++child) {
--- a/src/coordination/serving/leaf_assignment.cpp
+++ b/src/coordination/serving/leaf_assignment.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 
-/// How many daemons may send to a leaf of the service.
-std::size_t sendersTo(const std::string& service, const SharingDaemons& daemons, const ShardOwners& owners) {
-  return owners.owned(service) ? ownersAtOnce(daemons.mostZones) : daemons.mostPlanned;
+/// Number of daemons that may send to a leaf of the service.
+std::size_t sendersTo(const std::string& service, const FleetParameters& daemons, const ShardOwners& owners) {
+  return owners.usesOwners(service) ? maxConcurrentOwners(daemons.maxZones) : daemons.maxPlanned;
 }
 
 void assignService(const std::vector<LeafEntry>& leafs, const ServiceDefinition& service,
-                   const SharingDaemons& daemons, const Endpoint& self, ShardOwners& owners,
+                   const FleetParameters& daemons, const Endpoint& self, ShardOwners& owners,
                    LeafAssignment& assignment) {
-  if (!owners.owned(service.name)) {
-    const ConnectionShare share = shareOf(leafs.size(), service.maximumConnections, daemons.planned);
+  if (!owners.usesOwners(service.name)) {
+    const ConnectionShare share = connectionShare(leafs.size(), service.maximumConnections, daemons.planned);
     assignment.shares[service.name] = share;
     assignment.leafs[service.name] = chooseSubset(leafs, share.leafs, self);
     return;
@@ -21,24 +21,24 @@
   if (!owners.isOwner(service.name)) {
     return;
   }
-  const std::size_t connections = ownerConnections(service.maximumConnections, daemons.zones);
+  const std::size_t connections = connectionsPerOwner(service.maximumConnections, daemons.zones);
   assignment.shares[service.name] = ConnectionShare{leafs.size(), connections};
   assignment.leafs[service.name] = chooseSubset(leafs, leafs.size(), self);
 }
 
 }  // namespace
 
-LeafAssignment assignLeafs(const ServingView& view, const SharingDaemons& daemons, const Endpoint& self,
+LeafAssignment assignLeafs(const ServingView& view, const FleetParameters& daemons, const Endpoint& self,
                            ShardOwners& owners) {
   LeafAssignment assignment;
   if (!view.configuration) {
     return assignment;
   }
-  const auto owned = servicesForOwners(*view.configuration, daemons.planned);
+  const auto owned = ownedServices(*view.configuration, daemons.planned);
   owners.setServices(owned);
   for (const std::string& service : owned) {
     if (owners.isFirstOwner(service)) {
-      assignment.firstOwned.insert(service);
+      assignment.firstOwnedServices.insert(service);
     }
   }
   for (const ServiceDefinition& service : view.configuration->services) {
--- a/src/coordination/serving/leaf_subset.cpp
+++ b/src/coordination/serving/leaf_subset.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-/// More connections than this to one leaf only queue there.
-constexpr std::size_t kMostConnections = 6;
-/// Share of a leaf's connections that is planned when only some daemons use it. The number that hashing
-/// gives a leaf varies, so the rest is kept for that.
+/// Requests on more connections than this to one leaf would only queue there.
+constexpr std::size_t kMaxConnections = 6;
+/// Share of a leaf's connections that is used when each daemon has only a subset of the leafs. The rest is
+/// kept for the variance of the number of daemons that hashing assigns to a leaf.
 constexpr double kPlannedShare = 0.6;
-/// Fewer leafs than this leave nothing to hedge to.
-constexpr std::size_t kFewestLeafs = 2;
+/// With fewer leafs there would be no other one to hedge to.
+constexpr std::size_t kMinLeafs = 2;
 
 }  // namespace
 
-ConnectionShare shareOf(std::size_t leafs, std::size_t maximumConnections, std::size_t daemons) {
+ConnectionShare connectionShare(std::size_t leafs, std::size_t maximumConnections, std::size_t daemons) {
   const std::size_t sharers = std::max<std::size_t>(1, daemons);
   const std::size_t each = maximumConnections / sharers;
   if (each >= 1) {
-    return {leafs, std::min(each, kMostConnections)};
+    return {leafs, std::min(each, kMaxConnections)};
   }
   const double planned =
       kPlannedShare * static_cast<double>(leafs * maximumConnections) / static_cast<double>(sharers);
-  const auto count = std::max(kFewestLeafs, static_cast<std::size_t>(planned));
+  const auto count = std::max(kMinLeafs, static_cast<std::size_t>(planned));
   return {std::min(leafs, count), 1};
 }
 
@@ -35,7 +35,7 @@
                                     const Endpoint& daemon) {
   std::vector<std::pair<std::uint64_t, const LeafEntry*>> ranked;
   for (const LeafEntry& leaf : leafs) {
-    if (leaf.takesWork()) {
+    if (leaf.acceptsRequests()) {
       ranked.emplace_back(hashPair(hashText(leaf.id), daemon.packed()), &leaf);
     }
   }
--- a/src/coordination/serving/merge_server.h
+++ b/src/coordination/serving/merge_server.h
@@ -1,12 +1,13 @@
 #pragma once
 
-/// The merging side of requests from other zones: sends a request to the leafs that the asking daemon chose,
-/// once each, and returns of their records only those that can be among the greatest. Hedges and retries are
-/// the asking daemon's.
+/// The merge server's side of requests from other zones: sends a request once to each leaf that the requester
+/// chose, and returns only those of their records that can be among the greatest. Hedging and retrying are up
+/// to the requester.
 ///
-/// Invariants: each part gets one result; answers are returned without the records that other answers of the
-/// same work rule out, and with the number of earlier ones, so that the asking daemon notices a lost one; a
-/// result waits for others only while the asking daemon has nothing to decide on it.
+/// Invariants: each part gets exactly one result; records that other answers of the same work exclude are
+/// left out; each frame of results carries the number of answers in earlier frames, so that the requester
+/// detects a lost frame; only answers are batched, other outcomes are returned immediately because the
+/// requester may react to them.
 
 #include <list>
 #include <memory>
@@ -20,29 +21,29 @@
 
 namespace oakpier::serving {
 
-/// One request of one asking daemon.
+/// One request from one requester.
 struct MergeTask {
-  Endpoint asker;
-  std::uint64_t askerRun = 0;
-  /// With what of the route concerns leafs.
+  Endpoint requester;
+  std::uint64_t requesterRunId = 0;
+  /// Only the fields that sending to leafs requires are set.
   Route route;
   Moment receivedAt{};
   Moment deadline{};
-  /// Results wait for others until then.
-  Moment holdUntil{};
+  /// Answers are batched until this time.
+  Moment batchUntil{};
   HttpRequest request;
   std::size_t topRecords = 0;
   std::size_t openParts = 0;
-  /// Not returned yet.
+  /// The results that have not been returned yet.
   MergeResults results;
-  /// The greatest records of the answers among these.
+  /// The greatest records of the answers in `results`.
   std::string newRecords;
-  /// The greatest records of the answers that were returned.
+  /// The greatest records of all returned answers.
   std::string greatest;
   unsigned returnedAnswers = 0;
 };
 
-/// Send the task's request to this leaf.
+/// Send `task->request` to `action.leaf`.
 struct MergeSend {
   std::shared_ptr<const MergeTask> task;
   SendAction action;
@@ -55,7 +56,7 @@
 
 struct MergeServerActions {
   std::vector<MergeSend> sends;
-  std::vector<ExchangeId> abandons;
+  std::vector<ExchangeId> cancellations;
   std::vector<OutgoingMergeResults> results;
 };
 
@@ -64,12 +65,12 @@
  public:
   explicit MergeServer(QueryContext& context) : context_(context) {}
 
-  MergeServerActions onWork(const Endpoint& asker, const MergeWork& work, Moment now);
+  MergeServerActions onWork(const Endpoint& requester, const MergeWork& work, Moment now);
   MergeServerActions onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now);
-  MergeServerActions onTime(Moment now);
-  /// When `onTime` is due.
+  MergeServerActions onTimer(Moment now);
+  /// When `onTimer` is due.
   Moment nextDecisionAt() const;
-  MergeServerActions onCancel(const Endpoint& asker, const MergeCancel& cancel) const;
+  MergeServerActions onCancel(const Endpoint& requester, const MergeCancel& cancel) const;
   std::size_t inProgress() const { return parts_.size(); }
 
  private:
@@ -77,18 +78,19 @@
   struct Part {
     TaskPointer task;
     std::shared_ptr<LeafStatus> leaf;
-    /// The asking daemon's number.
-    ExchangeId askedAs = 0;
+    /// The exchange number at the requester.
+    ExchangeId requesterExchange = 0;
   };
 
   std::shared_ptr<LeafStatus> findLeaf(const MergePart& part) const;
-  /// Returns the results of the task that are ready, unless they may wait.
+  /// Returns the task's results if `urgent`, if no part is open or if the batching time has elapsed;
+  /// otherwise queues the task.
   void returnWhenDue(const TaskPointer& task, bool urgent, Moment now, MergeServerActions& out);
 
   QueryContext& context_;
   std::unordered_map<ExchangeId, Part> parts_;
-  /// Tasks with results that wait.
-  std::list<TaskPointer> waiting_;
+  /// Tasks whose results are being batched.
+  std::list<TaskPointer> batching_;
 };
 
 }  // namespace oakpier::serving
--- /dev/null
+++ b/src/coordination/serving/quota_server.h
@@ -0,0 +1,116 @@
+#pragma once
+
+/// Grants tokens to the daemons of the fleet from one token bucket per tenant. A daemon serves a tenant as
+/// its primary, or as a successor while other daemons cannot reach its predecessors in the tenant's ranking.
+///
+/// Invariants: in any span, tokens granted less those returned are at most the bucket's capacity plus its
+/// refill; each frame is processed at most once; returned tokens never raise a bucket beyond its capacity; a
+/// successor that still receives from a predecessor grants no more than its initial level.
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "coordination/serving/quota_plan.h"
+#include "coordination/serving/quota_server_selector.h"
+#include "state/endpoint.h"
+#include "state/time.h"
+
+namespace oakpier::serving {
+
+/// Requests or returns tokens of one tenant.
+struct TenantTokenRequest {
+  std::string tenant;
+  /// Tokens for requests that are waiting. 0 with nothing returned: prefetches one token.
+  std::uint32_t wanted = 0;
+  std::uint32_t returned = 0;
+
+  bool wantsGrant() const { return wanted > 0 || returned == 0; }
+};
+
+struct TenantGrant {
+  std::string tenant;
+  std::uint32_t granted = 0;
+  /// Expected time until another token is available, if fewer were granted than requested. 0: this daemon
+  /// does not know the tenant's limit.
+  Duration retryAfter{};
+};
+
+struct QuotaServerCounters {
+  std::uint64_t granted = 0;
+  /// Subset of `granted`: prefetched tokens.
+  std::uint64_t prefetched = 0;
+  std::uint64_t refused = 0;
+  std::uint64_t returned = 0;
+  /// Duplicate or reordered frames.
+  std::uint64_t framesIgnored = 0;
+};
+
+/// Not thread-safe.
+class QuotaServer {
+ public:
+  void setTolerance(const QuotaTolerance& tolerance);
+  /// `visibleFraction`: the fraction of the fleet that this daemon sees; see `FleetVisibility`.
+  /// `membershipStable`: its member table is stable. Until then new buckets start with that fraction of their
+  /// initial level, since after a start of the whole fleet several daemons rank themselves first for a
+  /// tenant. They don't start empty, as that would refuse tenants below their limit, also those whose first
+  /// servers are unreachable in a network partition.
+  void setVisibleFraction(double visibleFraction, bool membershipStable) {
+    visibleFraction_ = visibleFraction;
+    membershipStable_ = membershipStable;
+  }
+
+  /// False for a duplicate or reordered frame, which must be ignored. `runId` identifies the sender's
+  /// process: a restarted one numbers its frames from 1 again.
+  bool acceptFrame(const Endpoint& sender, std::uint64_t runId, std::uint64_t number, Moment now);
+  /// Empty if the request only returns tokens.
+  std::optional<TenantGrant> onRequest(const TenantTokenRequest& request, const TenantLimit& limit,
+                                       const QuotaServerRank& serverRank, Moment now);
+  /// Tokens left at the last refill; empty if there is no bucket for the tenant.
+  std::optional<double> levelOf(const std::string& tenant) const;
+  /// Removes buckets and senders without activity in the last minute.
+  void dropIdle(Moment now);
+  std::size_t buckets() const { return buckets_.size(); }
+  const QuotaServerCounters& counters() const { return counters_; }
+
+ private:
+  struct Bucket {
+    TenantLimit limit;
+    QuotaPlan plan;
+    double level = 0;
+    /// Refused tokens, less the refill since. Refused callers get retry times that grow with it.
+    double backlog = 0;
+    std::size_t rank = 0;
+    /// A predecessor has responded lately, or since the last refill.
+    bool predecessorResponds = false;
+    /// Since when all predecessors are suspected; `kNever` while one is not.
+    Moment predecessorsSuspectedSince = kNever;
+    /// Since when no predecessor has responded.
+    Moment predecessorsUnresponsiveSince{};
+    Moment refilledAt{};
+  };
+  struct Sender {
+    std::uint64_t runId = 0;
+    std::uint64_t number = 0;
+    Moment lastReceivedAt{};
+  };
+
+  /// This daemon is a successor, and its member table may not reflect a recent network partition yet.
+  static bool networkPartitionMayBeUndetected(const Bucket& bucket, Moment now);
+  Bucket& bucketFor(const std::string& tenant, const TenantLimit& limit, const QuotaServerRank& serverRank,
+                    Moment now);
+  double initialLevelOf(const QuotaPlan& plan, const QuotaServerRank& serverRank) const;
+  double refillRateOf(const Bucket& bucket, Moment now) const;
+  void refill(Bucket& bucket, Moment now) const;
+
+  QuotaTolerance tolerance_;
+  double visibleFraction_ = 1;
+  bool membershipStable_ = true;
+  std::unordered_map<std::string, Bucket> buckets_;
+  std::unordered_map<Endpoint, Sender> senders_;
+  QuotaServerCounters counters_;
+};
+
+}  // namespace oakpier::serving
--- /dev/null
+++ b/src/coordination/serving/quota_server_selector.h
@@ -0,0 +1,81 @@
+#pragma once
+
+/// Ranks the daemons that may serve a tenant's token bucket, by weighted rendezvous hashing. The first is the
+/// tenant's primary, the others are its successors in this order.
+///
+/// Invariants: equal member tables give equal rankings; a daemon that joins or leaves moves only the tenants
+/// that it gains or loses; a daemon that doesn't respond, or is suspected by the membership, is tried after
+/// the others.
+
+#include <cstddef>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "coordination/serving/peer_failure_detector.h"
+#include "coordination/serving/weighted_rendezvous.h"
+#include "state/endpoint.h"
+#include "state/time.h"
+
+namespace oakpier::serving {
+
+/// Length of a ranking. On a side of a network partition with a quarter of the daemons, one tenant in a
+/// hundred has none of its candidates in reach.
+inline constexpr std::size_t kMaxQuotaServerCandidates = 16;
+
+/// The primary, then the successors; at most `kMaxQuotaServerCandidates` daemons.
+std::vector<Endpoint> rankQuotaServers(const std::string& tenant, const std::vector<ServingDaemon>& daemons);
+
+/// A daemon's place in the ranking of a tenant.
+struct QuotaServerRank {
+  /// 0: the primary; 1: the first successor, and so on.
+  std::size_t rank = 0;
+  /// When a frame of any daemon that ranks before it, a predecessor, was last received.
+  Moment predecessorReceivedAt = Moment::min();
+  /// Since when all predecessors are suspected; `kNever` while one is not.
+  Moment predecessorsSuspectedSince = kNever;
+};
+
+/// Not thread-safe.
+class QuotaServerSelector {
+ public:
+  explicit QuotaServerSelector(const Endpoint& self) : self_(self), daemons_{ServingDaemon(self)} {}
+
+  /// All serving daemons, this one included, in ascending order of address. Updates the cached rankings
+  /// incrementally, since computing one takes 0.5 ms with 7,100 daemons.
+  void setDaemons(std::vector<ServingDaemon> daemons);
+  std::size_t count() const { return daemons_.size(); }
+  /// All daemons that the membership suspects to have failed.
+  void setSuspected(const std::vector<Endpoint>& suspected, Moment now);
+  /// The tenant's ranking, with daemons that are not expected to respond moved to the end.
+  std::vector<Endpoint> candidates(const std::string& tenant, Moment now);
+  QuotaServerRank rankOfSelf(const std::string& tenant);
+  /// Predecessors of this daemon that are due for a probe. To be called when a client asks this daemon in
+  /// their place.
+  std::vector<Endpoint> takePredecessorProbes(const std::string& tenant, Moment now);
+
+  void onSent(const Endpoint& server, Moment now);
+  void onReceived(const Endpoint& server, Moment now);
+  void onUnreachable(const Endpoint& server, Moment now);
+  /// Unresponsive daemons that are due for a probe.
+  std::vector<Endpoint> takeDueProbes(Moment now) { return failureDetector_.takeDueProbes(now); }
+
+ private:
+  const std::vector<ServingDaemon>& rankingOf(const std::string& tenant);
+  /// It responds to this daemon, and the membership has not suspected it since its last frame was received.
+  bool expectedToRespond(const Endpoint& server, Moment now) const;
+  /// Updates the cached rankings; drops those that become too short.
+  void updateRankings(const std::vector<ServingDaemon>& removed, const std::vector<ServingDaemon>& added);
+
+  Endpoint self_;
+  std::vector<ServingDaemon> daemons_;
+  /// Cached rankings, each complete or a prefix.
+  std::unordered_map<std::string, std::vector<ServingDaemon>> rankings_;
+  PeerFailureDetector failureDetector_;
+  std::unordered_map<Endpoint, Moment> lastReceivedAt_;
+  /// Suspected daemons, and since when.
+  std::unordered_map<Endpoint, Moment> suspectedAt_;
+  std::unordered_map<Endpoint, Moment> probedAt_;
+};
+
+}  // namespace oakpier::serving
--- a/src/coordination/serving/request_quarantine.h
+++ b/src/coordination/serving/request_quarantine.h
@@ -1,17 +1,19 @@
 #pragma once
 
-/// Which requests end the leafs that run them, as this daemon and the others have seen it.
+/// Detects requests that crash the leafs that execute them, and quarantines them, based on the crashes that
+/// this daemon and its peers have seen.
 ///
-/// Evidence counts for a request by its fingerprint, since each attempt has a new id. A leaf's process that
-/// ends accuses all requests that ran there, the innocent ones too; an answer from any leaf clears a request.
-/// After two leafs have ended under a request and none has answered, its next attempt is a *trial*: it goes
-/// to a single leaf, while no other leaf has ended lately. A trial that ends its leaf, the third at least,
-/// condemns the request: it is rejected everywhere until the quarantine is over, and then tried once again.
+/// Requests are identified by fingerprint, since each attempt has a new id. A crash counts against every
+/// unanswered request at the leaf; an answer from any leaf clears a request. After two crashes without an
+/// answer, the next attempt is a *trial*: it is sent to a single leaf, at a time without other crashes. If
+/// the trial crashes its leaf and at least three leafs have crashed in all, the request is quarantined: all
+/// daemons refuse it until the quarantine expires, and then allow another trial.
 ///
-/// Invariants: a request that a leaf has answered is not condemned by earlier evidence; trials of a request
-/// become rarer with each that brings no answer; records of daemons merge to the same in any order.
+/// Invariants: once a leaf has answered a request, crashes from before that answer no longer count against
+/// it; the interval between trials grows with each trial that ends without an answer; the verdict does not
+/// depend on the order in which records are merged.
 ///
-/// Bounds: `kMostRecords` records, the oldest evidence is dropped first.
+/// Holds at most `kMaxRecords` records; the one with the oldest crash or answer is dropped first.
 
 #include <cstdint>
 #include <optional>
@@ -24,77 +26,79 @@
 namespace oakpier::serving {
 
 struct QuarantineSettings {
-  /// How long a condemned request is rejected before it is tried again. A leaf an hour is what a request that
-  /// still ends leafs may cost; a repaired service takes its callers back within the hour.
-  Duration quarantine = std::chrono::hours(1);
-  /// What is known of a request is forgotten this long after the last leaf that ended under it.
-  Duration memory = std::chrono::hours(24);
-  /// Evidence against a request that was never tried is forgotten sooner.
-  Duration suspicion = std::chrono::minutes(10);
-  /// No trial begins until no leaf has ended for this long, so that a trial's leaf does not end by another
-  /// request. The ends of one wave came within 170 ms (logs of one wave).
-  Duration calm = std::chrono::milliseconds(300);
-  /// After a trial without an answer and without an ended leaf the next may begin after this, and after four
-  /// times as long with each further one. As long as a trial may take.
-  Duration firstTrialPause = std::chrono::seconds(2);
+  /// How long a request is refused before the next trial. Bounds both the rate of crashes by a request that
+  /// still crashes leafs and the time until a repaired service accepts the request again.
+  Duration quarantineDuration = std::chrono::hours(1);
+  /// A record is dropped this long after the last crash or answer.
+  Duration retention = std::chrono::hours(24);
+  /// A record without a trial is dropped this long after the last crash or answer.
+  Duration suspectRetention = std::chrono::minutes(10);
+  /// A trial starts only after this long without a crash, so that another request is unlikely to crash the
+  /// trial's leaf. Must exceed the time between the crashes that one request causes.
+  Duration crashFreeInterval = std::chrono::milliseconds(300);
+  /// Minimum interval between the first trial and the second, if the first brought neither an answer nor a
+  /// crash. It grows by a factor of 4 with each further trial. Must not be shorter than a trial may take.
+  Duration initialTrialBackoff = std::chrono::seconds(2);
 };
 
-/// What is known of one request. Moments are those of the daemon that holds the record.
+/// Evidence against one request. Times are on the clock of the daemon that holds the record.
 struct QuarantineRecord {
   RequestFingerprint fingerprint;
-  /// Raised by an answer. A record with a higher epoch replaces one with a lower.
+  /// Incremented by an answer. When records are merged, the higher epoch replaces the lower.
   std::uint32_t epoch = 0;
-  /// Hashes of the instances that ended under it, rising; of more than `kMostEndedLeafs` some are kept.
-  std::vector<std::uint64_t> endedLeafs;
+  /// Hashes of the leaf incarnations that crashed under the request, in ascending order. Of more than
+  /// `kMaxCrashedLeafs`, an unspecified selection is kept.
+  std::vector<std::uint64_t> crashedLeafs;
   std::uint32_t trials = 0;
-  Moment lastEndedAt{};
+  /// Time of the last crash, or of the answer that cleared the record.
+  Moment lastEvidenceAt{};
   Moment lastTrialAt{};
 };
 
 class RequestQuarantine {
  public:
   enum class Verdict {
-    /// Nothing speaks against it.
-    kOrdinary,
-    /// It may go to one leaf first. Call `onTrial` when it does.
+    /// Send it as usual.
+    kUnsuspected,
+    /// Send it to one leaf first, and call `onTrial` then.
     kTrial,
-    /// It may not be tried yet; it has not run.
-    kNotYet,
-    /// Leafs end under it.
-    kCondemned,
+    /// Refuse it for now: a trial is due after `retryAfter`.
+    kDeferred,
+    /// Refuse it: it crashes leafs.
+    kQuarantined,
   };
-  struct Judgement {
-    Verdict verdict = Verdict::kOrdinary;
-    /// For kNotYet: when it may be tried.
+  struct Assessment {
+    Verdict verdict = Verdict::kUnsuspected;
+    /// For kDeferred: the time until a trial is allowed.
     Duration retryAfter{};
   };
-  static constexpr std::size_t kMostRecords = 1024;
-  static constexpr std::size_t kMostEndedLeafs = 4;
-  /// Leafs that must have ended under a request before it is tried, and before it is condemned.
-  static constexpr std::size_t kEndedBeforeTrial = 2;
-  static constexpr std::size_t kEndedBeforeCondemned = 3;
+  static constexpr std::size_t kMaxRecords = 1024;
+  static constexpr std::size_t kMaxCrashedLeafs = 4;
+  /// Number of crashed leafs before the next attempt becomes a trial, and before the request is quarantined.
+  static constexpr std::size_t kCrashesBeforeTrial = 2;
+  static constexpr std::size_t kCrashesBeforeQuarantine = 3;
 
   explicit RequestQuarantine(const QuarantineSettings& settings = {}) : settings_(settings) {}
 
-  Judgement judge(const RequestFingerprint& fingerprint, Moment now) const;
-  /// A leaf's process has ended while the request ran there, unanswered so far.
-  void onLeafEnded(const RequestFingerprint& fingerprint, std::uint64_t instance, Moment now);
+  Assessment assess(const RequestFingerprint& fingerprint, Moment now) const;
+  /// A leaf crashed before it answered the request. `instance`: hash of the leaf's incarnation.
+  void onLeafCrashed(const RequestFingerprint& fingerprint, std::uint64_t instance, Moment now);
   void onTrial(const RequestFingerprint& fingerprint, Moment now);
-  /// A leaf has answered the request.
+  /// A leaf answered the request.
   void onAnswered(const RequestFingerprint& fingerprint, Moment now);
-  /// Takes over what another daemon knows; its moments must have been made those of this daemon.
+  /// Merges a peer's record, whose times must have been converted to this daemon's clock.
   void merge(const QuarantineRecord& record);
 
-  /// Records that have changed since the last call, to be told to others.
+  /// Records that changed since the last call, to be sent to peers.
   std::vector<QuarantineRecord> takeChanged();
-  /// At most `count` records, those with the newest evidence.
+  /// At most `count` records, those with the latest crash or answer.
   std::vector<QuarantineRecord> newest(std::size_t count) const;
-  /// Drops what is too old.
-  void forgetOld(Moment now);
+  /// Drops expired records.
+  void dropExpired(Moment now);
   bool empty() const { return records_.empty(); }
   std::size_t size() const { return records_.size(); }
-  /// Requests that are rejected at present.
-  std::size_t condemned(Moment now) const;
+  /// Number of requests in quarantine.
+  std::size_t quarantinedCount(Moment now) const;
 
  private:
   struct Entry {
@@ -102,17 +106,18 @@
     bool changed = false;
   };
 
-  /// A trial has ended its leaf, and enough leafs have ended in all.
-  static bool triedAndEnded(const QuarantineRecord& record);
-  Duration pauseAfter(std::uint32_t trials) const;
-  bool old(const QuarantineRecord& record, Moment now) const;
+  /// Whether the last trial was followed by a crash, and enough leafs have crashed in all.
+  static bool crashedInTrial(const QuarantineRecord& record);
+  Duration trialBackoff(std::uint32_t trials) const;
+  bool expired(const QuarantineRecord& record, Moment now) const;
   Entry& entryOf(const RequestFingerprint& fingerprint);
-  void makeRoom();
+  /// Drops the record with the oldest crash or answer if there are `kMaxRecords`.
+  void evictIfFull();
 
   QuarantineSettings settings_;
   std::unordered_map<RequestFingerprint, Entry, RequestFingerprintHash> records_;
-  /// Under any request.
-  Moment lastEndedAt_{};
+  /// Time of the last crash under any request.
+  Moment lastCrashAt_{};
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/request_trace.h
+++ b/src/coordination/serving/request_trace.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The decisions taken for one request, kept until it ends, so that a request that ended badly can be
-/// explained and an ordinary one costs little.
+/// Trace of the decisions for one request, kept in memory until the request ends, and logged then if it
+/// failed or its answer was late or partial.
 
 #include <memory>
 #include <optional>
@@ -19,45 +19,45 @@
   kSend,
   kHedge,
   kRetry,
-  /// Sent once more after the leafs' deadline, as too few shards were in.
-  kRenew,
-  /// No usable leaf was left.
+  /// Retried after the leafs' deadline, as too few shards had answered.
+  kLateRetry,
+  /// No leaf was eligible.
   kNoLeaf,
-  /// A further send would have been made, but the budget of extra sends was used up.
+  /// An extra attempt was denied, as the retry budget was empty.
   kBudgetEmpty,
   kOutcome,
-  /// Left to the daemon that owns the shard.
+  /// Delegated to the daemon that owns the shard.
   kDelegate,
-  /// What the owner said of it.
+  /// The owner reported a result.
   kOwnerOutcome,
-  /// The owner was not heard any more, so that the part was given up.
-  kOwnerSilent,
-  /// Nothing more is sent until a leaf answers, as leafs have ended under the request.
-  kHeldBack,
+  /// The owner became unresponsive, and the delegation was given up.
+  kOwnerUnresponsive,
+  /// The part was suspended until a leaf answers, as leafs have crashed under the request.
+  kSuspended,
 };
 
 struct TraceEvent {
   Moment at;
   Decision decision = Decision::kSend;
-  /// Of the part that decided; lives as long as the request.
+  /// Service of the part; valid as long as the request.
   std::string_view service;
-  /// Null for kNoLeaf, kBudgetEmpty and what concerns owners.
+  /// Null if the event does not concern a leaf.
   std::shared_ptr<const LeafStatus> leaf;
-  /// What the choice rested on: requests at the leaf, its smoothed slowness, how long it was overdue.
+  /// The leaf's status that the selection was based on.
   double queueLength = 0;
-  double slowness = 0;
-  Duration stalledFor{};
+  double latencyRatio = 0;
+  Duration overdueFor{};
   /// For kOutcome and kOwnerOutcome.
   std::optional<LeafOutcome::Kind> outcome;
-  /// For kDelegate, kOwnerOutcome and kOwnerSilent.
+  /// For kDelegate, kOwnerOutcome and kOwnerUnresponsive.
   std::optional<Endpoint> owner;
 };
 
-/// Not thread-safe. Keeps the first events of a request up to a bound.
+/// Keeps the first `kMaxEvents` events of a request. Not thread-safe.
 class RequestTrace {
  public:
   void add(TraceEvent event) {
-    if (events_.size() < kMostEvents) {
+    if (events_.size() < kMaxEvents) {
       events_.push_back(std::move(event));
     } else {
       ++dropped_;
@@ -67,7 +67,7 @@
   std::size_t dropped() const { return dropped_; }
 
  private:
-  static constexpr std::size_t kMostEvents = 400;
+  static constexpr std::size_t kMaxEvents = 400;
   std::vector<TraceEvent> events_;
   std::size_t dropped_ = 0;
 };
--- a/src/coordination/serving/shard_server.h
+++ b/src/coordination/serving/shard_server.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/// The owner's side of a shard: runs other daemons' parts of queries on the shard's leafs and tells them what
-/// came of it. Sends, hedges and retries are those of `PartExchange`.
+/// The owner's side of a shard: executes parts of other daemons' queries on the shard's leafs and returns the
+/// results. Sending, hedging and retrying are done by `DirectPart`.
 ///
-/// Invariants: each part gets one final result unless it was cancelled or its time has passed; a result goes
-/// to the process that asked, not to a later one at its address.
+/// Invariants: each part gets exactly one final result unless it is cancelled or its deadline passes; a
+/// result is addressed to the process that sent the work, not to a later process at the same address.
 
 #include <list>
 #include <memory>
@@ -12,60 +12,59 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/serving/part_exchange.h"
+#include "coordination/serving/direct_part.h"
 #include "oakpier/peer.pb.h"
 
 namespace oakpier::serving {
 
-/// Parts of one request for one asking daemon.
-struct ServedWork {
+/// The parts of one request that one requester has sent to this owner.
+struct OwnerTask {
   struct Part {
-    /// The asking daemon's number.
-    ExchangeId askedAs = 0;
-    std::unique_ptr<PartExchange> exchange;
+    /// The exchange number at the requester.
+    ExchangeId requesterExchange = 0;
+    std::unique_ptr<DirectPart> exchange;
     bool finished = false;
   };
 
-  Endpoint asker;
-  std::uint64_t askerRun = 0;
-  /// With what of the route concerns leafs.
+  Endpoint requester;
+  std::uint64_t requesterRunId = 0;
+  /// Only the fields that sending to leafs requires are set.
   Route route;
   std::size_t topRecords = 0;
   Moment receivedAt{};
-  /// The parts that are open then are given up.
+  /// Parts that are still open at this time expire.
   Moment deadline{};
   HttpRequest request;
   RequestTrace trace;
-  SendCaution caution;
+  CrashGuard crashGuard;
   std::vector<Part> parts;
 };
 
-/// Send the work's request to this leaf.
-struct ServedSend {
-  std::shared_ptr<ServedWork> work;
+/// Send `task->request` to `action.leaf`.
+struct OwnerSend {
+  std::shared_ptr<OwnerTask> task;
   SendAction action;
 };
 
-struct OutgoingResults {
+struct OutgoingOwnerResults {
   Endpoint to;
   OwnerResults results;
 };
 
-/// A part that ended without an answer.
+/// A part that finished without an answer.
 struct UnansweredPart {
-  enum class Reason { kNoAnswer, kNotRun, kWithdrawn, kTimePassed };
+  enum class Reason { kNoAnswer, kNotExecuted, kCancelled, kExpired };
 
-  std::shared_ptr<const ServedWork> work;
+  std::shared_ptr<const OwnerTask> task;
   std::string service;
   Reason reason = Reason::kNoAnswer;
-  /// What kept the answer away.
   LossCause cause = LossCause::kOneLeafSlow;
 };
 
 struct ShardServerActions {
-  std::vector<ServedSend> sends;
-  std::vector<ExchangeId> abandons;
-  std::vector<OutgoingResults> results;
+  std::vector<OwnerSend> sends;
+  std::vector<ExchangeId> cancellations;
+  std::vector<OutgoingOwnerResults> results;
   std::vector<UnansweredPart> unanswered;
 };
 
@@ -74,38 +73,39 @@
  public:
   explicit ShardServer(QueryContext& context) : context_(context) {}
 
-  ShardServerActions onWork(const Endpoint& asker, const OwnerWork& work, Moment now);
-  void onWritten(ExchangeId exchange);
+  ShardServerActions onWork(const Endpoint& requester, const OwnerWork& work, Moment now);
+  void onWriteStarted(ExchangeId exchange);
   ShardServerActions onOutcome(ExchangeId exchange, const LeafOutcome& outcome, Moment now);
-  ShardServerActions onCancel(const Endpoint& asker, const OwnerCancel& cancel);
-  ShardServerActions onTime(Moment now);
+  ShardServerActions onCancel(const Endpoint& requester, const OwnerCancel& cancel);
+  ShardServerActions onTimer(Moment now);
 
-  /// When `onTime` is due.
+  /// When `onTimer` is due.
   Moment nextDecisionAt() const;
-  std::size_t inProgress() const { return works_.size(); }
+  std::size_t inProgress() const { return tasks_.size(); }
 
  private:
-  using WorkPointer = std::shared_ptr<ServedWork>;
-  struct Place {
-    WorkPointer work;
+  using TaskPointer = std::shared_ptr<OwnerTask>;
+  struct PartRef {
+    TaskPointer task;
     std::size_t part = 0;
   };
 
-  /// Carries out what the part decided and reports what became of it.
-  void settle(const WorkPointer& work, std::size_t part, QueryActions actions, ShardServerActions& out);
-  /// Refuses work on a request under which leafs have ended, unless its asker knows of it.
-  bool refuse(const WorkPointer& work, const OwnerWork& asked, Moment now, ShardServerActions& out) const;
-  /// After an outcome: lets the work's parts go on that were held back, or ends them when no leaf that has
-  /// the request is left to answer.
-  void applyCaution(const WorkPointer& work, bool held, Moment now, ShardServerActions& out);
-  static void finish(ServedWork::Part& part, ShardServerActions& out);
-  static void giveUp(const WorkPointer& work, ServedWork::Part& part, UnansweredPart::Reason reason,
-                     ShardServerActions& out);
-  void forgetFinished();
+  /// Passes on the part's sends; if the part has finished, adds its result and closes it.
+  void applyActions(const TaskPointer& task, std::size_t part, QueryActions actions, ShardServerActions& out);
+  /// Refuses work for a quarantined request, one that has crashed leafs, unless the requester knows of the
+  /// quarantine and sends the request as a trial. Returns true if refused.
+  bool refuse(const TaskPointer& task, const OwnerWork& work, Moment now, ShardServerActions& out) const;
+  /// After an outcome: resumes the suspended parts of the task, or, if further sends are blocked, finishes
+  /// all parts once no leaf that has received the request can still answer.
+  void applyCrashGuard(const TaskPointer& task, bool wasBlocked, Moment now, ShardServerActions& out);
+  static void finish(OwnerTask::Part& part, ShardServerActions& out);
+  static void finishUnanswered(const TaskPointer& task, OwnerTask::Part& part, UnansweredPart::Reason reason,
+                               ShardServerActions& out);
+  void removeFinished();
 
   QueryContext& context_;
-  std::list<WorkPointer> works_;
-  std::unordered_map<ExchangeId, Place> places_;
+  std::list<TaskPointer> tasks_;
+  std::unordered_map<ExchangeId, PartRef> partRefs_;
 };
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/source_notices.h
+++ b/src/coordination/serving/source_notices.h
@@ -1,47 +1,47 @@
 #pragma once
 
-/// What an operator should see of the following of the configuration source; each becomes a line of the log.
+/// Events in following the configuration source that are logged for the operator.
 
 #include <cstddef>
 #include <cstdint>
 #include <variant>
 
-#include "coordination/serving/epoch_watch.h"
+#include "coordination/serving/epoch_classifier.h"
 
 namespace oakpier::serving {
 
-/// The source told an epoch that is not the known one, or none that can be used. Told when it changes.
+/// The source reported an unknown epoch, or none that can be used. Raised once per change.
 struct EpochNotice {
   EpochVerdict verdict = EpochVerdict::kKnown;
-  /// As told; 0 when it is missing or malformed.
-  std::uint64_t told = 0;
+  /// As reported; 0 if it is missing or malformed.
+  std::uint64_t reported = 0;
   SourcePosition known;
 };
 
-/// A listing was read that is older than what is known, and is not taken over.
-struct OutdatedListing {
+/// A listing was discarded because it is older than the known position.
+struct StaleListing {
   SourcePosition listed;
   SourcePosition known;
 };
 
-/// What a source holds that has come back from a copy was taken over.
+/// The records of a source that was restored from a backup were applied.
 struct SourceRestored {
-  SourcePosition before;
-  SourcePosition now;
-  /// In force; the source may hold an older one until the operator has written it again.
+  SourcePosition previous;
+  SourcePosition current;
+  /// The configuration in effect. The source may hold an older one until the operator rewrites it.
   std::uint64_t configurationVersion = 0;
   std::size_t leafsListed = 0;
-  /// Used on although they are not listed, until they are written again or that is overdue.
-  std::size_t leafsAwaited = 0;
-  /// Of which the source says something older than what is believed.
-  std::size_t leafsDisputed = 0;
+  /// Kept in use although the backup lacks them, until they are rewritten or the time to do so is over.
+  std::size_t leafsRetained = 0;
+  /// For which the backup holds an older entry than the known one.
+  std::size_t leafsConflicting = 0;
 };
 
-/// The source tells epochs, which not all sources do. Told once.
-struct EpochsTold {
+/// The source supports epochs, which not every source does. Raised once.
+struct EpochsSupported {
   std::uint64_t first = 0;
 };
 
-using SourceNotice = std::variant<EpochNotice, OutdatedListing, SourceRestored, EpochsTold>;
+using SourceNotice = std::variant<EpochNotice, StaleListing, SourceRestored, EpochsSupported>;
 
 }  // namespace oakpier::serving
--- a/src/coordination/serving/weighted_rendezvous.cpp
+++ b/src/coordination/serving/weighted_rendezvous.cpp
@@ -10,27 +10,27 @@
 
 namespace {
 
-/// Bits of a hash that a double holds exactly.
+/// Bits of the hash that a double represents exactly.
 constexpr unsigned kExactBits = 53;
 
-/// A daemon's chance at a key: the lowest distance comes first.
-struct Bid {
+/// Sort key of a daemon: the lowest distance ranks first, the address breaks ties.
+struct RankKey {
   double distance;
   Endpoint address;
 
-  friend bool operator<(const Bid& left, const Bid& right) {
+  friend bool operator<(const RankKey& left, const RankKey& right) {
     return std::tie(left.distance, left.address) < std::tie(right.distance, right.address);
   }
 };
 
-/// Exponentially distributed with the weight as its rate, so the least of several is a given daemon's with a
-/// chance in proportion to its weight. Processors may differ in the last bit of the logarithm; that changes
-/// a rank only where two distances agree to 15 digits.
-Bid bidOf(std::uint64_t keyHash, const ServingDaemon& daemon) {
+/// The distance is exponentially distributed with the weight as its rate, so the probability that a daemon
+/// has the least distance is proportional to its weight. The logarithm may differ in the last bit between
+/// processors, which affects the ranking only if two distances agree to 15 digits.
+RankKey rankKeyOf(std::uint64_t keyHash, const ServingDaemon& daemon) {
   const std::uint64_t hash = hashPair(keyHash, daemon.address.packed()) >> (64U - kExactBits);
-  // The half keeps it above 0 and below 1.
-  const double even = std::ldexp(static_cast<double>(hash) + 0.5, -static_cast<int>(kExactBits));
-  return Bid{-std::log(even) / placementWeight(daemon.capacity), daemon.address};
+  // Adding 0.5 keeps the value within the open interval (0, 1).
+  const double uniform = std::ldexp(static_cast<double>(hash) + 0.5, -static_cast<int>(kExactBits));
+  return RankKey{-std::log(uniform) / placementWeight(daemon.capacity), daemon.address};
 }
 
 }  // namespace
@@ -45,32 +45,33 @@
 }
 
 unsigned placementWeight(unsigned capacity) {
-  return capacity == 0 ? kUsualCapacity : std::min(capacity, kMostCapacity);
+  return capacity == 0 ? kDefaultCapacity : std::min(capacity, kMaxCapacity);
 }
 
 std::vector<Endpoint> rankDaemons(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons,
-                                  std::size_t most) {
-  std::vector<Bid> bids;
-  bids.reserve(daemons.size());
+                                  std::size_t maxCount) {
+  std::vector<RankKey> rankKeys;
+  rankKeys.reserve(daemons.size());
   for (const ServingDaemon& daemon : daemons) {
-    bids.push_back(bidOf(keyHash, daemon));
+    rankKeys.push_back(rankKeyOf(keyHash, daemon));
   }
-  const std::size_t kept = std::min(most, bids.size());
-  std::partial_sort(bids.begin(), bids.begin() + static_cast<std::ptrdiff_t>(kept), bids.end());
+  const std::size_t kept = std::min(maxCount, rankKeys.size());
+  std::partial_sort(rankKeys.begin(), rankKeys.begin() + static_cast<std::ptrdiff_t>(kept), rankKeys.end());
   std::vector<Endpoint> ranked;
   ranked.reserve(kept);
-  for (std::size_t place = 0; place < kept; ++place) {
-    ranked.push_back(bids[place].address);
+  for (std::size_t rank = 0; rank < kept; ++rank) {
+    ranked.push_back(rankKeys[rank].address);
   }
   return ranked;
 }
 
-std::optional<Endpoint> firstDaemon(std::uint64_t keyHash, const std::vector<ServingDaemon>& daemons) {
-  std::optional<Bid> best;
+std::optional<Endpoint> highestRankedDaemon(std::uint64_t keyHash,
+                                            const std::vector<ServingDaemon>& daemons) {
+  std::optional<RankKey> best;
   for (const ServingDaemon& daemon : daemons) {
-    const Bid bid = bidOf(keyHash, daemon);
-    if (!best || bid < *best) {
-      best = bid;
+    const RankKey rankKey = rankKeyOf(keyHash, daemon);
+    if (!best || rankKey < *best) {
+      best = rankKey;
     }
   }
   return best ? std::optional<Endpoint>(best->address) : std::nullopt;
--- a/src/coordination/voter_lease.h
+++ b/src/coordination/voter_lease.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Tells whether this daemon is on the side of the majority: it lately saw the beats of most voters advance.
-/// The voter set changes only by a majority, so two sides of a cut never both hold the lease for longer than
-/// its length.
+/// Detects whether this daemon is on the majority side of a network partition: the lease is held while the
+/// heartbeat counts of a majority of the voters have increased within the lease length. The voter set changes
+/// only by a majority, so two sides of a network partition hold the lease simultaneously for at most its
+/// length.
 
 #include <unordered_map>
 #include <vector>
@@ -15,32 +16,33 @@
 
 class VoterLease {
  public:
-  VoterLease(ProcessId self, Duration beatPeriod, Duration length)
-      : self_(std::move(self)), beatPeriod_(beatPeriod), length_(length) {}
+  VoterLease(ProcessId self, Duration heartbeatPeriod, Duration length)
+      : self_(std::move(self)), heartbeatPeriod_(heartbeatPeriod), length_(length) {}
 
-  /// Takes over beats that a peer has seen of voters in `voters`.
+  /// Merges the heartbeat counts that a peer knows. Ignores processes that are not in `voters`.
   template <typename Beats>
-  void hear(const Beats& beats, const VoterSet& voters, Moment now) {
+  void onHeartbeats(const Beats& beats, const VoterSet& voters, Moment now) {
     for (const auto& beat : beats) {
-      Seen& seen = seen_[keyOf(beat.address(), beat.incarnation())];
-      if (isVoter(voters, {beat.address(), beat.incarnation()}) && beat.count() > seen.count) {
-        seen = Seen{beat.count(), now};
+      LastHeartbeat& last = lastHeartbeats_[keyOf(beat.address(), beat.incarnation())];
+      if (isVoter(voters, {beat.address(), beat.incarnation()}) && beat.count() > last.count) {
+        last = LastHeartbeat{beat.count(), now};
       }
     }
   }
 
-  /// Beats, when this daemon is a voter. Call often.
-  void onTime(const VoterSet& voters, Moment now);
+  /// Increments the own heartbeat count once per heartbeat period if this daemon is a voter, and drops old
+  /// entries. Call more often than the heartbeat period.
+  void onTimer(const VoterSet& voters, Moment now);
 
   bool held(const VoterSet& voters, Moment now) const;
 
-  /// What is known of the voters' beats, to be passed on.
-  std::vector<VoterBeat> beats(const VoterSet& voters) const;
+  /// The known heartbeat counts of `voters`, to be sent to peers.
+  std::vector<VoterBeat> heartbeats(const VoterSet& voters) const;
 
   Duration length() const { return length_; }
 
  private:
-  struct Seen {
+  struct LastHeartbeat {
     std::uint64_t count = 0;
     Moment at{};
   };
@@ -50,10 +52,10 @@
   }
 
   ProcessId self_;
-  Duration beatPeriod_;
+  Duration heartbeatPeriod_;
   Duration length_;
-  Moment nextBeatAt_{};
-  std::unordered_map<std::string, Seen> seen_;
+  Moment nextHeartbeatAt_{};
+  std::unordered_map<std::string, LastHeartbeat> lastHeartbeats_;
 };
 
 }  // namespace oakpier
--- a/src/programs/daemon/daemon.cpp
+++ b/src/programs/daemon/daemon.cpp
@@ -12,17 +12,18 @@
 namespace {
 
 constexpr std::uint32_t kResultTimeToLiveMs = 10'000;
-/// HTTP threads beyond the admitted queries, so that refusals find one.
+/// HTTP threads in addition to one per admitted query, so that refusals can be sent at the limit.
 constexpr unsigned kSpareCallerThreads = 32;
 constexpr unsigned kOperatorThreads = 8;
-/// News of the voters' beats reaches everybody well within this many probe periods.
+/// Length of the voter lease in probe periods; voter heartbeats propagate to all daemons well within it.
 constexpr int kLeasePeriods = 15;
 constexpr unsigned kHttpUnavailable = 503;
-/// Operators send whole configurations.
+/// Operators send complete configurations, which are larger than queries.
 constexpr std::size_t kMaxOperatorBytes = std::size_t{64} << 20U;
 
-/// Rises from one start to the next at the same address, and is drawn so that two starts never share it.
-std::uint64_t drawIncarnation() {
+/// The system clock in milliseconds, so that it is higher after each restart, with 10 random low bits to tell
+/// apart starts in the same millisecond.
+std::uint64_t newIncarnation() {
   constexpr unsigned kRandomBits = 10;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
@@ -49,7 +50,7 @@
 
 Daemon::Daemon(const DaemonSettings& settings)
     : settings_(settings),
-      self_{{settings.peerAddress.text(), drawIncarnation()}, settings.zone},
+      self_{{settings.peerAddress.text(), newIncarnation()}, settings.zone},
       view_(emptyView()),
       peers_(
           settings.peerAddress,
@@ -100,16 +101,16 @@
 
 bool Daemon::idle() const { return entry_.inFlight() == 0 && owners_.busy() == 0 && control_.left(); }
 
-void Daemon::closeCallers(Duration limit) {
+void Daemon::drainCallers(Duration limit) {
   constexpr Duration kCheckPeriod = std::chrono::milliseconds(10);
-  /// Bytes of the last replies are still on their way through the HTTP library.
-  constexpr int kQuietChecks = 20;
+  /// Time for the HTTP library to write the last replies.
+  constexpr int kIdleChecks = 20;
   callerServer_.stopListening();
-  const Moment giveUpAt = steadyNow() + limit;
-  int quiet = 0;
-  while (quiet < kQuietChecks && steadyNow() < giveUpAt) {
+  const Moment drainDeadline = steadyNow() + limit;
+  int idleChecks = 0;
+  while (idleChecks < kIdleChecks && steadyNow() < drainDeadline) {
     std::this_thread::sleep_for(kCheckPeriod);
-    quiet = callerServer_.callsInProgress() == 0 ? quiet + 1 : 0;
+    idleChecks = callerServer_.callsInProgress() == 0 ? idleChecks + 1 : 0;
   }
 }
 
@@ -151,7 +152,7 @@
   }
 }
 
-/// Nothing of work that never left is running anywhere, and its query is told so.
+/// Reports undelivered work to its query as not sent, since none of it runs anywhere.
 void Daemon::onUndeliverable(const Endpoint& to, const PeerEnvelope& envelope) {
   if (!envelope.has_work()) {
     return;
--- a/src/programs/daemon/daemon_settings.cpp
+++ b/src/programs/daemon/daemon_settings.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Values as they stand in flags and files, before conversion.
+/// Unconverted values of flags and settings file.
 struct RawSettings {
   std::string callerAddress;
   std::string operatorAddress;
@@ -27,8 +27,8 @@
   std::uint32_t probePeriodMs = 1000;
   std::uint32_t stopTimeoutMs = 30'000;
   std::uint32_t repeatWindowMs = 30'000;
-  HedgeRule hedge = HedgeRule::kLearnt;
-  ChoiceRule choice = ChoiceRule::kLeastLoadedOfTwo;
+  HedgeMode hedge = HedgeMode::kAdaptive;
+  ReplicaPolicy choice = ReplicaPolicy::kPowerOfTwoChoices;
   bool noAdmission = false;
   LogLevel logLevel = LogLevel::kInfo;
   bool checkConfigOnly = false;
@@ -83,10 +83,10 @@
 }
 
 void addPolicyOptions(CLI::App& app, RawSettings& raw) {
-  const std::map<std::string, HedgeRule> hedges{
-      {"learnt", HedgeRule::kLearnt}, {"fixed", HedgeRule::kFixed}, {"off", HedgeRule::kOff}};
-  const std::map<std::string, ChoiceRule> choices{{"least-loaded", ChoiceRule::kLeastLoadedOfTwo},
-                                                  {"random", ChoiceRule::kRandom}};
+  const std::map<std::string, HedgeMode> hedges{
+      {"learnt", HedgeMode::kAdaptive}, {"fixed", HedgeMode::kFixed}, {"off", HedgeMode::kOff}};
+  const std::map<std::string, ReplicaPolicy> choices{{"least-loaded", ReplicaPolicy::kPowerOfTwoChoices},
+                                                     {"random", ReplicaPolicy::kRandom}};
   const std::map<std::string, LogLevel> levels{{"debug", LogLevel::kDebug},
                                                {"info", LogLevel::kInfo},
                                                {"warning", LogLevel::kWarning},
@@ -105,14 +105,14 @@
 
 DaemonSettings convert(const RawSettings& raw) {
   DaemonSettings settings;
-  settings.callerAddress = endpointOf(raw.callerAddress);
-  settings.operatorAddress = endpointOf(raw.operatorAddress);
-  settings.peerAddress = endpointOf(raw.peerAddress);
+  settings.callerAddress = parsedEndpoint(raw.callerAddress);
+  settings.operatorAddress = parsedEndpoint(raw.operatorAddress);
+  settings.peerAddress = parsedEndpoint(raw.peerAddress);
   settings.zone = raw.zone;
   for (const auto& peer : raw.peers) {
-    settings.peers.push_back(endpointOf(peer));
+    settings.peers.push_back(parsedEndpoint(peer));
   }
-  settings.platform = endpointOf(raw.platform);
+  settings.platform = parsedEndpoint(raw.platform);
   settings.platformPeriod = fromMilliseconds(raw.platformPeriodMs);
   settings.maxQueries = raw.maxQueries;
   settings.ownerThreads = raw.ownerThreads;
@@ -155,8 +155,7 @@
     return SettingsExit{kExitUsage, "--zone: '' is not allowed: give the name of a zone\n"};
   }
   if (raw.peers.empty() && raw.platform.empty()) {
-    return SettingsExit{kExitUsage,
-                        "--platform or --peers is required: without one of them no daemon is found\n"};
+    return SettingsExit{kExitUsage, "--platform or --peers is required to find other daemons\n"};
   }
   return convert(raw);
 }
--- a/src/programs/daemon/entry_service.cpp
+++ b/src/programs/daemon/entry_service.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr std::size_t kMaxIdLength = 128;
-/// How often a waiting query looks whether its caller is still there.
+/// How often a waiting query checks whether its caller has disconnected.
 constexpr Duration kCallerCheckPeriod = std::chrono::milliseconds(20);
-/// Guardians answer within this, or the request is refused.
+/// A non-repeatable request is refused if too few guardians of its id reply within this time.
 constexpr Duration kReservationTime = std::chrono::milliseconds(250);
 constexpr std::uint32_t kCancelTimeToLiveMs = 1000;
 constexpr Duration kRetryAfterNotReady = std::chrono::milliseconds(500);
-/// Another daemon can take the request at once.
+/// Short, since another daemon can take the request immediately.
 constexpr Duration kRetryAfterStopping = std::chrono::milliseconds(10);
 
 RandomEngine& threadRandom() {
@@ -147,9 +147,9 @@
     sender_(guardian, std::move(envelope));
   }
   Reservation reservation(guardians.size());
-  const Moment giveUpAt = std::min(context.deadline, steadyNow() + kReservationTime);
-  while (reservation.state() == Reservation::State::kWaiting && steadyNow() < giveUpAt) {
-    for (const auto& delivery : inbox.takeUntil(giveUpAt)) {
+  const Moment replyDeadline = std::min(context.deadline, steadyNow() + kReservationTime);
+  while (reservation.state() == Reservation::State::kWaiting && steadyNow() < replyDeadline) {
+    for (const auto& delivery : inbox.takeUntil(replyDeadline)) {
       if (const auto* reply = std::get_if<ReserveReply>(&delivery.content)) {
         reservation.onVerdict(delivery.sender, reply->verdict());
       }
@@ -173,16 +173,16 @@
   context.ownerHealth = &ownerHealth_;
   context.random = &threadRandom();
   EntryQuery query(std::move(context));
-  carryOut(query.start(steadyNow()));
+  apply(query.start(steadyNow()));
   while (!query.finished()) {
     const Moment wake = std::min(query.nextWake(), steadyNow() + kCallerCheckPeriod);
     for (const auto& delivery : inbox.takeUntil(wake)) {
       if (const auto* results = std::get_if<ResultBatch>(&delivery.content)) {
-        carryOut(query.onResults(delivery.sender, *results, steadyNow()));
+        apply(query.onResults(delivery.sender, *results, steadyNow()));
       }
     }
     if (!query.finished()) {
-      carryOut(currentCallerGone() ? query.abandon(steadyNow()) : query.onTime(steadyNow()));
+      apply(currentCallerGone() ? query.cancel(steadyNow()) : query.onTimer(steadyNow()));
     }
   }
   answer = query.answer();
@@ -197,7 +197,7 @@
   return envelope;
 }
 
-void EntryService::carryOut(QueryActions actions) {
+void EntryService::apply(QueryActions actions) {
   for (auto& outgoing : actions.work) {
     PeerEnvelope envelope = envelopeWith(outgoing.batch.remaining_ms());
     *envelope.mutable_work() = std::move(outgoing.batch);
--- a/src/programs/daemon/operator_service.h
+++ b/src/programs/daemon/operator_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// The operator interface of the daemon. Changes go through the control thread; a call returns when the
-/// voters have decided.
+/// voters have decided or have not answered in time.
 
 #include "oakpier/operator.pb.h"
 #include "programs/daemon/control_loop.h"
@@ -31,7 +31,7 @@
   Configuration currentConfiguration();
   void describeMembers(const ControlPlane& plane, StatusReply& reply) const;
   void describeLeaves(StatusReply& reply) const;
-  std::string whyNotReady(const ControlPlane& plane) const;
+  std::string notReadyReason(const ControlPlane& plane) const;
 
   SelfMember self_;
   ControlLoop& control_;
--- a/src/programs/daemon/owner_worker.cpp
+++ b/src/programs/daemon/owner_worker.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-/// A step to be carried out on the worker's thread.
+/// A task for the worker's thread.
 class OwnerWorker::Task : public cxxtools::BasicEvent<OwnerWorker::Task> {
  public:
   explicit Task(std::function<void()> step) : step_(std::move(step)) {}
@@ -29,16 +29,16 @@
       reply_(std::move(reply)),
       dispatcher_(admission),
       timer_(&loop_),
-      connections_(
-          loop_, LeafConnections::Handlers{[this](ExchangeId exchange, const LeafAnswer& answer) {
-                                             carryOut(dispatcher_.onAnswer(exchange, answer, steadyNow()));
-                                           },
-                                           [this](ExchangeId exchange, const LeafState& state) {
-                                             carryOut(dispatcher_.onStatus(exchange, state, steadyNow()));
-                                           },
-                                           [this](ExchangeId exchange, ExchangeFailure failure) {
-                                             carryOut(dispatcher_.onFailure(exchange, failure, steadyNow()));
-                                           }}) {
+      connections_(loop_,
+                   LeafConnections::Handlers{[this](ExchangeId exchange, const LeafAnswer& answer) {
+                                               apply(dispatcher_.onAnswer(exchange, answer, steadyNow()));
+                                             },
+                                             [this](ExchangeId exchange, const LeafState& state) {
+                                               apply(dispatcher_.onStatus(exchange, state, steadyNow()));
+                                             },
+                                             [this](ExchangeId exchange, ExchangeFailure failure) {
+                                               apply(dispatcher_.onFailure(exchange, failure, steadyNow()));
+                                             }}) {
   loop_.eventsPerLoop(kEventsPerLoop);
   cxxtools::connect(loop_.event, *this, &OwnerWorker::onEvent);
   cxxtools::connect(timer_.timeout, *this, &OwnerWorker::onTick);
@@ -60,14 +60,14 @@
 
 void OwnerWorker::postWork(const Endpoint& entry, std::shared_ptr<const WorkBatch> batch) {
   post([this, entry, batch = std::move(batch), received = steadyNow()] {
-    // Time spent in the queue, a pause of the process included, counts against the deadline.
+    // Queueing time counts against the deadline, including time in which the process was paused.
     const Moment deadline = received + fromMilliseconds(batch->remaining_ms());
-    carryOut(dispatcher_.onWork(entry, batch, deadline, *view_.read(), steadyNow()));
+    apply(dispatcher_.onWork(entry, batch, deadline, *view_.read(), steadyNow()));
   });
 }
 
 void OwnerWorker::postCancel(const CancelWork& cancel) {
-  post([this, cancel] { carryOut(dispatcher_.onCancel(cancel, steadyNow())); });
+  post([this, cancel] { apply(dispatcher_.onCancel(cancel, steadyNow())); });
 }
 
 void OwnerWorker::post(std::function<void()> task) {
@@ -84,15 +84,15 @@
 
 void OwnerWorker::onTick() {
   const Moment now = steadyNow();
-  carryOut(dispatcher_.onTime(now));
-  connections_.onTime(now);
+  apply(dispatcher_.onTimer(now));
+  connections_.onTimer(now);
   const std::lock_guard<std::mutex> guard(mutex_);
   publishedCounters_ = dispatcher_.counters();
   publishedBusy_ = dispatcher_.busy();
   publishedConnections_ = connections_.openCount();
 }
 
-void OwnerWorker::carryOut(DispatchActions actions) {
+void OwnerWorker::apply(DispatchActions actions) {
   for (const auto& abort : actions.aborts) {
     connections_.abort(abort.exchange);
   }
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -10,11 +10,11 @@
 #include <random>
 #include <thread>
 
-#include "coordination/serving/fleet_settling.h"
-#include "programs/common/held_signals.h"
+#include "coordination/serving/membership_stabilization.h"
+#include "programs/common/blocked_signals.h"
 #include "programs/common/logging.h"
 #include "programs/gateway/request_gateway.h"
-#include "programs/gateway/source_loop.h"
+#include "programs/gateway/source_synchronizer.h"
 #include "protocol/serving/caller_messages.h"
 #include "transport/steady_clock.h"
 
@@ -26,24 +26,26 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 constexpr std::string_view kMetricsPath = "/metrics";
-/// After a request to stop callers are still sent here until they have seen that this daemon is not ready.
+/// After the stop signal, callers still connect until readiness checks have shown that this daemon is not
+/// ready.
 constexpr Duration kAcceptAfterStop = std::chrono::milliseconds(2600);
 constexpr Duration kReloadPeriod = std::chrono::seconds(5);
 constexpr Duration kStopCheck = std::chrono::milliseconds(50);
-/// Kept free before the process would be killed: this share of the grace, and at most this long.
+/// Time reserved before the process would be killed: this share of the grace period, up to this maximum.
 constexpr double kStopReserveShare = 0.15;
-constexpr Duration kLongestStopReserve = std::chrono::milliseconds(800);
-/// Owners of a shard, one a zone, that are assumed at least; as many more may follow one another in a window.
-constexpr std::size_t kUsualOwners = 4;
-constexpr std::size_t kOwnersInChange = 2;
-/// One in this many daemons may be added or come back at any time.
-constexpr std::size_t kSpareShare = 3;
-
-/// A key is refused for good under a proof at most this share of the time old in which new keys are to be
-/// known everywhere.
-constexpr int kFinalRefusalParts = 2;
-
-/// Tells whether callers should be sent here, and the figures at the path of metrics.
+constexpr Duration kMaxStopReserve = std::chrono::milliseconds(800);
+/// Assumed number of owners of a shard (one per zone), and how many more may replace them within a budget
+/// window.
+constexpr std::size_t kDefaultOwners = 4;
+constexpr std::size_t kMaxReplacedOwners = 2;
+/// Shares are planned for growth of the fleet by one daemon per this many, which may happen at any time.
+constexpr std::size_t kGrowthDivisor = 3;
+
+/// An unknown key is answered with 401 only under a proof that is younger than this fraction (1/n) of the
+/// time within which new keys take effect everywhere.
+constexpr int kFinalRefusalDivisor = 2;
+
+/// Answers readiness checks, and metrics at their path.
 class StatusHandler : public RequestHandler {
  public:
   StatusHandler(std::function<bool()> ready, std::function<std::string()> metrics)
@@ -51,11 +53,11 @@
 
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override {
     if (request.target == kMetricsPath) {
-      HttpReply reply = ownReply(kOk, "");
+      HttpReply reply = textReply(kOk, "");
       reply.body = metrics_();
       writer.write(reply);
     } else {
-      writer.write(ready_() ? ownReply(kOk, "ready") : ownReply(kUnavailable, "not ready"));
+      writer.write(ready_() ? textReply(kOk, "ready") : textReply(kUnavailable, "not ready"));
     }
     return nullptr;
   }
@@ -65,7 +67,7 @@
   std::function<std::string()> metrics_;
 };
 
-/// How old a proof may be under which a key is used; none: without bound.
+/// Maximum age of the proof under which a key is accepted; empty if unbounded.
 std::optional<Duration> proofBoundFor(const GatewaySettings& settings) {
   return settings.keyRevocationBound ? std::optional(*settings.keyRevocationBound - kProofMargin)
                                      : std::nullopt;
@@ -78,13 +80,13 @@
 }
 
 AuthorizationSettings authorizationSettings(const GatewaySettings& settings) {
-  return AuthorizationSettings{proofBoundFor(settings), settings.configurationBound / kFinalRefusalParts};
+  return AuthorizationSettings{proofBoundFor(settings), settings.configurationBound / kFinalRefusalDivisor};
 }
 
 FollowerSettings followerSettings(const GatewaySettings& settings) {
   FollowerSettings follower;
-  follower.knowledge.removalDelay = removalDelayFor(settings.leaveBound);
-  follower.knowledge.lapseWithin = lapseWithinFor(settings.leafHeartbeat);
+  follower.state.removalDelay = removalDelayFor(settings.leaveBound);
+  follower.state.expiryWindow = expiryWindowFor(settings.leafHeartbeat);
   follower.prover = proverSettings(settings);
   return follower;
 }
@@ -98,13 +100,14 @@
         published_(emptyView()),
         proof_(std::make_shared<const ConfigurationProof>()),
         random_(std::random_device{}()),
-        extraSendShare_(settings.extraSends, kUsualDaemons),
-        budgets_(extraSendShare_.bounds(), steadyNow(), random_),
-        ownerShare_(settings.extraSends, kUsualOwners + kOwnersInChange, ExtraSendShare::Holder::kOwner),
-        ownerBudgets_(ownerShare_.bounds(), steadyNow(), random_),
+        retryShare_(settings.retryLimit, kDefaultDaemons),
+        retryBudgets_(retryShare_.limit(), steadyNow(), random_),
+        ownerRetryShare_(settings.retryLimit, kDefaultOwners + kMaxReplacedOwners,
+                         RetryLimitShare::Scope::kOwner),
+        ownerRetryBudgets_(ownerRetryShare_.limit(), steadyNow(), random_),
         requests_(requestContext_, names, published_, proof_, settings.peerAddress,
                   QueryContext{leafs_,
-                               budgets_,
+                               retryBudgets_,
                                random_,
                                QueryPolicy{},
                                settings.zone,
@@ -113,16 +116,16 @@
                                {},
                                nullptr,
                                {}},
-                  ownerBudgets_,
+                  ownerRetryBudgets_,
                   [this](const Endpoint& to, PeerEnvelope envelope) {
-                    source_.sendShardFrame(to, std::move(envelope));
+                    source_.sendFrame(to, std::move(envelope));
                   }),
-        statusHandler_([this] { return takesCallers(); }, [this] { return metrics(); }),
+        statusHandler_([this] { return isReady(); }, [this] { return metrics(); }),
         callers_(requestContext_, requests_),
         status_(requestContext_, statusHandler_),
         source_(controlContext_, settings.sourceAddress, dialect,
-                PeerLinkSettings{settings.peerAddress, settings.zone, settings.seeds,
-                                 capacityOf(settings.machine)},
+                PeerMessengerSettings{settings.peerAddress, settings.zone, settings.seeds,
+                                      capacityOf(settings.machine)},
                 followerSettings(settings), published_, proof_,
                 {[this] { onView(); }, [this] { onProof(); },
                  [this](const DaemonGroup& daemons) { onDaemons(daemons); },
@@ -143,7 +146,7 @@
         signals_(requestContext_, SIGTERM, SIGINT, SIGHUP),
         stopTimer_(requestContext_),
         reloadTimer_(requestContext_),
-        settledTimer_(controlContext_) {}
+        stabilizationTimer_(controlContext_) {}
 
   int run() {
     for (const std::string& problem : {callers_.listen(settings_.callerAddress),
@@ -158,12 +161,12 @@
     requests_.setWarmupTolerance(settings_.warmup);
     requests_.setAuthorization(authorizationSettings(settings_));
     requests_.setQuotaTolerance(settings_.quota);
-    requests_.setOnStateWanted(
-        [this] { boost::asio::post(controlContext_, [this] { source_.onStateWanted(); }); });
+    requests_.setOnConfigurationNeeded(
+        [this] { boost::asio::post(controlContext_, [this] { source_.onConfigurationNeeded(); }); });
     awaitSignal();
-    deliverSignals();
+    unblockSignals();
     scheduleReload();
-    scheduleSettled();
+    scheduleStabilization();
     const auto keepRunning = boost::asio::make_work_guard(controlContext_);
     std::thread control([this] { controlContext_.run(); });
     requestContext_.run();
@@ -202,11 +205,12 @@
     boost::asio::post(requestContext_, [this, counters = source_.counters()] { sourceCounters_ = counters; });
   }
 
-  /// Callers should be sent here. Where keys are bound to proofs, not without one: all but public routes
-  /// would be refused. If no daemon of a zone has one, the platform sends callers to all the same.
-  bool takesCallers() const {
+  /// Whether this daemon is ready for callers. If keys require a recent proof, it is not ready without one,
+  /// because all requests except those for public routes would be refused. If no daemon of a zone is ready,
+  /// the platform sends callers to all of them.
+  bool isReady() const {
     const auto bound = proofBoundFor(settings_);
-    // Before the view, which is published first.
+    // Read before the view, because the view is published before the proof.
     const auto proof = proof_.read();
     const auto view = published_.read();
     if (!ready_ || !bound || !view->configuration || view->configuration->tenants.empty()) {
@@ -221,36 +225,38 @@
                                : std::chrono::duration<double>(steadyNow() - proof->provenAt).count();
   }
 
-  /// On the control thread. Until the others are known, a usual number is taken.
+  /// On the control thread. Assumes a default fleet size until membership is stable.
   void onDaemons(const DaemonGroup& daemons) {
     lastDaemons_ = daemons;
     const Moment now = steadyNow();
-    settling_.onMembers(daemons.all.size(), now);
-    settled_ = settled_ || now >= settling_.settledAt();
-    const bool settled = settled_;
+    stabilization_.onMembers(daemons.all.size(), now);
+    membershipStable_ = membershipStable_ || now >= stabilization_.stableAt();
+    const bool membershipStable = membershipStable_;
     const std::size_t count = daemons.all.size();
-    const std::size_t planned = settled ? count + count / kSpareShare + 1 : std::max(count, kUsualDaemons);
-    boost::asio::post(requestContext_, [this, daemons, planned, settled, counters = source_.counters()] {
-      sourceCounters_ = counters;
-      daemons_ = daemons.all.size();
-      fleetCapacity_ = capacityOf(daemons.all);
-      requests_.setDaemons(daemons, planned, settled);
-      extraSendShare_.onDaemonCount(planned);
-      budgets_.setBounds(extraSendShare_.bounds());
-      ownerShare_.onDaemonCount(daemons.zones + kOwnersInChange);
-      ownerBudgets_.setBounds(ownerShare_.bounds());
-    });
+    const std::size_t planned =
+        membershipStable ? count + count / kGrowthDivisor + 1 : std::max(count, kDefaultDaemons);
+    boost::asio::post(requestContext_,
+                      [this, daemons, planned, membershipStable, counters = source_.counters()] {
+                        sourceCounters_ = counters;
+                        daemons_ = daemons.all.size();
+                        fleetCapacity_ = totalPlacementWeight(daemons.all);
+                        requests_.setDaemons(daemons, planned, membershipStable);
+                        retryShare_.onDaemonCount(planned);
+                        retryBudgets_.setLimit(retryShare_.limit());
+                        ownerRetryShare_.onDaemonCount(daemons.zones + kMaxReplacedOwners);
+                        ownerRetryBudgets_.setLimit(ownerRetryShare_.limit());
+                      });
   }
 
-  /// On the control thread. The others have had time to be found.
-  void scheduleSettled() {
-    setFor(settledTimer_, settling_.settledAt());
-    settledTimer_.async_wait([this](const boost::system::error_code& error) {
-      if (error || settled_) {
+  /// On the control thread. Applies the last members again once membership is stable.
+  void scheduleStabilization() {
+    setFor(stabilizationTimer_, stabilization_.stableAt());
+    stabilizationTimer_.async_wait([this](const boost::system::error_code& error) {
+      if (error || membershipStable_) {
         return;
       }
-      if (steadyNow() < settling_.settledAt()) {
-        scheduleSettled();
+      if (steadyNow() < stabilization_.stableAt()) {
+        scheduleStabilization();
         return;
       }
       onDaemons(lastDaemons_);
@@ -263,7 +269,7 @@
     for (const auto& [service, entries] : *view->leafs) {
       leafs += entries.size();
     }
-    return metricsText(GatewayFigures{requests_.counters(),
+    return metricsText(GatewayMetrics{requests_.counters(),
                                       requests_.poolCounters(),
                                       requests_.ownerCounters(),
                                       requests_.partsServed(),
@@ -274,15 +280,15 @@
                                       view->configuration ? view->configuration->version : 0,
                                       leafs,
                                       daemons_,
-                                      requests_.condemnedRequests(),
-                                      takesCallers(),
-                                      requests_.logLinesLeftOut(),
+                                      requests_.quarantinedRequests(),
+                                      isReady(),
+                                      requests_.logLinesSuppressed(),
                                       droppedLogLines(),
                                       capacityOf(settings_.machine),
                                       fleetCapacity_,
                                       view->tenants ? view->tenants->keyCount() : 0,
                                       proofAgeSeconds(),
-                                      requests_.quotaFigures()});
+                                      requests_.quotaMetrics()});
   }
 
   void awaitSignal() {
@@ -299,7 +305,7 @@
     });
   }
 
-  /// The settings may also change without a signal.
+  /// Settings may change without a signal.
   void scheduleReload() {
     reloadTimer_.expires_after(kReloadPeriod);
     reloadTimer_.async_wait([this](const boost::system::error_code& error) {
@@ -311,20 +317,21 @@
   }
 
   void reload() {
-    const auto fresh = reload_();
-    if (!fresh || describe(*fresh) == describe(settings_)) {
+    const auto reloaded = reload_();
+    if (!reloaded || describe(*reloaded) == describe(settings_)) {
       return;
     }
-    settings_ = *fresh;
-    extraSendShare_.setTotal(settings_.extraSends);
-    budgets_.setBounds(extraSendShare_.bounds());
-    ownerShare_.setTotal(settings_.extraSends);
+    settings_ = *reloaded;
+    retryShare_.setTotal(settings_.retryLimit);
+    retryBudgets_.setLimit(retryShare_.limit());
+    ownerRetryShare_.setTotal(settings_.retryLimit);
     requests_.setWarmupTolerance(settings_.warmup);
     requests_.setAuthorization(authorizationSettings(settings_));
     requests_.setQuotaTolerance(settings_.quota);
-    ownerBudgets_.setBounds(ownerShare_.bounds());
-    boost::asio::post(controlContext_, [this, fresh = settings_] {
-      source_.reload(fresh.sourceAddress, fresh.seeds, capacityOf(fresh.machine), proverSettings(fresh));
+    ownerRetryBudgets_.setLimit(ownerRetryShare_.limit());
+    boost::asio::post(controlContext_, [this, reloaded = settings_] {
+      source_.reload(reloaded.sourceAddress, reloaded.seeds, capacityOf(reloaded.machine),
+                     proverSettings(reloaded));
     });
     log(LogLevel::kInfo, "settings reloaded", {{"name", settings_.name}});
   }
@@ -344,7 +351,7 @@
 
   Duration stopReserve() const {
     const auto share = static_cast<std::int64_t>(settings_.stopGrace.count() * kStopReserveShare);
-    return std::min(kLongestStopReserve, Duration(share));
+    return std::min(kMaxStopReserve, Duration(share));
   }
 
   void checkStop() {
@@ -352,16 +359,16 @@
     if (passed >= kAcceptAfterStop) {
       callers_.stopAccepting();
       const bool idle =
-          callers_.inProgress() == 0 && callers_.connections() == 0 && requests_.servedForOthers() == 0;
-      if (idle || gaveUp_) {
+          callers_.inProgress() == 0 && callers_.connections() == 0 && requests_.inProgressForPeers() == 0;
+      if (idle || requestsAborted_) {
         requestContext_.stop();
         return;
       }
       if (passed >= settings_.stopGrace - stopReserve()) {
-        log(LogLevel::kWarning, "requests given up at the end of the grace",
+        log(LogLevel::kWarning, "stop grace period ending; answering open requests with 504",
             {{"in_progress", callers_.inProgress()}});
-        callers_.answerAll(ownReply(kGatewayTimeout, "no answer before this daemon had to stop"));
-        gaveUp_ = true;
+        callers_.answerAll(textReply(kGatewayTimeout, "no answer before this daemon had to stop"));
+        requestsAborted_ = true;
       }
     }
     stopTimer_.expires_after(kStopCheck);
@@ -381,32 +388,32 @@
   std::atomic<bool> ready_{false};
   RandomEngine random_;
   LeafRegistry leafs_;
-  ExtraSendShare extraSendShare_;
-  ExtraSendBudgets budgets_;
-  ExtraSendShare ownerShare_;
-  ExtraSendBudgets ownerBudgets_;
-  ExchangeNumbers exchanges_;
+  RetryLimitShare retryShare_;
+  RetryBudgets retryBudgets_;
+  RetryLimitShare ownerRetryShare_;
+  RetryBudgets ownerRetryBudgets_;
+  ExchangeIdSource exchanges_;
   RequestGateway requests_;
   StatusHandler statusHandler_;
   HttpService callers_;
   HttpService status_;
-  SourceLoop source_;
+  SourceSynchronizer source_;
   boost::asio::signal_set signals_;
   boost::asio::steady_timer stopTimer_;
   boost::asio::steady_timer reloadTimer_;
-  boost::asio::steady_timer settledTimer_;
+  boost::asio::steady_timer stabilizationTimer_;
   FollowerCounters sourceCounters_;
   std::size_t daemons_ = 1;
   /// In hundredths of a core.
   std::uint64_t fleetCapacity_ = 0;
-  /// Used on the control thread.
+  /// Control thread only.
   DaemonGroup lastDaemons_;
   bool stopping_ = false;
-  /// Requests in progress were answered as given up; the process ends at the next check.
-  bool gaveUp_ = false;
-  FleetSettling settling_{FleetSettlingSettings{}, steadyNow()};
-  /// Of the member table; stays once it is.
-  bool settled_ = false;
+  /// Requests in progress were answered with 504; the process stops at the next check.
+  bool requestsAborted_ = false;
+  MembershipStabilization stabilization_{MembershipStabilizationSettings{}, steadyNow()};
+  /// Membership has become stable; never reset. Control thread only.
+  bool membershipStable_ = false;
   Moment stopRequestedAt_{};
 };
 
--- a/src/programs/gateway/leaf_sender.cpp
+++ b/src/programs/gateway/leaf_sender.cpp
@@ -6,26 +6,26 @@
 
 namespace oakpier::serving {
 
-std::size_t LeafSender::connectionsTo(const std::string& service) const {
+std::size_t LeafSender::connectionLimit(const std::string& service) const {
   const auto found = shares_.find(service);
   return found == shares_.end() ? 1 : found->second.connections;
 }
 
-void LeafSender::send(const LeafSend& send, QueryContext& context, LeafPool::Listener listener) {
+void LeafSender::send(const LeafAttempt& send, QueryContext& context, LeafPool::Listener listener) {
   const LeafEntry& leaf = send.action.leaf->entry();
-  LeafPool::Order order;
-  order.exchange = send.action.exchange;
-  order.request = send.request;
-  order.rank = send.rank;
-  order.deadline = send.action.deadline;
-  order.leastTime = send.action.leastTime;
-  order.listener.onWritten = std::move(listener.onWritten);
-  order.listener.onOutcome = [&context, action = send.action, route = send.route, started = steadyNow(),
-                              notify = std::move(listener.onOutcome)](const LeafOutcome& outcome) {
+  LeafPool::ExchangeRequest request;
+  request.exchange = send.action.exchange;
+  request.request = send.request;
+  request.rank = send.rank;
+  request.deadline = send.action.deadline;
+  request.minTimeLeft = send.action.minTimeLeft;
+  request.listener.onWriteStarted = std::move(listener.onWriteStarted);
+  request.listener.onOutcome = [&context, action = send.action, route = send.route, started = steadyNow(),
+                                notify = std::move(listener.onOutcome)](const LeafOutcome& outcome) {
     const Moment now = steadyNow();
     action.leaf->onFinished(action.exchange, outcome.kind, now);
     if (outcome.load) {
-      action.leaf->onLoad(*outcome.load, now);
+      action.leaf->onLoadReport(*outcome.load, now);
     }
     if (outcome.warmupLeft) {
       action.leaf->onWarmup(*outcome.warmupLeft, now);
@@ -35,7 +35,7 @@
     }
     notify(outcome);
   };
-  pool_.send(leaf, connectionsTo(leaf.service), std::move(order));
+  pool_.send(leaf, connectionLimit(leaf.service), std::move(request));
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/merge_service.cpp
+++ b/src/programs/gateway/merge_service.cpp
@@ -16,21 +16,21 @@
       server_(context),
       timer_(io) {}
 
-void MergeService::onWork(const Endpoint& asker, const MergeWork& work) {
+void MergeService::onWork(const Endpoint& requester, const MergeWork& work) {
   partsMerged_ += static_cast<std::uint64_t>(work.parts_size());
-  apply(server_.onWork(asker, work, steadyNow()));
+  apply(server_.onWork(requester, work, steadyNow()));
 }
 
-void MergeService::onCancel(const Endpoint& asker, const MergeCancel& cancel) {
-  apply(server_.onCancel(asker, cancel));
+void MergeService::onCancel(const Endpoint& requester, const MergeCancel& cancel) {
+  apply(server_.onCancel(requester, cancel));
 }
 
 void MergeService::apply(const MergeServerActions& actions) {
-  for (const ExchangeId exchange : actions.abandons) {
-    pool_.abandon(exchange);
+  for (const ExchangeId exchange : actions.cancellations) {
+    pool_.cancel(exchange);
   }
   if (!actions.sends.empty()) {
-    // All sends of one call belong to one request.
+    // All sends of one call belong to the same request.
     const auto request =
         std::make_shared<const LeafRequestTemplate>(actions.sends.front().task->request, names_);
     for (const MergeSend& merge : actions.sends) {
@@ -46,7 +46,7 @@
 }
 
 void MergeService::send(const MergeSend& merge, std::shared_ptr<const LeafRequestTemplate> request) {
-  LeafSend send;
+  LeafAttempt send;
   send.action = merge.action;
   send.request = std::move(request);
   send.route = std::shared_ptr<const Route>(merge.task, &merge.task->route);
@@ -60,7 +60,7 @@
 }
 
 void MergeService::armTimer() {
-  timer_.arm(server_.nextDecisionAt(), [this] { apply(server_.onTime(steadyNow())); });
+  timer_.arm(server_.nextDecisionAt(), [this] { apply(server_.onTimer(steadyNow())); });
 }
 
 }  // namespace oakpier::serving
--- a/src/programs/gateway/merge_service.h
+++ b/src/programs/gateway/merge_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The merging side: sends requests of daemons in other zones to leafs of this one and returns what of the
-/// answers can count. Runs on the request thread.
+/// Merge server: sends requests from peers in other zones to leafs of this zone and returns the merged
+/// answers. Runs on the request thread.
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -19,14 +19,14 @@
   MergeService(boost::asio::io_context& io, const HeaderNames& names, LeafPool& pool, LeafSender& sender,
                QueryContext& context, FrameSender sendFrame);
 
-  void onWork(const Endpoint& asker, const MergeWork& work);
-  void onCancel(const Endpoint& asker, const MergeCancel& cancel);
+  void onWork(const Endpoint& requester, const MergeWork& work);
+  void onCancel(const Endpoint& requester, const MergeCancel& cancel);
   std::size_t inProgress() const { return server_.inProgress(); }
   std::uint64_t partsMerged() const { return partsMerged_; }
 
  private:
   void apply(const MergeServerActions& actions);
-  void send(const MergeSend& send, std::shared_ptr<const LeafRequestTemplate> request);
+  void send(const MergeSend& merge, std::shared_ptr<const LeafRequestTemplate> request);
   void armTimer();
 
   const HeaderNames& names_;
--- a/src/programs/gateway/owner_service.h
+++ b/src/programs/gateway/owner_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The owner's side of the hop between daemons: sends other daemons' shards to leafs and the results back.
-/// Runs on the request thread.
+/// Server side of shard owners: sends the shards that peers delegate to leafs and returns the results. Runs
+/// on the request thread.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -22,30 +22,30 @@
 
 class OwnerService {
  public:
-  /// `context` has the budgets of an owner.
+  /// `context` has the retry budgets of an owner.
   OwnerService(boost::asio::io_context& io, const HeaderNames& names, LeafPool& pool, LeafSender& sender,
                QueryContext context, FrameSender sendFrame);
 
-  void onWork(const Endpoint& asker, const OwnerWork& work);
-  /// The shards whose first owner this daemon is.
+  void onWork(const Endpoint& requester, const OwnerWork& work);
+  /// `services`: the shards of which this daemon is the first owner.
   void setOwnedShards(const std::unordered_set<std::string>& services);
-  void onCancel(const Endpoint& asker, const OwnerCancel& cancel);
+  void onCancel(const Endpoint& requester, const OwnerCancel& cancel);
   std::size_t inProgress() const { return server_.inProgress(); }
   std::uint64_t partsServed() const { return partsServed_; }
   void setWarmups(const WarmupAllowances& warmups) { context_.warmups = warmups; }
-  std::uint64_t logLinesLeftOut() const { return log_.linesLeftOut(); }
+  std::uint64_t logLinesSuppressed() const { return log_.linesSuppressed(); }
 
  private:
-  using AskerProcess = std::pair<Endpoint, std::uint64_t>;
+  using RequesterProcess = std::pair<Endpoint, std::uint64_t>;
 
   void apply(const ShardServerActions& actions);
   void logUnanswered(const UnansweredPart& part);
-  void send(const ServedSend& served, std::shared_ptr<const LeafRequestTemplate> request);
-  /// Results that come in the same turn travel in one frame.
+  void send(const OwnerSend& served, std::shared_ptr<const LeafRequestTemplate> request);
+  /// Sends the results of one event-loop turn in one frame per requester.
   void flushResults();
-  /// Tells those who wait for longer that their work has come.
-  void acknowledgeLater(const AskerProcess& asker);
-  void acknowledge();
+  /// Acknowledges the requester's work unless a result is sent first.
+  void scheduleAcknowledgement(const RequesterProcess& requester);
+  void sendAcknowledgements();
   void armTimer();
 
   boost::asio::io_context& io_;
@@ -56,9 +56,9 @@
   FrameSender sendFrame_;
   ShardServer server_;
   DecisionTimer timer_;
-  std::map<AskerProcess, OwnerResults> results_;
-  /// Those who were told nothing since their work came.
-  std::set<AskerProcess> unacknowledged_;
+  std::map<RequesterProcess, OwnerResults> results_;
+  /// Requesters that were sent no frame since their work arrived.
+  std::set<RequesterProcess> unacknowledged_;
   boost::asio::steady_timer acknowledgeTimer_;
   std::uint64_t partsServed_ = 0;
   RequestLog log_{RequestLogSettings{}};
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// Connections that are opened ahead before it is known how many daemons share the leafs.
-constexpr std::size_t kMostEarlyConnections = 150;
+/// Maximum number of leafs to connect to in advance while it is not yet known how many daemons share them.
+constexpr std::size_t kMaxEarlyConnections = 150;
 
 }  // namespace
 
 RequestGateway::RequestGateway(boost::asio::io_context& context, const HeaderNames& names,
                                Published<ServingView>& published, const Published<ConfigurationProof>& proof,
-                               const Endpoint& self, QueryContext queryContext,
-                               ExtraSendBudgets& ownerBudgets, const FrameSender& sendFrame)
+                               const Endpoint& self, QueryContext queryContext, RetryBudgets& ownerBudgets,
+                               const FrameSender& sendFrame)
     : context_(context),
       names_(names),
       published_(published),
@@ -45,70 +45,70 @@
                                  {},
                                  &quarantine_},
                     sendFrame),
-      mergeClient_(context, queryContext_, mergers_, sendFrame),
+      mergeClient_(context, queryContext_, mergeServers_, sendFrame),
       mergeService_(context, names, pool_, sender_, queryContext_, sendFrame),
-      quarantineLink_(context, quarantine_, queryContext_.random, self, sendFrame),
+      quarantineGossip_(context, quarantine_, queryContext_.random, self, sendFrame),
       quota_(context, queryContext_.random, self, sendFrame) {
   queryContext_.quarantine = &quarantine_;
   pool_.setReachabilityListener(
       [this](const LeafEntry& leaf, bool reachable) { leafs_.onReachability(leaf, reachable, steadyNow()); });
-  pool_.setLeafEndListener(
-      [this](const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under) {
-        onLeafEnd(leaf, under);
+  pool_.setLeafCrashListener(
+      [this](const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& inProgress) {
+        onLeafCrash(leaf, inProgress);
       });
   pool_.setAnswerListener([this](const RequestRecord& request) {
     if (!quarantine_.empty()) {
       quarantine_.onAnswered(request.fingerprint, steadyNow());
-      quarantineLink_.onChanged();
+      quarantineGossip_.onChanged();
     }
   });
   queryContext_.owners = &owners_;
-  queryContext_.mergers = &mergers_;
+  queryContext_.mergeServers = &mergeServers_;
 }
 
-void RequestGateway::onLeafEnd(const LeafEntry& leaf,
-                               const std::vector<std::shared_ptr<RequestRecord>>& under) {
+void RequestGateway::onLeafCrash(const LeafEntry& leaf,
+                                 const std::vector<std::shared_ptr<RequestRecord>>& inProgress) {
   const Moment now = steadyNow();
-  log_.onLeafEnd(leaf, under, now);
-  for (const auto& request : under) {
+  log_.onLeafCrash(leaf, inProgress, now);
+  for (const auto& request : inProgress) {
     if (!request->answered) {
-      quarantine_.onLeafEnded(request->fingerprint, stableHash(leaf.life()), now);
+      quarantine_.onLeafCrashed(request->fingerprint, stableHash(leaf.incarnation()), now);
     }
   }
-  quarantineLink_.onChanged();
+  quarantineGossip_.onChanged();
 }
 
-std::size_t RequestGateway::condemnedRequests() const { return quarantine_.condemned(steadyNow()); }
+std::size_t RequestGateway::quarantinedRequests() const { return quarantine_.quarantinedCount(steadyNow()); }
 
-void RequestGateway::setDaemons(const DaemonGroup& daemons, std::size_t planned, bool settled) {
-  quarantineLink_.setDaemons(addressesOf(daemons.all));
-  quota_.setDaemons(daemons.all, planned, settled);
+void RequestGateway::setDaemons(const DaemonGroup& daemons, std::size_t planned, bool membershipStable) {
+  quarantineGossip_.setDaemons(addressesOf(daemons.all));
+  quota_.setDaemons(daemons.all, planned, membershipStable);
   owners_.setDaemons(daemons.ownZone);
-  mergers_.setDaemons(daemons.otherZones);
+  mergeServers_.setDaemons(daemons.otherZones);
   daemons_.planned = planned;
   daemons_.zones = daemons.zones;
-  if (settled) {
-    const bool first = !settled_;
-    daemons_.mostPlanned = first ? planned : std::max(daemons_.mostPlanned, planned);
-    daemons_.mostZones = first ? daemons.zones : std::max(daemons_.mostZones, daemons.zones);
+  if (membershipStable) {
+    const bool first = !membershipStable_;
+    daemons_.maxPlanned = first ? planned : std::max(daemons_.maxPlanned, planned);
+    daemons_.maxZones = first ? daemons.zones : std::max(daemons_.maxZones, daemons.zones);
   }
-  settled_ = settled;
+  membershipStable_ = membershipStable;
   onView();
-  if (owners_.any()) {
-    ownerClient_.greet(addressesOf(daemons.ownZone));
+  if (owners_.hasOwnedServices()) {
+    ownerClient_.probeNewPeers(addressesOf(daemons.ownZone));
   }
 }
 
 void RequestGateway::onFrame(const Endpoint& sender, const PeerEnvelope& envelope) {
   if (envelope.has_owner_work()) {
-    serveForOther(envelope.owner_work());
+    acceptDelegatedShards(envelope.owner_work());
     ownerService_.onWork(sender, envelope.owner_work());
   } else if (envelope.has_owner_results()) {
     ownerClient_.onResults(sender, envelope.owner_results());
   } else if (envelope.has_owner_cancel()) {
     ownerService_.onCancel(sender, envelope.owner_cancel());
   } else if (envelope.has_silent_daemons()) {
-    ownerClient_.onSilentDaemons(envelope.silent_daemons());
+    ownerClient_.onUnresponsivePeers(envelope.silent_daemons());
   } else if (envelope.has_merge_work()) {
     mergeService_.onWork(sender, envelope.merge_work());
   } else if (envelope.has_merge_results()) {
@@ -116,7 +116,7 @@
   } else if (envelope.has_merge_cancel()) {
     mergeService_.onCancel(sender, envelope.merge_cancel());
   } else if (envelope.has_ending_requests()) {
-    quarantineLink_.onFrame(envelope.ending_requests());
+    quarantineGossip_.onFrame(envelope.ending_requests());
   } else if (envelope.has_token_request()) {
     quota_.onRequest(sender, envelope.token_request());
   } else if (envelope.has_token_reply()) {
@@ -124,10 +124,10 @@
   }
 }
 
-void RequestGateway::serveForOther(const OwnerWork& work) {
+void RequestGateway::acceptDelegatedShards(const OwnerWork& work) {
   const Moment now = steadyNow();
   for (const OwnerPart& part : work.parts()) {
-    if (!owners_.serveForOther(part.service(), now)) {
+    if (!owners_.serveTemporarily(part.service(), now)) {
       continue;
     }
     const auto leafs = view_->leafs->find(part.service());
@@ -150,54 +150,55 @@
 void RequestGateway::onView() {
   view_ = published_.read();
   quota_.setTenants(view_->tenants);
-  owners_.dropUnasked(steadyNow());
+  owners_.expireTemporaryShards(steadyNow());
   const LeafAssignment assignment = assignLeafs(*view_, daemons_, self_, owners_);
-  ownerService_.setOwnedShards(assignment.firstOwned);
+  ownerService_.setOwnedShards(assignment.firstOwnedServices);
   ownerService_.setWarmups(assignment.warmups);
   queryContext_.warmups = assignment.warmups;
-  sender_.setShares(assignment.shares);
+  sender_.setConnectionShares(assignment.shares);
   leafs_.reconcile(assignment.leafs, steadyNow());
-  openAhead(assignment);
+  preconnect(assignment);
   retainConnections(assignment);
 }
 
 void RequestGateway::retainConnections(const LeafAssignment& assignment) {
-  LeafLives used;
+  LeafIncarnations used;
   for (const auto& [service, entries] : assignment.leafs) {
     for (const LeafEntry& leaf : entries) {
-      used.insert(leaf.life());
+      used.insert(leaf.incarnation());
     }
   }
-  LeafLives takingWork;
+  LeafIncarnations takingWork;
   for (const auto& [service, entries] : *view_->leafs) {
     for (const LeafEntry& leaf : entries) {
-      if (leaf.takesWork()) {
-        takingWork.insert(leaf.life());
+      if (leaf.acceptsRequests()) {
+        takingWork.insert(leaf.incarnation());
       }
     }
   }
-  pool_.retain([&](const LeafLife& leaf) {
+  pool_.retain([&](const LeafIncarnation& leaf) {
     if (used.count(leaf) != 0) {
-      return LeafPool::LeafUse::kKeep;
+      return LeafPool::RetainMode::kKeep;
     }
-    return takingWork.count(leaf) != 0 ? LeafPool::LeafUse::kFinish : LeafPool::LeafUse::kStop;
+    return takingWork.count(leaf) != 0 ? LeafPool::RetainMode::kSendQueued
+                                       : LeafPool::RetainMode::kFailQueued;
   });
 }
 
-void RequestGateway::openAhead(const LeafAssignment& assignment) {
+void RequestGateway::preconnect(const LeafAssignment& assignment) {
   std::size_t count = 0;
   for (const auto& [service, entries] : assignment.leafs) {
     count += entries.size();
   }
-  if (!settled_ && count > kMostEarlyConnections) {
+  if (!membershipStable_ && count > kMaxEarlyConnections) {
     return;
   }
   for (const auto& [service, entries] : assignment.leafs) {
-    if (owners_.owned(service) && assignment.firstOwned.count(service) == 0) {
+    if (owners_.usesOwners(service) && assignment.firstOwnedServices.count(service) == 0) {
       continue;
     }
     for (const LeafEntry& leaf : entries) {
-      pool_.warm(leaf, sender_.connectionsTo(service));
+      pool_.preconnect(leaf, sender_.connectionLimit(service));
     }
   }
 }
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The request thread's side of the gateway: takes callers' requests, runs their queries over the leaf pool,
-/// answers.
+/// Request thread of the gateway: receives caller requests, runs their queries over the leaf pool and answers
+/// them.
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -19,8 +19,8 @@
 #include "programs/gateway/merge_service.h"
 #include "programs/gateway/owner_client.h"
 #include "programs/gateway/owner_service.h"
-#include "programs/gateway/quarantine_link.h"
-#include "programs/gateway/quota_link.h"
+#include "programs/gateway/quarantine_gossip.h"
+#include "programs/gateway/quota_enforcer.h"
 #include "programs/gateway/request_log.h"
 #include "protocol/serving/header_names.h"
 #include "state/published.h"
@@ -29,99 +29,105 @@
 
 namespace oakpier::serving {
 
-/// Until the others had time to be found, this many daemons are assumed.
-inline constexpr std::size_t kUsualDaemons = 12;
+/// Fleet size that is assumed until peers have had time to be discovered.
+inline constexpr std::size_t kDefaultDaemons = 12;
 
-/// What is assumed of the daemons that share leafs until any are known.
-inline SharingDaemons sharingUntilKnown() {
-  SharingDaemons daemons;
-  daemons.planned = kUsualDaemons;
+/// Assumption about the daemons that share leafs until peers are known.
+inline FleetParameters defaultSharingDaemons() {
+  FleetParameters daemons;
+  daemons.planned = kDefaultDaemons;
   return daemons;
 }
 
 class RequestGateway : public RequestHandler {
  public:
-  /// `ownerBudgets`: those of a shard's owner, while `queryContext` has those of every daemon.
+  /// `ownerBudgets`: retry budgets for shards that this daemon owns; `queryContext` has those for its own
+  /// queries.
   RequestGateway(boost::asio::io_context& context, const HeaderNames& names,
                  Published<ServingView>& published, const Published<ConfigurationProof>& proof,
-                 const Endpoint& self, QueryContext queryContext, ExtraSendBudgets& ownerBudgets,
+                 const Endpoint& self, QueryContext queryContext, RetryBudgets& ownerBudgets,
                  const FrameSender& sendFrame);
 
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override;
 
-  /// A new view was published.
+  /// Call after a new view was published.
   void onView();
-  /// Takes effect with the next view.
+  /// Takes effect with the next call of `onView`.
   void setWarmupTolerance(const WarmupTolerance& tolerance) { daemons_.warmup = tolerance; }
   void setAuthorization(const AuthorizationSettings& settings) { authorization_ = settings; }
   void setQuotaTolerance(const QuotaTolerance& tolerance) { quota_.setTolerance(tolerance); }
-  /// All daemons that are suspected to have ended.
+  /// `suspected`: all daemons that the membership protocol suspects.
   void setSuspectedDaemons(const std::vector<Endpoint>& suspected) { quota_.setSuspected(suspected); }
-  /// Called once, when a caller is refused as no configuration is known.
-  void setOnStateWanted(std::function<void()> handler) { onStateWanted_ = std::move(handler); }
-  /// `planned`: how many daemons share each leaf's connections. `settled`: that can be relied on.
-  void setDaemons(const DaemonGroup& daemons, std::size_t planned, bool settled);
-  /// A frame of another daemon, or of this one, about shards.
+  /// `handler` is called at most once, when a caller is first refused because no configuration is known.
+  void setOnConfigurationNeeded(std::function<void()> handler) {
+    onConfigurationNeeded_ = std::move(handler);
+  }
+  /// `planned`: the number of daemons assumed to share each leaf's connections. `membershipStable`:
+  /// whether `planned` is reliable.
+  void setDaemons(const DaemonGroup& daemons, std::size_t planned, bool membershipStable);
+  /// `sender` may be this daemon itself.
   void onFrame(const Endpoint& sender, const PeerEnvelope& envelope);
-  /// A frame could not be handed to the network.
+  /// `envelope` could not be handed to the network.
   void onUndeliverable(const PeerEnvelope& envelope);
-  /// Requests of other daemons that this one works on.
-  std::size_t servedForOthers() const { return ownerService_.inProgress() + mergeService_.inProgress(); }
-  const QuarantineLinkCounters& quarantineCounters() const { return quarantineLink_.counters(); }
-  /// Requests that are rejected at present, as leafs end under them.
-  std::size_t condemnedRequests() const;
+  /// Requests of peers in progress.
+  std::size_t inProgressForPeers() const { return ownerService_.inProgress() + mergeService_.inProgress(); }
+  const QuarantineGossipCounters& quarantineCounters() const { return quarantineGossip_.counters(); }
+  /// Number of fingerprints of requests that are currently rejected for crashing leafs.
+  std::size_t quarantinedRequests() const;
   const RequestCounters& counters() const { return counters_; }
-  QuotaFigures quotaFigures() const { return quota_.figures(); }
+  QuotaMetrics quotaMetrics() const { return quota_.metrics(); }
   const LeafPoolCounters& poolCounters() const { return pool_.counters(); }
   const OwnerClientCounters& ownerCounters() const { return ownerClient_.counters(); }
   std::uint64_t partsServed() const { return ownerService_.partsServed(); }
   const MergeClientCounters& mergeCounters() const { return mergeClient_.counters(); }
   std::uint64_t partsMerged() const { return mergeService_.partsMerged(); }
-  std::uint64_t logLinesLeftOut() const { return log_.linesLeftOut() + ownerService_.logLinesLeftOut(); }
+  std::uint64_t logLinesSuppressed() const {
+    return log_.linesSuppressed() + ownerService_.logLinesSuppressed();
+  }
 
  private:
-  /// Takes up the shards that the asking daemon takes this one for the owner of: member tables may differ.
-  void serveForOther(const OwnerWork& work);
+  /// Registers the leafs of delegated shards that this daemon does not consider its own: the requester's
+  /// member table may differ from that of this daemon.
+  void acceptDelegatedShards(const OwnerWork& work);
   struct ActiveQuery;
-  struct ArrivedRequest;
+  struct IncomingRequest;
   using ActivePointer = std::shared_ptr<ActiveQuery>;
 
-  // From a request's arrival to the start of its query: request_intake.cpp. The first three return false once
-  // they have answered the request.
-  bool findRoute(ArrivedRequest& arrived);
-  bool identifyCaller(ArrivedRequest& arrived);
-  bool admit(ArrivedRequest& arrived);
-  void rejectCaller(const ArrivedRequest& arrived, AuthorizationProblem problem);
-  void onQuota(ArrivedRequest& arrived, const QuotaDecision& decision);
-  void onCallerGone(ArrivedRequest& arrived);
-  void begin(ArrivedRequest& arrived);
-
-  /// Answers before there is a query. `route`: empty when no configuration is known.
+  // From the arrival of a request to the start of its query, in request_intake.cpp. The first three return
+  // false if they have answered the request.
+  bool findRoute(IncomingRequest& incoming);
+  bool identifyCaller(IncomingRequest& incoming);
+  bool admit(IncomingRequest& incoming);
+  void rejectCaller(const IncomingRequest& incoming, AuthorizationError problem);
+  void onQuotaDecision(IncomingRequest& incoming, const QuotaDecision& decision);
+  void onCallerDisconnected(IncomingRequest& incoming);
+  void begin(IncomingRequest& incoming);
+
+  /// Refuses a request before its query starts. `route` is empty if no configuration is known.
   void refuse(const ResponseWriter& writer, const LoggedRequest& request, const std::string& route,
               LossCause cause, Duration retryAfter);
-  /// Answers a request under which leafs have ended and which may not be sent now. False when it may.
-  bool rejectEndingLeafs(const ResponseWriter& writer, const LoggedRequest& request, const Route& route,
-                         const RequestQuarantine::Judgement& judgement);
-  /// The caller's own, and not beyond the route's timeout.
+  /// Answers a request that has crashed leafs and may not be sent now; returns false if it may be sent.
+  bool rejectQuarantined(const ResponseWriter& writer, const LoggedRequest& request, const Route& route,
+                         const RequestQuarantine::Assessment& assessment);
+  /// The deadline that the caller sent, limited by the route's timeout.
   Moment deadlineOf(const HttpRequest& request, const Route& route, Moment now) const;
 
-  // A query and what it asks of the real world: request_queries.cpp.
+  // Applies the actions of a running query, in request_queries.cpp.
   void apply(const ActivePointer& active, QueryActions actions);
   void send(const ActivePointer& active, const SendAction& action);
-  void relay(const ActivePointer& active, const std::vector<RelayAction>& relays);
-  /// Sends by way of merging daemons.
-  void sendMerged(const ActivePointer& active, const std::vector<SendAction>& sends);
+  void delegate(const ActivePointer& active, const std::vector<DelegateAction>& delegations);
+  void sendToMergeServers(const ActivePointer& active, const std::vector<SendAction>& sends);
   void onOutcome(const ActivePointer& active, ExchangeId exchange, const LeafOutcome& outcome);
   void answer(const ActivePointer& active, const FinalAnswer& answer);
   void countDecisions(const RequestTrace& trace);
   void armTimer(const ActivePointer& active);
 
-  /// Takes up evidence against requests under which a leaf's process has ended.
-  void onLeafEnd(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under);
-  /// Ends the use of connections to leafs that are no longer assigned.
+  /// Records evidence against the requests that were in progress at a leaf that crashed.
+  void onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& inProgress);
+  /// Finishes or closes connections to leafs that are no longer assigned to this daemon.
   void retainConnections(const LeafAssignment& assignment);
-  /// Opens the first connections to leafs before requests need them.
-  void openAhead(const LeafAssignment& assignment);
+  /// Opens connections to assigned leafs before requests need them.
+  void preconnect(const LeafAssignment& assignment);
 
   boost::asio::io_context& context_;
   const HeaderNames& names_;
@@ -138,14 +144,14 @@
   ShardOwners owners_;
   OwnerClient ownerClient_;
   OwnerService ownerService_;
-  ZoneMergers mergers_;
+  MergeServerSelector mergeServers_;
   MergeClient mergeClient_;
   MergeService mergeService_;
-  QuarantineLink quarantineLink_;
-  QuotaLink quota_;
-  SharingDaemons daemons_ = sharingUntilKnown();
-  bool settled_ = false;
-  std::function<void()> onStateWanted_;
+  QuarantineGossip quarantineGossip_;
+  QuotaEnforcer quota_;
+  FleetParameters daemons_ = defaultSharingDaemons();
+  bool membershipStable_ = false;
+  std::function<void()> onConfigurationNeeded_;
   RequestCounters counters_;
   RequestLog log_{RequestLogSettings{}};
 };
--- a/src/programs/gateway/request_intake.cpp
+++ b/src/programs/gateway/request_intake.cpp
@@ -4,7 +4,7 @@
 #include "programs/gateway/active_query.h"
 #include "protocol/serving/caller_credentials.h"
 #include "protocol/serving/caller_messages.h"
-#include "protocol/serving/hop_headers.h"
+#include "protocol/serving/hop_by_hop_headers.h"
 #include "transport/steady_clock.h"
 
 namespace oakpier::serving {
@@ -16,18 +16,18 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kInternalError = 500;
-/// For callers that come before the first configuration is known.
-constexpr Duration kStartingRetryAfter = std::chrono::milliseconds(300);
-/// For callers that come while the configuration is not proved fresh: about one round of proofs.
+/// Used while no configuration is known yet.
+constexpr Duration kNoConfigurationRetryAfter = std::chrono::milliseconds(300);
+/// Used while there is no sufficiently recent freshness proof; about one round of proof requests.
 constexpr Duration kProofRetryAfter = std::chrono::milliseconds(600);
 
-LossCause causeOf(AuthorizationProblem problem) {
+LossCause causeOf(AuthorizationError problem) {
   switch (problem) {
-    case AuthorizationProblem::kKeyMissing:
+    case AuthorizationError::kKeyMissing:
       return LossCause::kKeyMissing;
-    case AuthorizationProblem::kKeyUnknown:
+    case AuthorizationError::kKeyUnknown:
       return LossCause::kKeyUnknown;
-    case AuthorizationProblem::kKeyMaybeNew:
+    case AuthorizationError::kKeyNotYetKnown:
       return LossCause::kKeyMaybeNew;
     default:
       return LossCause::kProofTooOld;
@@ -44,19 +44,20 @@
   log_.onRefused(request, route, cause, reply.status, steadyNow());
 }
 
-bool RequestGateway::rejectEndingLeafs(const ResponseWriter& writer, const LoggedRequest& request,
-                                       const Route& route, const RequestQuarantine::Judgement& judgement) {
-  if (judgement.verdict == RequestQuarantine::Verdict::kNotYet) {
-    refuse(writer, request, route.name, LossCause::kEndsLeafs, judgement.retryAfter);
+bool RequestGateway::rejectQuarantined(const ResponseWriter& writer, const LoggedRequest& request,
+                                       const Route& route, const RequestQuarantine::Assessment& assessment) {
+  if (assessment.verdict == RequestQuarantine::Verdict::kDeferred) {
+    refuse(writer, request, route.name, LossCause::kCrashesLeafs, assessment.retryAfter);
     return true;
   }
-  if (judgement.verdict != RequestQuarantine::Verdict::kCondemned) {
+  if (assessment.verdict != RequestQuarantine::Verdict::kQuarantined) {
     return false;
   }
-  ++counters_.rejectedEndingLeafs;
-  // Not 503: that says "not run, come back", and leafs have run it. Not 4xx: the caller need not be wrong.
-  writer.write(ownReply(kInternalError, "rejected: leafs have ended each time that they ran this request"));
-  log_.onRefused(request, route.name, LossCause::kEndsLeafs, kInternalError, steadyNow());
+  ++counters_.rejectedQuarantined;
+  // Not 503, which means "not run, retry later": leafs have run the request. Not 4xx: the caller may be
+  // right.
+  writer.write(textReply(kInternalError, "rejected: leafs have ended each time that they ran this request"));
+  log_.onRefused(request, route.name, LossCause::kCrashesLeafs, kInternalError, steadyNow());
   return true;
 }
 
@@ -72,121 +73,120 @@
 
 std::function<void()> RequestGateway::onRequest(HttpRequest request, ResponseWriter writer) {
   ++counters_.received;
-  auto arrived = std::make_shared<ArrivedRequest>(std::move(writer));
-  arrived->receivedAt = steadyNow();
-  const std::string* told = findHeader(request.headers, names_.requestId);
-  arrived->logged.id = told == nullptr ? "" : *told;
-  arrived->request = std::move(request);
-  arrived->view = view_;
-  if (!findRoute(*arrived) || !identifyCaller(*arrived) || !admit(*arrived)) {
+  auto incoming = std::make_shared<IncomingRequest>(std::move(writer));
+  incoming->receivedAt = steadyNow();
+  const std::string* requestId = findHeader(request.headers, names_.requestId);
+  incoming->logged.id = requestId == nullptr ? "" : *requestId;
+  incoming->request = std::move(request);
+  incoming->view = view_;
+  if (!findRoute(*incoming) || !identifyCaller(*incoming) || !admit(*incoming)) {
     return nullptr;
   }
-  if (arrived->tenant == nullptr) {
-    begin(*arrived);
+  if (incoming->tenant == nullptr) {
+    begin(*incoming);
   } else {
-    quota_.take(*arrived->tenant,
-                [this, arrived](const QuotaDecision& decision) { onQuota(*arrived, decision); });
+    quota_.acquire(*incoming->tenant,
+                   [this, incoming](const QuotaDecision& decision) { onQuotaDecision(*incoming, decision); });
   }
-  return [this, arrived] { onCallerGone(*arrived); };
+  return [this, incoming] { onCallerDisconnected(*incoming); };
 }
 
-bool RequestGateway::findRoute(ArrivedRequest& arrived) {
-  const HttpRequest& request = arrived.request;
-  if (!arrived.view->configuration) {
-    arrived.logged.fingerprint = fingerprintOf(request);
-    refuse(arrived.writer, arrived.logged, "", LossCause::kNoConfiguration, kStartingRetryAfter);
-    if (const auto wanted = std::exchange(onStateWanted_, nullptr)) {
-      wanted();
+bool RequestGateway::findRoute(IncomingRequest& incoming) {
+  const HttpRequest& request = incoming.request;
+  if (!incoming.view->configuration) {
+    incoming.logged.fingerprint = fingerprintOf(request);
+    refuse(incoming.writer, incoming.logged, "", LossCause::kNoConfiguration, kNoConfigurationRetryAfter);
+    if (const auto notify = std::exchange(onConfigurationNeeded_, nullptr)) {
+      notify();
     }
     return false;
   }
   const std::string* host = findHeader(request.headers, "Host");
-  arrived.route = host == nullptr ? nullptr : arrived.view->routes->find(*host, request.target);
-  if (arrived.route != nullptr) {
+  incoming.route = host == nullptr ? nullptr : incoming.view->routes->find(*host, request.target);
+  if (incoming.route != nullptr) {
     return true;
   }
   ++counters_.noRoute;
-  const HttpReply reply = host == nullptr ? ownReply(kBadRequest, "the request names no host")
-                                          : ownReply(kNotFound, "no route for this host and path");
-  arrived.writer.write(reply);
-  arrived.logged.fingerprint = fingerprintOf(request);
-  log_.onUnrouted(arrived.logged, reply.status, arrived.receivedAt);
+  const HttpReply reply = host == nullptr ? textReply(kBadRequest, "the request names no host")
+                                          : textReply(kNotFound, "no route for this host and path");
+  incoming.writer.write(reply);
+  incoming.logged.fingerprint = fingerprintOf(request);
+  log_.onUnrouted(incoming.logged, reply.status, incoming.receivedAt);
   return false;
 }
 
-bool RequestGateway::identifyCaller(ArrivedRequest& arrived) {
-  const ServingView& view = *arrived.view;
-  const auto key = keyOf(arrived.request.headers, names_);
+bool RequestGateway::identifyCaller(IncomingRequest& incoming) {
+  const ServingView& view = *incoming.view;
+  const auto key = keyOf(incoming.request.headers, names_);
   const auto proof = proof_.read();
   const Authorization authorization =
-      authorize(*arrived.route, key, view, *proof, authorization_, arrived.receivedAt);
-  const auto* problem = std::get_if<AuthorizationProblem>(&authorization);
+      authorize(*incoming.route, key, view, *proof, authorization_, incoming.receivedAt);
+  const auto* problem = std::get_if<AuthorizationError>(&authorization);
   if (problem == nullptr) {
-    arrived.tenant = std::get<AuthorizedCaller>(authorization).tenant;
+    incoming.tenant = std::get<AuthorizedCaller>(authorization).tenant;
   }
   if (view.tenants != nullptr && !view.tenants->empty()) {
-    // Also of a refused request: its log line names the tenant, and its fingerprint does not depend on the
-    // key.
-    const Tenant* named = problem != nullptr && key ? view.tenants->holderOf(*key) : arrived.tenant;
-    arrived.logged.tenant = named == nullptr ? "" : named->name;
-    replaceCredentials(arrived.request, arrived.logged.tenant, names_);
+    // Also for refused requests, so that the log line names the tenant and the fingerprint does not depend on
+    // the key.
+    const Tenant* named = problem != nullptr && key ? view.tenants->findByKey(*key) : incoming.tenant;
+    incoming.logged.tenant = named == nullptr ? "" : named->name;
+    replaceCredentials(incoming.request, incoming.logged.tenant, names_);
   }
-  arrived.logged.fingerprint = fingerprintOf(arrived.request);
+  incoming.logged.fingerprint = fingerprintOf(incoming.request);
   if (problem != nullptr) {
-    rejectCaller(arrived, *problem);
+    rejectCaller(incoming, *problem);
   }
   return problem == nullptr;
 }
 
-void RequestGateway::rejectCaller(const ArrivedRequest& arrived, AuthorizationProblem problem) {
+void RequestGateway::rejectCaller(const IncomingRequest& incoming, AuthorizationError problem) {
   const LossCause cause = causeOf(problem);
-  const bool final =
-      problem == AuthorizationProblem::kKeyMissing || problem == AuthorizationProblem::kKeyUnknown;
+  const bool final = problem == AuthorizationError::kKeyMissing || problem == AuthorizationError::kKeyUnknown;
   if (!final) {
-    ++counters_.refusedUnproved;
-    refuse(arrived.writer, arrived.logged, arrived.route->name, cause, kProofRetryAfter);
+    ++counters_.refusedUnproven;
+    refuse(incoming.writer, incoming.logged, incoming.route->name, cause, kProofRetryAfter);
     return;
   }
   ++counters_.rejectedKeys;
-  arrived.writer.write(ownReply(kUnauthorized, std::string("rejected: ") + textOf(cause)));
-  log_.onRefused(arrived.logged, arrived.route->name, cause, kUnauthorized, arrived.receivedAt);
+  incoming.writer.write(textReply(kUnauthorized, std::string("rejected: ") + textOf(cause)));
+  log_.onRefused(incoming.logged, incoming.route->name, cause, kUnauthorized, incoming.receivedAt);
 }
 
-bool RequestGateway::admit(ArrivedRequest& arrived) {
-  const Moment now = arrived.receivedAt;
-  const Route& route = *arrived.route;
-  arrived.judgement = quarantine_.judge(arrived.logged.fingerprint, now);
-  if (rejectEndingLeafs(arrived.writer, arrived.logged, route, arrived.judgement)) {
+bool RequestGateway::admit(IncomingRequest& incoming) {
+  const Moment now = incoming.receivedAt;
+  const Route& route = *incoming.route;
+  incoming.assessment = quarantine_.assess(incoming.logged.fingerprint, now);
+  if (rejectQuarantined(incoming.writer, incoming.logged, route, incoming.assessment)) {
     return false;
   }
-  if (const auto refusal = refuseWhenUnservable(route, *arrived.view, queryContext_, now)) {
+  if (const auto refusal = refuseIfUnservable(route, *incoming.view, queryContext_, now)) {
     ++counters_.refusedUnservable;
-    refuse(arrived.writer, arrived.logged, route.name, LossCause::kLeafUnreachable, refusal->retryAfter);
+    refuse(incoming.writer, incoming.logged, route.name, LossCause::kLeafUnreachable, refusal->retryAfter);
     return false;
   }
-  if (const auto refusal = refuseWhenBusy(route, queryContext_, now)) {
+  if (const auto refusal = refuseIfOverloaded(route, queryContext_, now)) {
     ++counters_.refusedBusy;
-    refuse(arrived.writer, arrived.logged, route.name, LossCause::kLeafsTooBusy, refusal->retryAfter);
+    refuse(incoming.writer, incoming.logged, route.name, LossCause::kLeafsTooBusy, refusal->retryAfter);
     return false;
   }
   return true;
 }
 
-void RequestGateway::onQuota(ArrivedRequest& arrived, const QuotaDecision& decision) {
-  if (arrived.callerGone) {
+void RequestGateway::onQuotaDecision(IncomingRequest& incoming, const QuotaDecision& decision) {
+  if (incoming.callerDisconnected) {
     if (decision.granted) {
-      quota_.giveBack(arrived.tenant->name, decision.token);
+      quota_.release(incoming.tenant->name, decision.token);
     }
     return;
   }
   if (decision.granted) {
-    arrived.token = decision.token;
-    begin(arrived);
+    incoming.token = decision.token;
+    begin(incoming);
     return;
   }
   if (decision.refusal == RefusalCause::kUnanswered) {
-    // The fault is the fleet's, so that it is told as one: 429 would send the caller to the tenant's limit.
-    refuse(arrived.writer, arrived.logged, arrived.route->name, LossCause::kTenantNotCounted,
+    // The fleet is at fault, so this is not answered with 429, which would point to the tenant's limit.
+    refuse(incoming.writer, incoming.logged, incoming.route->name, LossCause::kQuotaUnavailable,
            decision.retryAfter);
     return;
   }
@@ -194,37 +194,37 @@
   const LossCause cause = LossCause::kTenantOverLimit;
   HttpReply reply = refusalReply(decision.retryAfter, std::string("not run: ") + textOf(cause));
   reply.status = kTooManyRequests;
-  arrived.writer.write(reply);
-  log_.onRefused(arrived.logged, arrived.route->name, cause, reply.status, steadyNow());
+  incoming.writer.write(reply);
+  log_.onRefused(incoming.logged, incoming.route->name, cause, reply.status, steadyNow());
 }
 
-void RequestGateway::onCallerGone(ArrivedRequest& arrived) {
-  arrived.callerGone = true;
-  if (const ActivePointer gone = arrived.active.lock()) {
-    ++counters_.callersGone;
-    log_.onCallerGone(loggedAs(*gone->request), *gone->query, steadyNow());
-    countDecisions(gone->query->trace());
-    apply(gone, gone->query->onCallerGone());
+void RequestGateway::onCallerDisconnected(IncomingRequest& incoming) {
+  incoming.callerDisconnected = true;
+  if (const ActivePointer active = incoming.active.lock()) {
+    ++counters_.callersDisconnected;
+    log_.onCallerDisconnected(loggedAs(*active->request), *active->query, steadyNow());
+    countDecisions(active->query->trace());
+    apply(active, active->query->onCallerDisconnected());
   }
 }
 
-void RequestGateway::begin(ArrivedRequest& arrived) {
+void RequestGateway::begin(IncomingRequest& incoming) {
   const Moment now = steadyNow();
-  const Moment deadline = deadlineOf(arrived.request, *arrived.route, arrived.receivedAt);
-  auto active = std::make_shared<ActiveQuery>(context_, std::move(arrived.writer));
-  arrived.active = active;
-  active->rank = arrived.rank();
-  active->token = arrived.token;
-  active->request = std::make_shared<const LeafRequestTemplate>(arrived.request, names_);
-  active->original = std::make_shared<const HttpRequest>(std::move(arrived.request));
-  const bool trial = arrived.judgement.verdict == RequestQuarantine::Verdict::kTrial;
+  const Moment deadline = deadlineOf(incoming.request, *incoming.route, incoming.receivedAt);
+  auto active = std::make_shared<ActiveQuery>(context_, std::move(incoming.writer));
+  incoming.active = active;
+  active->rank = incoming.rank();
+  active->token = incoming.token;
+  active->request = std::make_shared<const LeafRequestTemplate>(incoming.request, names_);
+  active->original = std::make_shared<const HttpRequest>(std::move(incoming.request));
+  const bool trial = incoming.assessment.verdict == RequestQuarantine::Verdict::kTrial;
   if (trial) {
     ++counters_.trials;
-    quarantine_.onTrial(arrived.logged.fingerprint, now);
-    quarantineLink_.onChanged();
+    quarantine_.onTrial(incoming.logged.fingerprint, now);
+    quarantineGossip_.onChanged();
   }
-  active->query = std::make_unique<Query>(arrived.view, *arrived.route, queryContext_, arrived.receivedAt,
-                                          deadline, trial ? Query::Start::kOneLeafFirst : Query::Start::kAll);
+  active->query = std::make_unique<Query>(incoming.view, *incoming.route, queryContext_, incoming.receivedAt,
+                                          deadline, trial ? Query::Start::kTrial : Query::Start::kAll);
   apply(active, active->query->start(now));
 }
 
--- a/src/programs/gateway/request_log.cpp
+++ b/src/programs/gateway/request_log.cpp
@@ -18,20 +18,20 @@
       return "hedge";
     case Decision::kRetry:
       return "retry";
-    case Decision::kRenew:
-      return "retry with time anew";
+    case Decision::kLateRetry:
+      return "retry with a new deadline";
     case Decision::kNoLeaf:
       return "no usable leaf";
     case Decision::kBudgetEmpty:
-      return "no extra send left";
+      return "retry budget exhausted";
     case Decision::kDelegate:
-      return "left to the owner";
+      return "delegated to the owner";
     case Decision::kOwnerOutcome:
-      return "the owner's result";
-    case Decision::kOwnerSilent:
-      return "given up: the owner is silent";
-    case Decision::kHeldBack:
-      return "held back: leafs have ended under the request";
+      return "result from the owner";
+    case Decision::kOwnerUnresponsive:
+      return "abandoned: owner unresponsive";
+    case Decision::kSuspended:
+      return "suspended: the request has crashed leafs";
     default:
       return "outcome";
   }
@@ -46,15 +46,15 @@
     case LeafOutcome::Kind::kNotExecuted:
       return "not executed";
     case LeafOutcome::Kind::kWrongInstance:
-      return "another instance";
+      return "wrong instance";
     case LeafOutcome::Kind::kNoAnswer:
       return "no usable answer";
-    case LeafOutcome::Kind::kLeafEnded:
-      return "the leaf ended";
+    case LeafOutcome::Kind::kLeafCrashed:
+      return "leaf crashed";
     case LeafOutcome::Kind::kNotSent:
       return "not sent";
     case LeafOutcome::Kind::kExpired:
-      return "not sent: too little time was left";
+      return "not sent: too little time left";
     default:
       return "withdrawn";
   }
@@ -64,16 +64,16 @@
   switch (reason) {
     case UnansweredPart::Reason::kNoAnswer:
       return "no leaf answered";
-    case UnansweredPart::Reason::kNotRun:
+    case UnansweredPart::Reason::kNotExecuted:
       return "not run";
-    case UnansweredPart::Reason::kWithdrawn:
-      return "withdrawn by the daemon that asked";
+    case UnansweredPart::Reason::kCancelled:
+      return "withdrawn by the requester";
     default:
-      return "its time has passed";
+      return "deadline passed";
   }
 }
 
-/// To a tenth.
+/// Truncated to tenths.
 double inMilliseconds(Duration duration) {
   const std::int64_t tenths = duration.count() / 100;
   return static_cast<double>(tenths) / 10.0;
@@ -88,8 +88,8 @@
     fields.push_back({"leaf", event.leaf->entry().id});
     fields.push_back({"address", event.leaf->entry().address.text()});
     fields.push_back({"queue", event.queueLength});
-    fields.push_back({"slowness", event.slowness});
-    fields.push_back({"overdue_ms", inMilliseconds(std::max(event.stalledFor, Duration(0)))});
+    fields.push_back({"slowness", event.latencyRatio});
+    fields.push_back({"overdue_ms", inMilliseconds(std::max(event.overdueFor, Duration(0)))});
   }
   if (event.owner) {
     fields.push_back({"owner", event.owner->text()});
@@ -108,22 +108,22 @@
 
 }  // namespace
 
-bool RequestLog::takeRoom(Moment now) {
-  if (filledAt_ != Moment{}) {
-    const double seconds = std::chrono::duration<double>(now - filledAt_).count();
-    room_ = std::min(settings_.linesPerSecond, room_ + seconds * settings_.linesPerSecond);
+bool RequestLog::takeLogToken(Moment now) {
+  if (refilledAt_ != Moment{}) {
+    const double seconds = std::chrono::duration<double>(now - refilledAt_).count();
+    logTokens_ = std::min(settings_.linesPerSecond, logTokens_ + seconds * settings_.linesPerSecond);
   }
-  filledAt_ = now;
-  if (room_ < 1) {
-    ++leftOut_;
+  refilledAt_ = now;
+  if (logTokens_ < 1) {
+    ++suppressed_;
     return false;
   }
-  room_ -= 1;
+  logTokens_ -= 1;
   return true;
 }
 
 void RequestLog::onUnrouted(const LoggedRequest& request, unsigned status, Moment now) {
-  writeRefusal(request, "no route", status, now);
+  logRefusal(request, "no route", status, now);
 }
 
 void RequestLog::onRefused(const LoggedRequest& request, const std::string& route, LossCause cause,
@@ -131,12 +131,12 @@
   Loss loss;
   loss.add(cause, 1.0);
   losses_.add(route, loss, now);
-  writeRefusal(request, std::string("refused: ") + textOf(cause), status, now);
+  logRefusal(request, std::string("refused: ") + textOf(cause), status, now);
 }
 
-void RequestLog::writeRefusal(const LoggedRequest& request, const std::string& outcome, unsigned status,
-                              Moment now) {
-  if (!takeRoom(now)) {
+void RequestLog::logRefusal(const LoggedRequest& request, const std::string& outcome, unsigned status,
+                            Moment now) {
+  if (!takeLogToken(now)) {
     return;
   }
   std::vector<LogField> fields = {{"id", request.id},
@@ -158,21 +158,21 @@
           now);
   } else if (const auto* forwarded = std::get_if<ForwardedAnswer>(&answer)) {
     const bool success = forwarded->reply->status < 400;
-    write(request, query, success ? "answered" : "failed: the leaf's own failure", success && !late, now);
+    write(request, query, success ? "answered" : "failed: error from the leaf", success && !late, now);
   } else {
     const bool partial = std::get<MergedAnswer>(answer).missingShards > 0;
-    write(request, query, partial ? "answered in part" : "answered", !partial && !late, now);
+    write(request, query, partial ? "partial answer" : "answered", !partial && !late, now);
   }
 }
 
-void RequestLog::onCallerGone(const LoggedRequest& request, const Query& query, Moment now) {
-  write(request, query, "the caller left", false, now);
+void RequestLog::onCallerDisconnected(const LoggedRequest& request, const Query& query, Moment now) {
+  write(request, query, "caller disconnected", false, now);
 }
 
 void RequestLog::onUnanswered(const LoggedRequest& request, const UnansweredPart& part, Moment now) {
-  const ServedWork& work = *part.work;
-  losses_.addServed(work.route.name, part.cause, now);
-  if (!takeRoom(now)) {
+  const OwnerTask& task = *part.task;
+  losses_.addServed(task.route.name, part.cause, now);
+  if (!takeLogToken(now)) {
     return;
   }
   log(LogLevel::kWarning, "shard",
@@ -180,28 +180,28 @@
        {"fingerprint", request.fingerprint.text()},
        {"outcome", textOf(part.reason)},
        {"service", part.service},
-       {"asked_by", work.asker.text()},
-       {"elapsed_ms", inMilliseconds(now - work.receivedAt)}});
-  for (const TraceEvent& event : work.trace.events()) {
-    if (event.service == part.service && takeRoom(now)) {
-      log(LogLevel::kWarning, "decision", fieldsOf(request.id, event, work.receivedAt));
+       {"requester", task.requester.text()},
+       {"elapsed_ms", inMilliseconds(now - task.receivedAt)}});
+  for (const TraceEvent& event : task.trace.events()) {
+    if (event.service == part.service && takeLogToken(now)) {
+      log(LogLevel::kWarning, "decision", fieldsOf(request.id, event, task.receivedAt));
     }
   }
 }
 
-void RequestLog::onLeafEnd(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& under,
-                           Moment now) {
-  if (!takeRoom(now)) {
+void RequestLog::onLeafCrash(const LeafEntry& leaf,
+                             const std::vector<std::shared_ptr<RequestRecord>>& inProgress, Moment now) {
+  if (!takeLogToken(now)) {
     return;
   }
   std::vector<std::string> fingerprints;
   std::vector<std::string> answeredElsewhere;
-  for (const auto& record : under) {
+  for (const auto& record : inProgress) {
     (record->answered ? answeredElsewhere : fingerprints).push_back(record->fingerprint.text());
   }
   log(LogLevel::kWarning, "leaf ended",
       {{"leaf", leaf.id},
-       {"born_ms", leaf.bornAt},
+       {"born_ms", leaf.processStartedAt},
        {"service", leaf.service},
        {"address", leaf.address.text()},
        {"under", fingerprints},
@@ -213,7 +213,7 @@
   if (ordinary && ++ordinary_ % settings_.sampleOneIn != 0) {
     return;
   }
-  if (!takeRoom(now)) {
+  if (!takeLogToken(now)) {
     return;
   }
   std::vector<LogField> fields = {{"id", request.id},
@@ -237,11 +237,11 @@
 }
 
 void RequestLog::writeDecisions(const LoggedRequest& request, const Query& query, Moment now) {
-  // With some parts missing, only what was decided for those explains the outcome.
+  // If parts are missing, only the decisions for these explain the outcome.
   const auto missing = query.missingServices();
   const std::set<std::string, std::less<>> explained(missing.begin(), missing.end());
   for (const TraceEvent& event : query.trace().events()) {
-    if ((explained.empty() || explained.count(event.service) != 0) && takeRoom(now)) {
+    if ((explained.empty() || explained.count(event.service) != 0) && takeLogToken(now)) {
       log(LogLevel::kWarning, "decision", fieldsOf(request.id, event, query.receivedAt()));
     }
   }
--- a/src/protocol/rpc_codec.cpp
+++ b/src/protocol/rpc_codec.cpp
@@ -21,7 +21,7 @@
   options.preserve_proto_field_names = true;
   options.add_whitespace = true;
   std::string text;
-  // Fails only for Any fields of unknown type; the schema has none.
+  // Fails only for Any fields of unknown type, which the schema does not have.
   (void)google::protobuf::util::MessageToJsonString(message, &text, options);
   return text;
 }
--- a/src/state/member_table.cpp
+++ b/src/state/member_table.cpp
@@ -15,8 +15,8 @@
       [](const MemberRecord& record, const Endpoint& wanted) { return record.address < wanted; });
 }
 
-/// Graver conditions win over lighter ones of the same refutation.
-int gravity(MemberCondition condition) {
+/// Orders conditions; of two records with the same refutation, the one with the higher severity is kept.
+int severity(MemberCondition condition) {
   switch (condition) {
     case MEMBER_ALIVE:
       return 0;
@@ -55,7 +55,7 @@
   }
 }
 
-/// Keeps the count and the digests of serving members.
+/// Updates the count and the digests of serving members.
 void MemberTable::count(const MemberRecord& record, bool added) {
   if (record.serving()) {
     servingCount_ += added ? 1 : -1;
@@ -89,7 +89,7 @@
   if (update.refutation != known.refutation) {
     return update.refutation > known.refutation;
   }
-  return gravity(update.condition) > gravity(known.condition);
+  return severity(update.condition) > severity(known.condition);
 }
 
 }  // namespace oakpier
--- a/src/transport/leaf_connections.h
+++ b/src/transport/leaf_connections.h
@@ -34,13 +34,13 @@
   LeafConnections& operator=(const LeafConnections&) = delete;
   ~LeafConnections();
 
-  /// A request not to be repeated goes over a connection of its own, on which the HTTP library never sends
-  /// twice.
+  /// A non-repeatable request uses a new connection, on which the HTTP library never resends.
   void send(const SendToLeaf& request);
   void abort(ExchangeId exchange);
 
-  /// Frees ended connections, opens waiting ones, closes idle ones. Call every few milliseconds.
-  void onTime(Moment now);
+  /// Frees ended connections, closes idle ones, and opens connections for pending requests. Call every few
+  /// milliseconds.
+  void onTimer(Moment now);
 
   std::size_t openCount() const { return connections_.size(); }
 
@@ -56,8 +56,8 @@
   std::list<std::unique_ptr<LeafConnection>> connections_;
   std::unordered_map<Endpoint, std::vector<LeafConnection*>> idle_;
   std::unordered_map<ExchangeId, LeafConnection*> busy_;
-  /// Requests that wait because too many connections are being opened at once.
-  std::deque<SendToLeaf> waiting_;
+  /// Requests waiting for a new connection while too many are being opened.
+  std::deque<SendToLeaf> pending_;
   std::size_t opening_ = 0;
 };
 
--- a/src/transport/serving/http_session.h
+++ b/src/transport/serving/http_session.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One caller's connection: requests one after another, bytes that come early kept for the next.
+/// The connection of one caller. Serves one request at a time; pipelined requests stay buffered until then.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -24,11 +24,12 @@
   ~HttpSession();
 
   void start();
+  /// Sends a reply, to the request being served or to one that was rejected while it was read.
   void respond(const HttpReply& reply);
   void respondIfServing(const HttpReply& reply);
-  /// Ends the connection if no request is being read or served.
+  /// Closes the connection unless a request is being read or served.
   void closeIfIdle();
-  /// The service is going away; the connection ends without a word.
+  /// Called when the service is destroyed; closes the connection without a reply.
   void detach();
 
  private:
@@ -40,11 +41,11 @@
   void onRead(const boost::system::error_code& error, std::size_t count);
   void parse();
   void onParseError(const boost::system::error_code& error);
-  void confirmExpectation();
+  void sendContinue();
   void serve();
   void onWritten(const boost::system::error_code& error);
   void armTimer(Duration duration);
-  void onCallerGone();
+  void onCallerDisconnected();
   void linger();
   void close();
 
@@ -55,12 +56,12 @@
   std::optional<Parser> parser_;
   State state_ = State::kIdle;
   bool reading_ = false;
-  bool ended_ = false;
+  bool inputClosed_ = false;
   bool keepAlive_ = true;
   bool isHead_ = false;
-  bool confirmed_ = false;
+  bool continueSent_ = false;
   std::string outgoing_;
-  std::function<void()> onGone_;
+  std::function<void()> onDisconnect_;
 };
 
 }  // namespace oakpier::serving
--- a/src/transport/serving/leaf_connection.cpp
+++ b/src/transport/serving/leaf_connection.cpp
@@ -4,16 +4,16 @@
 #include <utility>
 
 #include "transport/serving/socket_options.h"
-#include "transport/unacknowledged_limit.h"
+#include "transport/tcp_user_timeout.h"
 
 namespace oakpier::serving {
 
 namespace {
 
 constexpr std::size_t kReadBytes = 4096;
-/// A leaf that has too many connections accepts a further one and resets it at once. Nothing is written
-/// before that would have been seen, so that a request is not lost to it.
-constexpr Duration kAcceptanceTime = std::chrono::microseconds(2500);
+/// A leaf that has reached its connection limit accepts further connections and resets them immediately. A
+/// new connection is used only after this time, so that no request is lost to such a reset.
+constexpr Duration kEarlyResetWindow = std::chrono::microseconds(2500);
 
 }  // namespace
 
@@ -35,21 +35,21 @@
     self->connectTimer_.cancel();
     if (error) {
       self->wasRefused_ = error == boost::asio::error::connection_refused;
-      // One that is turned away is refused; a reset one was accepted before.
+      // Without a listener the connection is refused; a reset means that it had been accepted.
       self->wasAccepted_ = error == boost::asio::error::connection_reset;
       self->fail();
       return;
     }
     self->wasAccepted_ = true;
-    configureConnection(self->socket_, kUnacknowledgedLimit);
+    configureConnection(self->socket_, kTcpUserTimeout);
     self->read();
-    self->awaitAcceptance();
+    self->awaitEarlyReset();
   });
 }
 
-void LeafConnection::awaitAcceptance() {
+void LeafConnection::awaitEarlyReset() {
   auto self = shared_from_this();
-  connectTimer_.expires_after(kAcceptanceTime);
+  connectTimer_.expires_after(kEarlyResetWindow);
   connectTimer_.async_wait([self](const boost::system::error_code& error) {
     if (error || self->state_ != State::kConnecting) {
       return;
@@ -72,7 +72,7 @@
                            [self](const boost::system::error_code& error, std::size_t) {
                              self->writing_ = false;
                              if (error && self->state_ == State::kBusy && !self->reader_.started()) {
-                               self->onBroken(error);
+                               self->onConnectionLost(error);
                              }
                            });
 }
@@ -105,18 +105,18 @@
   }
   reader_.buffer().commit(count);
   if (state_ != State::kBusy) {
-    // Bytes that answer no request, or the end of an idle connection.
+    // Unsolicited bytes, or an idle connection was closed.
     fail();
     return;
   }
   ReplyReader::State state = ReplyReader::State::kBroken;
   if (error == boost::asio::error::eof) {
-    state = reader_.onEnd();
+    state = reader_.onEof();
   } else if (!error) {
     state = reader_.advance();
   }
   if (state == ReplyReader::State::kBroken) {
-    onBroken(error);
+    onConnectionLost(error);
   } else if (state == ReplyReader::State::kNeedsMore) {
     read();
   } else {
@@ -126,9 +126,9 @@
 
 void LeafConnection::onReply() {
   auto reply = std::make_shared<const HttpReply>(reader_.take());
-  const bool reusable = reader_.keepsConnection() && !writing_;
+  const bool reusable = reader_.keepAlive() && !writing_;
   if (!filter_(*reply)) {
-    // A surplus answer to an earlier request; the one that is due may follow.
+    // A duplicate reply to an earlier request; the expected one may follow.
     if (!reusable) {
       fail();
       return;
@@ -149,10 +149,10 @@
   listener(*this, Event::kReplied, std::move(reply));
 }
 
-void LeafConnection::onBroken(const boost::system::error_code& error) {
+void LeafConnection::onConnectionLost(const boost::system::error_code& error) {
   const bool byPeer = error == boost::asio::error::eof || error == boost::asio::error::connection_reset ||
                       error == boost::asio::error::broken_pipe;
-  endedWithoutAnswer_ = byPeer && !reader_.started();
+  closedWithoutReply_ = byPeer && !reader_.started();
   fail();
 }
 
