--- a/src/transport/serving/leaf_pool.cpp
+++ b/src/transport/serving/leaf_pool.cpp
@@ -7,28 +7,29 @@
 #include <vector>
 
 #include "transport/steady_clock.h"
-#include "transport/unacknowledged_limit.h"
+#include "transport/tcp_user_timeout.h"
 
 namespace oakpier::serving {
 
 namespace {
 
-/// An opening packet that is lost is sent again after a second; a new attempt is quicker. Some hundred times
-/// the way between zones, and as long as requests are waited for without an acknowledgement.
-constexpr Duration kConnectTimeout = kUnacknowledgedLimit;
-/// A leaf that cannot be reached is tried anew after this, as often as a connection may take to open.
-constexpr Duration kReconnectPause = kConnectTimeout;
-/// An abandoned exchange may still end by itself for this long, so that the connection can be kept.
-constexpr Duration kAbandonGrace = std::chrono::milliseconds(320);
-/// Deadlines travel in whole milliseconds; a shorter one would tell a leaf to stop before it begins.
-constexpr Duration kShortestDeadline = std::chrono::milliseconds(2);
-/// A refused or accepted connection comes within some milliseconds, also from another zone. A query waits no
-/// longer for what became of the leaf; the hedge of a request with a target latency of 50 ms is sent then,
-/// too.
-constexpr Duration kConfirmPatience = std::chrono::milliseconds(20);
-constexpr Duration kDefaultIdle = std::chrono::seconds(20);
-/// An idle connection is not used in the last part of the time that the leaf keeps it.
-constexpr Duration kIdleReserve = std::chrono::milliseconds(900);
+/// A lost SYN is retransmitted only after a second, so a new connection attempt is faster. The value is about
+/// a hundred times the latency between zones, and equal to the limit for unacknowledged data.
+constexpr Duration kConnectTimeout = kTcpUserTimeout;
+/// Delay between connection attempts to an unreachable leaf.
+constexpr Duration kReconnectDelay = kConnectTimeout;
+/// How long a cancelled exchange may still complete, so that its connection can be reused.
+constexpr Duration kCancelGracePeriod = std::chrono::milliseconds(320);
+/// Deadlines are sent in whole milliseconds; a shorter one could reach the leaf as 0.
+constexpr Duration kMinDeadline = std::chrono::milliseconds(2);
+/// How long an interrupted request waits for the crash check. A connection is accepted or refused within a
+/// few milliseconds, even across zones. The hedge of a request with a target latency of 50 ms is sent after
+/// about the same time.
+constexpr Duration kCrashCheckTimeout = std::chrono::milliseconds(20);
+constexpr Duration kDefaultIdleTimeout = std::chrono::seconds(20);
+/// An idle connection is not used during the last part of the leaf's idle timeout, as the leaf may be closing
+/// it.
+constexpr Duration kIdleTimeoutMargin = std::chrono::milliseconds(900);
 
 LeafOutcome outcomeOf(LeafOutcome::Kind kind) {
   LeafOutcome outcome;
@@ -38,35 +39,36 @@
 
 }  // namespace
 
-/// The connections to one leaf and the requests that wait for one.
+/// The connections to one incarnation of a leaf and the requests queued for it.
 struct LeafPool::Channel {
-  struct Running {
+  struct InFlight {
     std::shared_ptr<LeafConnection> connection;
-    Order order;
+    ExchangeRequest request;
   };
 
   explicit Channel(LeafEntry entry) : leaf(std::move(entry)) {}
 
   LeafEntry leaf;
   std::size_t maximum = 1;
+  /// Not to be kept (see `RetainMode`): connections close once idle.
   bool retired = false;
-  /// The last connections could not be opened.
+  /// The last attempt to connect failed, and no connection is open.
   bool unreachable = false;
   std::vector<std::shared_ptr<LeafConnection>> connections;
   std::size_t connecting = 0;
-  std::vector<Running> running;
-  std::list<Order> waiting;
-  /// Of requests that were broken off, until it is known whether the leaf's process has ended.
-  std::vector<std::shared_ptr<RequestRecord>> brokenOff;
-  /// Those of them whose queries still wait to be told.
-  std::list<Order> unconfirmed;
-  /// A connection that was to tell was accepted and reset at once, and a second one was opened.
-  bool askedTwice = false;
+  std::vector<InFlight> inFlight;
+  std::list<ExchangeRequest> queued;
+  /// Requests whose connection closed without a reply, until the crash check completes.
+  std::vector<std::shared_ptr<RequestRecord>> interrupted;
+  /// Those of them whose listeners have not been called yet.
+  std::list<ExchangeRequest> unconfirmed;
+  /// The connection opened for the crash check was accepted and reset, and a second one was opened.
+  bool crashCheckRepeated = false;
 
   std::shared_ptr<LeafConnection> idleConnection(Moment now) const {
     const auto found = std::find_if(connections.begin(), connections.end(),
                                     [&](const std::shared_ptr<LeafConnection>& candidate) {
-                                      return candidate->idle() && candidate->usableUntil(now);
+                                      return candidate->idle() && candidate->usableAt(now);
                                     });
     return found == connections.end() ? nullptr : *found;
   }
@@ -76,7 +78,7 @@
     : context_(context), names_(names) {}
 
 LeafPool::~LeafPool() {
-  for (auto& [life, channel] : channels_) {
+  for (auto& [incarnation, channel] : channels_) {
     for (auto& connection : channel->connections) {
       connection->close();
     }
@@ -84,7 +86,7 @@
 }
 
 LeafPool::ChannelPointer LeafPool::channelOf(const LeafEntry& leaf, std::size_t maximum) {
-  ChannelPointer& channel = channels_[leaf.life()];
+  ChannelPointer& channel = channels_[leaf.incarnation()];
   if (!channel) {
     channel = std::make_shared<Channel>(leaf);
   }
@@ -92,16 +94,16 @@
   return channel;
 }
 
-void LeafPool::send(const LeafEntry& leaf, std::size_t maximum, Order order) {
+void LeafPool::send(const LeafEntry& leaf, std::size_t maximum, ExchangeRequest request) {
   const ChannelPointer channel = channelOf(leaf, maximum);
-  exchanges_[order.exchange] = channel;
-  const auto position = std::find_if(channel->waiting.begin(), channel->waiting.end(),
-                                     [&](const Order& other) { return other.rank > order.rank; });
-  channel->waiting.insert(position, std::move(order));
+  exchanges_[request.exchange] = channel;
+  const auto position = std::find_if(channel->queued.begin(), channel->queued.end(),
+                                     [&](const ExchangeRequest& other) { return other.rank > request.rank; });
+  channel->queued.insert(position, std::move(request));
   dispatch(channel);
 }
 
-void LeafPool::warm(const LeafEntry& leaf, std::size_t maximum) {
+void LeafPool::preconnect(const LeafEntry& leaf, std::size_t maximum) {
   const ChannelPointer channel = channelOf(leaf, maximum);
   if (channel->connections.empty()) {
     open(channel);
@@ -123,19 +125,19 @@
 void LeafPool::dispatch(const ChannelPointer& channel) {
   const Moment now = steadyNow();
   dropExpired(*channel, now);
-  while (!channel->waiting.empty()) {
+  while (!channel->queued.empty()) {
     const std::shared_ptr<LeafConnection> free = channel->idleConnection(now);
     if (!free) {
       break;
     }
-    Order order = std::move(channel->waiting.front());
-    channel->waiting.pop_front();
-    start(channel, free, std::move(order));
+    ExchangeRequest request = std::move(channel->queued.front());
+    channel->queued.pop_front();
+    start(channel, free, std::move(request));
   }
   auto& connections = channel->connections;
   std::size_t surplus = connections.size() > channel->maximum ? connections.size() - channel->maximum : 0;
   const auto closeUnwanted = [&](const std::shared_ptr<LeafConnection>& connection) {
-    const bool expired = !connection->usableUntil(now);
+    const bool expired = !connection->usableAt(now);
     if (!connection->idle() || !(channel->retired || expired || surplus > 0)) {
       return false;
     }
@@ -145,51 +147,51 @@
     return true;
   };
   connections.erase(std::remove_if(connections.begin(), connections.end(), closeUnwanted), connections.end());
-  while (channel->connecting < channel->waiting.size() && connections.size() < channel->maximum) {
+  while (channel->connecting < channel->queued.size() && connections.size() < channel->maximum) {
     open(channel);
   }
 }
 
 void LeafPool::dropExpired(Channel& channel, Moment now) {
-  std::list<Order> dropped;
-  for (auto order = channel.waiting.begin(); order != channel.waiting.end();) {
-    const auto next = std::next(order);
-    if (order->deadline - now < std::max(order->leastTime, kShortestDeadline)) {
-      dropped.splice(dropped.end(), channel.waiting, order);
+  std::list<ExchangeRequest> dropped;
+  for (auto request = channel.queued.begin(); request != channel.queued.end();) {
+    const auto next = std::next(request);
+    if (request->deadline - now < std::max(request->minTimeLeft, kMinDeadline)) {
+      dropped.splice(dropped.end(), channel.queued, request);
     }
-    order = next;
+    request = next;
   }
   counters_.expiredUnsent += dropped.size();
-  endUnsent(std::move(dropped), LeafOutcome::Kind::kExpired);
+  completeUnsent(std::move(dropped), LeafOutcome::Kind::kExpired);
 }
 
-void LeafPool::endUnsent(std::list<Order> orders, LeafOutcome::Kind kind) {
-  if (orders.empty()) {
+void LeafPool::completeUnsent(std::list<ExchangeRequest> requests, LeafOutcome::Kind kind) {
+  if (requests.empty()) {
     return;
   }
-  for (const Order& order : orders) {
-    exchanges_.erase(order.exchange);
+  for (const ExchangeRequest& request : requests) {
+    exchanges_.erase(request.exchange);
   }
-  const auto ended = std::make_shared<const std::list<Order>>(std::move(orders));
+  const auto ended = std::make_shared<const std::list<ExchangeRequest>>(std::move(requests));
   boost::asio::post(context_, [ended, kind] {
-    for (const Order& order : *ended) {
-      order.listener.onOutcome(outcomeOf(kind));
+    for (const ExchangeRequest& request : *ended) {
+      request.listener.onOutcome(outcomeOf(kind));
     }
   });
 }
 
 void LeafPool::start(const ChannelPointer& channel, const std::shared_ptr<LeafConnection>& connection,
-                     Order order) {
-  const auto remaining = std::chrono::duration_cast<Duration>(order.deadline - steadyNow());
-  const std::string bytes = order.request->bytesFor(channel->leaf.id, remaining);
+                     ExchangeRequest request) {
+  const auto remaining = std::chrono::duration_cast<Duration>(request.deadline - steadyNow());
+  const std::string bytes = request.request->bytesFor(channel->leaf.id, remaining);
   ++counters_.exchanges;
-  if (order.listener.onWritten) {
-    order.listener.onWritten();
+  if (request.listener.onWriteStarted) {
+    request.listener.onWriteStarted();
   }
-  const auto request = order.request;
-  channel->running.push_back(Channel::Running{connection, std::move(order)});
-  connection->exchange(bytes, request->isHead(), [this, request](const HttpReply& reply) {
-    return repliesTo(reply, request->requestId(), names_);
+  const auto leafRequest = request.request;
+  channel->inFlight.push_back(Channel::InFlight{connection, std::move(request)});
+  connection->exchange(bytes, leafRequest->isHead(), [this, leafRequest](const HttpReply& reply) {
+    return repliesTo(reply, leafRequest->requestId(), names_);
   });
 }
 
@@ -215,31 +217,32 @@
 
 void LeafPool::onReplied(const ChannelPointer& channel, LeafConnection& connection,
                          const std::shared_ptr<const HttpReply>& reply) {
-  auto& running = channel->running;
-  const auto found = std::find_if(running.begin(), running.end(), [&](const Channel::Running& candidate) {
+  auto& inFlight = channel->inFlight;
+  const auto found = std::find_if(inFlight.begin(), inFlight.end(), [&](const Channel::InFlight& candidate) {
     return candidate.connection.get() == &connection;
   });
-  if (found == running.end()) {
+  if (found == inFlight.end()) {
     return;
   }
-  Order order = std::move(found->order);
+  ExchangeRequest request = std::move(found->request);
   const std::shared_ptr<LeafConnection> kept = found->connection;
-  running.erase(found);
-  exchanges_.erase(order.exchange);
+  inFlight.erase(found);
+  exchanges_.erase(request.exchange);
   if (kept->idle()) {
-    const auto told = idleTimeoutOf(*reply);
-    kept->keepIdleFor(told ? std::max(*told - kIdleReserve, Duration(0)) : kDefaultIdle, steadyNow());
+    const auto reported = idleTimeoutOf(*reply);
+    kept->setIdleTimeout(
+        reported ? std::max(*reported - kIdleTimeoutMargin, Duration(0)) : kDefaultIdleTimeout, steadyNow());
   } else {
     ++counters_.closedWithReply;
     auto& connections = channel->connections;
     connections.erase(std::remove(connections.begin(), connections.end(), kept), connections.end());
   }
   const LeafOutcome outcome = classifyReply(reply, names_);
-  RequestRecord& record = *order.request->record();
+  RequestRecord& record = *request.request->record();
   if (outcome.kind == LeafOutcome::Kind::kAnswered && !std::exchange(record.answered, true) && onAnswered_) {
     onAnswered_(record);
   }
-  order.listener.onOutcome(outcome);
+  request.listener.onOutcome(outcome);
 }
 
 void LeafPool::onClosed(const ChannelPointer& channel, LeafConnection& connection) {
@@ -252,19 +255,19 @@
   }
   const std::shared_ptr<LeafConnection> kept = *position;
   connections.erase(position);
-  auto& running = channel->running;
-  const auto found = std::find_if(running.begin(), running.end(), [&](const Channel::Running& candidate) {
+  auto& inFlight = channel->inFlight;
+  const auto found = std::find_if(inFlight.begin(), inFlight.end(), [&](const Channel::InFlight& candidate) {
     return candidate.connection == kept;
   });
-  if (found != running.end()) {
-    Order order = std::move(found->order);
-    running.erase(found);
-    exchanges_.erase(order.exchange);
-    ++counters_.brokenUnderRequest;
-    if (kept->endedWithoutAnswer()) {
-      onBroken(channel, std::move(order));
+  if (found != inFlight.end()) {
+    ExchangeRequest request = std::move(found->request);
+    inFlight.erase(found);
+    exchanges_.erase(request.exchange);
+    ++counters_.closedInFlight;
+    if (kept->closedWithoutReply()) {
+      onInterrupted(channel, std::move(request));
     } else {
-      order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNoAnswer));
+      request.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNoAnswer));
     }
     return;
   }
@@ -274,75 +277,75 @@
     --channel->connecting;
     ++counters_.connectionsFailed;
     if (kept->wasRefused()) {
-      reportEnd(*channel);
-    } else if (asksAgain(*channel, *kept)) {
+      reportCrash(*channel);
+    } else if (repeatsCrashCheck(*channel, *kept)) {
       if (connections.empty()) {
-        refuseWaiting(channel);
+        failQueued(channel);
       }
       open(channel);
       return;
     } else {
-      channel->brokenOff.clear();
-      endBrokenOff(*channel, LeafOutcome::Kind::kNoAnswer);
+      channel->interrupted.clear();
+      completeUnconfirmed(*channel, LeafOutcome::Kind::kNoAnswer);
     }
-    // Nothing waits for a leaf that cannot be reached, unless another connection serves it.
+    // Requests stay queued only while there is a connection that can serve them.
     if (connections.empty()) {
       if (!kept->wasAccepted()) {
         onUnreachable(channel);
       }
-      refuseWaiting(channel);
+      failQueued(channel);
     }
   }
 }
 
-bool LeafPool::asksAgain(Channel& channel, const LeafConnection& closed) {
-  if (channel.brokenOff.empty() || !closed.wasAccepted()) {
+bool LeafPool::repeatsCrashCheck(Channel& channel, const LeafConnection& closed) {
+  if (channel.interrupted.empty() || !closed.wasAccepted()) {
     return false;
   }
-  return !std::exchange(channel.askedTwice, true);
+  return !std::exchange(channel.crashCheckRepeated, true);
 }
 
-void LeafPool::onBroken(const ChannelPointer& channel, Order order) {
-  channel->askedTwice = channel->askedTwice && !channel->brokenOff.empty();
-  channel->brokenOff.push_back(order.request->record());
-  channel->unconfirmed.push_back(std::move(order));
+void LeafPool::onInterrupted(const ChannelPointer& channel, ExchangeRequest request) {
+  channel->crashCheckRepeated = channel->crashCheckRepeated && !channel->interrupted.empty();
+  channel->interrupted.push_back(request.request->record());
+  channel->unconfirmed.push_back(std::move(request));
   if (channel->connecting == 0) {
     open(channel);
   }
-  const auto timer = std::make_shared<boost::asio::steady_timer>(context_, kConfirmPatience);
+  const auto timer = std::make_shared<boost::asio::steady_timer>(context_, kCrashCheckTimeout);
   const std::weak_ptr<Channel> weak = channel;
   timer->async_wait([timer, weak](const boost::system::error_code& error) {
     const ChannelPointer target = weak.lock();
     if (!error && target) {
-      endBrokenOff(*target, LeafOutcome::Kind::kNoAnswer);
+      completeUnconfirmed(*target, LeafOutcome::Kind::kNoAnswer);
     }
   });
 }
 
-void LeafPool::endBrokenOff(Channel& channel, LeafOutcome::Kind kind) {
-  const std::list<Order> ended = std::exchange(channel.unconfirmed, {});
-  for (const Order& order : ended) {
-    order.listener.onOutcome(outcomeOf(kind));
+void LeafPool::completeUnconfirmed(Channel& channel, LeafOutcome::Kind kind) {
+  const std::list<ExchangeRequest> ended = std::exchange(channel.unconfirmed, {});
+  for (const ExchangeRequest& request : ended) {
+    request.listener.onOutcome(outcomeOf(kind));
   }
 }
 
-void LeafPool::reportEnd(Channel& channel) {
-  const std::vector<std::shared_ptr<RequestRecord>> under = std::exchange(channel.brokenOff, {});
-  if (under.empty()) {
+void LeafPool::reportCrash(Channel& channel) {
+  const std::vector<std::shared_ptr<RequestRecord>> interrupted = std::exchange(channel.interrupted, {});
+  if (interrupted.empty()) {
     return;
   }
-  ++counters_.leafsEnded;
-  if (onLeafEnd_) {
-    onLeafEnd_(channel.leaf, under);
+  ++counters_.leafCrashes;
+  if (onLeafCrash_) {
+    onLeafCrash_(channel.leaf, interrupted);
   }
-  endBrokenOff(channel, LeafOutcome::Kind::kLeafEnded);
+  completeUnconfirmed(channel, LeafOutcome::Kind::kLeafCrashed);
 }
 
 void LeafPool::onReady(const ChannelPointer& channel, LeafConnection& connection) {
   --channel->connecting;
-  channel->brokenOff.clear();
-  endBrokenOff(*channel, LeafOutcome::Kind::kNoAnswer);
-  connection.keepIdleFor(kDefaultIdle, steadyNow());
+  channel->interrupted.clear();
+  completeUnconfirmed(*channel, LeafOutcome::Kind::kNoAnswer);
+  connection.setIdleTimeout(kDefaultIdleTimeout, steadyNow());
   if (std::exchange(channel->unreachable, false) && onReachability_) {
     onReachability_(channel->leaf, true);
   }
@@ -353,7 +356,7 @@
   if (onReachability_) {
     onReachability_(channel->leaf, false);
   }
-  const auto timer = std::make_shared<boost::asio::steady_timer>(context_, kReconnectPause);
+  const auto timer = std::make_shared<boost::asio::steady_timer>(context_, kReconnectDelay);
   const std::weak_ptr<Channel> weak = channel;
   timer->async_wait([this, timer, weak](const boost::system::error_code& error) {
     const ChannelPointer target = weak.lock();
@@ -363,17 +366,17 @@
   });
 }
 
-void LeafPool::refuseWaiting(const ChannelPointer& channel) {
-  const std::list<Order> refused = std::exchange(channel->waiting, {});
-  for (const Order& order : refused) {
-    exchanges_.erase(order.exchange);
+void LeafPool::failQueued(const ChannelPointer& channel) {
+  const std::list<ExchangeRequest> failed = std::exchange(channel->queued, {});
+  for (const ExchangeRequest& request : failed) {
+    exchanges_.erase(request.exchange);
   }
-  for (const Order& order : refused) {
-    order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNotSent));
+  for (const ExchangeRequest& request : failed) {
+    request.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kNotSent));
   }
 }
 
-void LeafPool::abandon(ExchangeId exchange) {
+void LeafPool::cancel(ExchangeId exchange) {
   const auto entry = exchanges_.find(exchange);
   if (entry == exchanges_.end()) {
     return;
@@ -383,64 +386,65 @@
     exchanges_.erase(entry);
     return;
   }
-  const auto waiting = std::find_if(channel->waiting.begin(), channel->waiting.end(),
-                                    [&](const Order& order) { return order.exchange == exchange; });
-  if (waiting != channel->waiting.end()) {
-    Order order = std::move(*waiting);
-    channel->waiting.erase(waiting);
+  const auto queued =
+      std::find_if(channel->queued.begin(), channel->queued.end(),
+                   [&](const ExchangeRequest& request) { return request.exchange == exchange; });
+  if (queued != channel->queued.end()) {
+    ExchangeRequest request = std::move(*queued);
+    channel->queued.erase(queued);
     exchanges_.erase(exchange);
-    order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
+    request.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kCancelled));
     return;
   }
-  auto timer = std::make_shared<boost::asio::steady_timer>(context_, kAbandonGrace);
+  auto timer = std::make_shared<boost::asio::steady_timer>(context_, kCancelGracePeriod);
   const std::weak_ptr<Channel> weak = channel;
   timer->async_wait([this, timer, weak, exchange](const boost::system::error_code& error) {
     const ChannelPointer target = weak.lock();
     if (!error && target) {
-      cutOff(target, exchange);
+      abortExchange(target, exchange);
     }
   });
 }
 
-void LeafPool::cutOff(const ChannelPointer& channel, ExchangeId exchange) {
-  auto& running = channel->running;
-  const auto found = std::find_if(running.begin(), running.end(), [&](const Channel::Running& candidate) {
-    return candidate.order.exchange == exchange;
+void LeafPool::abortExchange(const ChannelPointer& channel, ExchangeId exchange) {
+  auto& inFlight = channel->inFlight;
+  const auto found = std::find_if(inFlight.begin(), inFlight.end(), [&](const Channel::InFlight& candidate) {
+    return candidate.request.exchange == exchange;
   });
-  if (found == running.end()) {
+  if (found == inFlight.end()) {
     return;
   }
   const std::shared_ptr<LeafConnection> connection = found->connection;
-  Order order = std::move(found->order);
-  running.erase(found);
+  ExchangeRequest request = std::move(found->request);
+  inFlight.erase(found);
   exchanges_.erase(exchange);
-  ++counters_.abandonedAtWork;
+  ++counters_.cancelledInFlight;
   connection->close();
   auto& connections = channel->connections;
   connections.erase(std::remove(connections.begin(), connections.end(), connection), connections.end());
-  order.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kWithdrawn));
+  request.listener.onOutcome(outcomeOf(LeafOutcome::Kind::kCancelled));
   dispatch(channel);
 }
 
-void LeafPool::retain(const std::function<LeafUse(const LeafLife& leaf)>& useOf) {
-  std::vector<LeafLife> finished;
-  for (auto& [life, channel] : channels_) {
-    const LeafUse use = useOf(life);
-    channel->retired = use != LeafUse::kKeep;
+void LeafPool::retain(const std::function<RetainMode(const LeafIncarnation& leaf)>& modeOf) {
+  std::vector<LeafIncarnation> unused;
+  for (auto& [incarnation, channel] : channels_) {
+    const RetainMode mode = modeOf(incarnation);
+    channel->retired = mode != RetainMode::kKeep;
     if (!channel->retired) {
       continue;
     }
-    if (use == LeafUse::kStop) {
-      endUnsent(std::exchange(channel->waiting, {}), LeafOutcome::Kind::kNotSent);
+    if (mode == RetainMode::kFailQueued) {
+      completeUnsent(std::exchange(channel->queued, {}), LeafOutcome::Kind::kNotSent);
     }
     dispatch(channel);
-    if (channel->connections.empty() && channel->running.empty() && channel->waiting.empty() &&
+    if (channel->connections.empty() && channel->inFlight.empty() && channel->queued.empty() &&
         channel->unconfirmed.empty()) {
-      finished.push_back(life);
+      unused.push_back(incarnation);
     }
   }
-  for (const LeafLife& life : finished) {
-    channels_.erase(life);
+  for (const LeafIncarnation& incarnation : unused) {
+    channels_.erase(incarnation);
   }
 }
 
--- a/tests/coordination/membership_test.cpp
+++ b/tests/coordination/membership_test.cpp
@@ -1,4 +1,4 @@
-/// Membership under generated kills, pauses, cuts and loss.
+/// Membership under generated crashes, process pauses, network partitions and message loss.
 
 #include "coordination/membership.h"
 
@@ -10,22 +10,22 @@
 
 namespace {
 
-/// Detection takes a probe round, a suspicion and its spread; slower while members judge themselves unwell.
-constexpr Duration kDetectionBound = std::chrono::seconds(60);
+/// Covers a probe round, the suspicion timeout and dissemination, also while failing probes slow them down.
+constexpr Duration kConvergenceTimeout = std::chrono::seconds(60);
 
-bool sees(const SimulatedFleet& fleet, std::size_t observer, std::size_t subject, bool serving) {
+bool viewMatches(const SimulatedFleet& fleet, std::size_t observer, std::size_t subject, bool serving) {
   const MemberRecord* record = fleet.plane(observer).membership().members().find(fleet.address(subject));
-  const bool served =
+  const bool shownServing =
       record != nullptr && record->serving() && record->incarnation == fleet.incarnation(subject);
-  return served == serving;
+  return shownServing == serving;
 }
 
-/// Every running daemon holds exactly the running ones to be serving.
-bool viewsAreTrue(const SimulatedFleet& fleet) {
+/// Whether every running daemon's member table shows exactly the running daemons as serving.
+bool allViewsMatch(const SimulatedFleet& fleet) {
   for (std::size_t observer = 0; observer < fleet.size(); ++observer) {
     for (std::size_t subject = 0; subject < fleet.size(); ++subject) {
       const bool relevant = observer != subject && fleet.running(observer);
-      if (relevant && !sees(fleet, observer, subject, fleet.running(subject))) {
+      if (relevant && !viewMatches(fleet, observer, subject, fleet.running(subject))) {
         return false;
       }
     }
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("a daemon that is introduced knows all members at once", "[coordination]") {
+TEST_CASE("a joining daemon receives the complete member table in one reply", "[coordination]") {
   const Moment now(std::chrono::seconds(1));
   const Endpoint oldAddress(1, 1);
   const Endpoint newAddress(2, 1);
@@ -57,7 +57,7 @@
   }
   known.onReply(Endpoint(10, 1), others, now);
   Membership started(newAddress, "b", 9, MembershipSettings{}, RandomEngine(2));
-  started.onReply(oldAddress, known.introduction(newAddress), now);
+  started.onReply(oldAddress, known.fullTable(newAddress), now);
   REQUIRE(started.joined());
   REQUIRE(started.servingCount() == 291);
   REQUIRE(started.members().find(oldAddress) != nullptr);
@@ -74,90 +74,90 @@
   return record == nullptr ? 0 : record->capacity;
 }
 
-/// Tells `to` all that `from` knows.
-void tell(Membership& from, Membership& to) {
-  to.onReply(from.self(), from.introduction(to.self()), Moment(std::chrono::seconds(1)));
+/// Sends the member table of `from` to `to`.
+void sendTable(Membership& from, Membership& to) {
+  to.onReply(from.self(), from.fullTable(to.self()), Moment(std::chrono::seconds(1)));
 }
 
-/// As `tell`, by a daemon that does not know of capacities.
-void tellWithoutCapacities(Membership& from, Membership& to) {
-  ProbeReply reply = from.introduction(to.self());
+/// As `sendTable`, from a daemon of a version without capacities.
+void sendTableWithoutCapacities(Membership& from, Membership& to) {
+  ProbeReply reply = from.fullTable(to.self());
   for (MemberUpdate& update : *reply.mutable_updates()) {
     update.clear_capacity();
   }
   to.onReply(from.self(), reply, Moment(std::chrono::seconds(1)));
 }
 
-/// With its first probe at that time; `hour` is later than at any earlier call.
+/// The digest in the first probe that `member` sends at `hour`, which must increase from call to call.
 std::uint64_t digestSentBy(Membership& member, int hour) {
   member.setSeeds({Endpoint(9, 1)});
-  const MembershipActions actions = member.onTime(Moment(std::chrono::hours(hour)));
+  const MembershipActions actions = member.onTimer(Moment(std::chrono::hours(hour)));
   REQUIRE_FALSE(actions.probes.empty());
   return actions.probes.front().probe.digest();
 }
 
 }  // namespace
 
-TEST_CASE("what a member can carry is told to all, also by way of others", "[coordination]") {
+TEST_CASE("a member's capacity reaches other members, also indirectly", "[coordination]") {
   Membership subject = memberAt(1);
   Membership between = memberAt(2);
   Membership observer = memberAt(3);
   subject.setCapacity(50);
-  tell(subject, between);
-  tell(between, observer);
+  sendTable(subject, between);
+  sendTable(between, observer);
   REQUIRE(capacityKnown(observer, subject) == 50);
   const std::uint64_t version = observer.version();
-  tell(between, observer);
+  sendTable(between, observer);
   REQUIRE(observer.version() == version);
 }
 
-TEST_CASE("a changed capacity supersedes what is known and changes the digest", "[coordination]") {
+TEST_CASE("a changed capacity supersedes the known one and changes the digest", "[coordination]") {
   Membership subject = memberAt(1);
   Membership observer = memberAt(2);
   Membership late = memberAt(3);
   subject.setCapacity(50);
-  tell(subject, observer);
-  tell(subject, late);
+  sendTable(subject, observer);
+  sendTable(subject, late);
   const std::uint64_t before = digestSentBy(subject, 1);
   const std::uint64_t version = observer.version();
   subject.setCapacity(12);
   REQUIRE(digestSentBy(subject, 2) != before);
-  tell(subject, observer);
+  sendTable(subject, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
   REQUIRE(observer.version() > version);
-  // What was true earlier does not come back.
-  tell(late, observer);
+  // A stale record does not restore the earlier capacity.
+  sendTable(late, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
-  tell(observer, late);
+  sendTable(observer, late);
   REQUIRE(capacityKnown(late, subject) == 12);
-  // A figure that is no longer told stays.
+  // An unknown capacity does not replace a known one.
   subject.setCapacity(0);
-  tell(subject, observer);
+  sendTable(subject, observer);
   REQUIRE(capacityKnown(observer, subject) == 12);
 }
 
-TEST_CASE("daemons that do not know of capacities hide none", "[coordination]") {
+TEST_CASE("updates without capacities do not erase known capacities", "[coordination]") {
   Membership subject = memberAt(1);
   Membership old = memberAt(2);
   Membership observer = memberAt(3);
   subject.setCapacity(50);
-  tell(subject, old);
-  SECTION("heard without first") {
-    tellWithoutCapacities(old, observer);
+  sendTable(subject, old);
+  SECTION("first received without the capacity") {
+    sendTableWithoutCapacities(old, observer);
     REQUIRE(observer.servingCount() == 2);
     REQUIRE(capacityKnown(observer, subject) == 0);
     const std::uint64_t version = observer.version();
-    tell(subject, observer);
+    sendTable(subject, observer);
     REQUIRE(capacityKnown(observer, subject) == 50);
     REQUIRE(observer.version() > version);
   }
-  SECTION("heard without later") {
-    tell(subject, observer);
-    tellWithoutCapacities(old, observer);
+  SECTION("later received without the capacity") {
+    sendTable(subject, observer);
+    sendTableWithoutCapacities(old, observer);
     REQUIRE(capacityKnown(observer, subject) == 50);
   }
-  SECTION("suspected by one that does not know") {
-    tell(subject, observer);
+  SECTION("suspected by a daemon without capacities") {
+    sendTable(subject, observer);
     ProbeReply suspicion;
     MemberUpdate* update = suspicion.add_updates();
     update->set_address(subject.self().text());
@@ -168,30 +168,32 @@
     REQUIRE(observer.members().find(subject.self())->condition == MEMBER_SUSPECT);
     REQUIRE(capacityKnown(observer, subject) == 50);
   }
-  SECTION("a later process has its own") {
-    tell(subject, observer);
+  SECTION("a higher incarnation has its own capacity") {
+    sendTable(subject, observer);
     Membership restarted = memberAt(1, 6);
     restarted.setCapacity(12);
-    tell(restarted, observer);
+    sendTable(restarted, observer);
     REQUIRE(capacityKnown(observer, restarted) == 12);
   }
 }
 
-TEST_CASE("digests without capacities are those of daemons that do not know of any", "[coordination]") {
+TEST_CASE("the digest of a record without a capacity equals that of versions without capacities",
+          "[coordination]") {
   MemberRecord record;
   record.address = Endpoint(1, 1);
   record.incarnation = 5;
-  const std::uint64_t untold = digestOf(record);
-  REQUIRE(untold == hashPair(record.address.packed(), record.incarnation));
+  const std::uint64_t withoutCapacity = digestOf(record);
+  REQUIRE(withoutCapacity == hashPair(record.address.packed(), record.incarnation));
   record.capacity = 12;
-  const std::uint64_t told = digestOf(record);
+  const std::uint64_t withCapacity = digestOf(record);
   record.capacity = 13;
-  REQUIRE(told != untold);
-  REQUIRE(told != digestOf(record));
+  REQUIRE(withCapacity != withoutCapacity);
+  REQUIRE(withCapacity != digestOf(record));
 }
 
-TEST_CASE("no live member stays dead and no dead one stays live past the bound", "[coordination]") {
-  OAKPIER_PROPERTY("views become true", [] {
+TEST_CASE("member tables match the running daemons within a bounded time after faults end",
+          "[coordination]") {
+  OAKPIER_PROPERTY("views converge", [] {
     SimulationOptions options = optionsFor(*rc::gen::arbitrary<std::uint64_t>(), 12);
     options.loss = *rc::gen::inRange(0, 10) / 100.0;
     SimulatedFleet fleet(options);
@@ -219,48 +221,49 @@
       fleet.runFor(std::chrono::seconds(*rc::gen::inRange(0, 5)));
     }
     fleet.setLoss(0);
-    RC_ASSERT(fleet.runUntil([&] { return viewsAreTrue(fleet); }, kDetectionBound));
+    RC_ASSERT(fleet.runUntil([&] { return allViewsMatch(fleet); }, kConvergenceTimeout));
   });
 }
 
-TEST_CASE("a zone that is cut off keeps its own view and merges when healed", "[coordination]") {
+TEST_CASE("both sides of a network partition keep their own view and merge when it heals", "[coordination]") {
   SimulatedFleet fleet(optionsFor(3, 12));
   fleet.runFor(std::chrono::seconds(10));
   for (std::size_t daemon = 0; daemon < fleet.size(); daemon += 3) {
     fleet.setSide(daemon, 1);
   }
   fleet.runFor(std::chrono::minutes(3));
-  REQUIRE(sees(fleet, 0, 3, true));
-  REQUIRE(sees(fleet, 0, 1, false));
-  REQUIRE(sees(fleet, 1, 0, false));
+  REQUIRE(viewMatches(fleet, 0, 3, true));
+  REQUIRE(viewMatches(fleet, 0, 1, false));
+  REQUIRE(viewMatches(fleet, 1, 0, false));
   for (std::size_t daemon = 0; daemon < fleet.size(); ++daemon) {
     fleet.setSide(daemon, 0);
   }
-  REQUIRE(fleet.runUntil([&] { return viewsAreTrue(fleet); }, kDetectionBound));
+  REQUIRE(fleet.runUntil([&] { return allViewsMatch(fleet); }, kConvergenceTimeout));
 }
 
-TEST_CASE("a daemon that wakes from a pause does not revive the dead", "[coordination]") {
+TEST_CASE("a daemon that resumes after a pause does not revive dead members", "[coordination]") {
   OAKPIER_PROPERTY("pause", [] {
     SimulatedFleet fleet(optionsFor(*rc::gen::arbitrary<std::uint64_t>(), 8));
     fleet.runFor(std::chrono::seconds(10));
     fleet.pause(0);
     fleet.kill(1);
     fleet.runFor(std::chrono::seconds(60));
-    RC_ASSERT(sees(fleet, 2, 1, false));
+    RC_ASSERT(viewMatches(fleet, 2, 1, false));
     fleet.resume(0);
     for (int second = 0; second < 20; ++second) {
       fleet.runFor(std::chrono::seconds(1));
       for (std::size_t observer = 2; observer < fleet.size(); ++observer) {
-        RC_ASSERT(sees(fleet, observer, 1, false));
+        RC_ASSERT(viewMatches(fleet, observer, 1, false));
       }
     }
-    RC_ASSERT(fleet.runUntil([&] { return viewsAreTrue(fleet); }, kDetectionBound));
+    RC_ASSERT(fleet.runUntil([&] { return allViewsMatch(fleet); }, kConvergenceTimeout));
   });
 }
 
-TEST_CASE("daemons that start all at once know each other soon", "[coordination]") {
+TEST_CASE("daemons that start simultaneously know each other within 15 s without suspicions",
+          "[coordination]") {
   SimulatedFleet fleet(optionsFor(1, 60));
-  REQUIRE(fleet.runUntil([&] { return viewsAreTrue(fleet); }, std::chrono::seconds(15)));
+  REQUIRE(fleet.runUntil([&] { return allViewsMatch(fleet); }, std::chrono::seconds(15)));
   std::uint64_t suspicions = 0;
   for (std::size_t daemon = 0; daemon < fleet.size(); ++daemon) {
     suspicions += fleet.plane(daemon).membership().counters().suspicionsRaised;
@@ -268,7 +271,7 @@
   REQUIRE(suspicions == 0);
 }
 
-TEST_CASE("control traffic of a daemon does not grow with the number of daemons", "[coordination]") {
+TEST_CASE("control messages per daemon do not grow with the number of daemons", "[coordination]") {
   const auto messagesPerSecond = [](std::size_t daemons) {
     SimulatedFleet fleet(optionsFor(1, daemons));
     fleet.runFor(std::chrono::seconds(30));
--- a/tests/coordination/repeat_guard_test.cpp
+++ b/tests/coordination/repeat_guard_test.cpp
@@ -1,4 +1,5 @@
-/// A request not to be repeated that its caller sends again, to any daemon, under generated faults.
+/// Guards against a non-repeatable request running twice when it is resent to any daemon, under random
+/// faults.
 
 #include "coordination/repeat_guard.h"
 
@@ -11,7 +12,7 @@
 
 namespace {
 
-/// Callers that send ids through drawn daemons; notes which sends were allowed to run.
+/// Callers that send ids through random daemons; counts the sends that were allowed to run.
 class Callers {
  public:
   explicit Callers(SimulatedFleet& fleet) : fleet_(fleet) {
@@ -80,16 +81,16 @@
   return options;
 }
 
-constexpr Duration kSettle = std::chrono::seconds(30);
+constexpr Duration kStartupPeriod = std::chrono::seconds(30);
 
 }  // namespace
 
-TEST_CASE("an id runs once, however often and wherever it is sent within the window", "[coordination]") {
+TEST_CASE("a request id resent within the window to any daemon runs at most once", "[coordination]") {
   OAKPIER_PROPERTY("at most once by id", [] {
     SimulationOptions options = optionsFor(*rc::gen::arbitrary<std::uint64_t>());
     options.loss = *rc::gen::inRange(0, 35) / 100.0;
     SimulatedFleet fleet(options);
-    fleet.runFor(kSettle);
+    fleet.runFor(kStartupPeriod);
     Callers callers(fleet);
     for (int round = 0; round < 6; ++round) {
       const std::string id = "id-" + std::to_string(round);
@@ -113,7 +114,7 @@
         default:
           break;
       }
-      // The caller sends the id again and again, for a little less than the window.
+      // The caller resends the id for slightly less than the window.
       for (int again = 0; again < 12; ++again) {
         fleet.runFor(std::chrono::milliseconds(*rc::gen::inRange(1, 2400)));
         callers.send(*rc::gen::inRange<std::size_t>(0, 8), id);
@@ -124,7 +125,8 @@
   });
 }
 
-TEST_CASE("a guardian that started lately abstains until every member told what it holds", "[coordination]") {
+TEST_CASE("a restarted guardian abstains until it has received every member's reservations",
+          "[coordination]") {
   const Endpoint self(1, 1);
   const Endpoint other(2, 1);
   MemberTable members;
@@ -139,22 +141,22 @@
     reserve.set_work_id("w-" + id);
     return guard.onReserve(reserve, members, true, now).verdict();
   };
-  REQUIRE(guard.onTime(members, now) == std::vector<Endpoint>{other});
+  REQUIRE(guard.onTimer(members, now) == std::vector<Endpoint>{other});
   now += std::chrono::seconds(10);
-  REQUIRE(guard.onTime(members, now) == std::vector<Endpoint>{other});
+  REQUIRE(guard.onTimer(members, now) == std::vector<Endpoint>{other});
   REQUIRE(verdictOn("new") == RESERVE_ABSTAINED);
   ReservationsReply held;
   held.add_reservations()->set_request_id("old");
   guard.onReservations(other, held, now);
   now += std::chrono::seconds(2);
-  REQUIRE(guard.onTime(members, now).empty());
+  REQUIRE(guard.onTimer(members, now).empty());
   REQUIRE(verdictOn("old") == RESERVE_DUPLICATE);
   REQUIRE(verdictOn("new") == RESERVE_GRANTED);
 }
 
-TEST_CASE("ids run while a daemon at a time is replaced", "[coordination]") {
+TEST_CASE("non-repeatable requests run during a rolling replacement of daemons", "[coordination]") {
   SimulatedFleet fleet(optionsFor(4));
-  fleet.runFor(kSettle);
+  fleet.runFor(kStartupPeriod);
   Callers callers(fleet);
   std::size_t ran = 0;
   constexpr int kIds = 80;
@@ -170,25 +172,25 @@
   REQUIRE(ran >= kIds * 9 / 10);
 }
 
-TEST_CASE("the smaller side of a cut runs no ids, the larger one does", "[coordination]") {
+TEST_CASE("only the majority side of a network partition runs non-repeatable requests", "[coordination]") {
   SimulatedFleet fleet(optionsFor(6));
-  fleet.runFor(kSettle);
+  fleet.runFor(kStartupPeriod);
   for (const std::size_t daemon : {0U, 3U}) {
     fleet.setSide(daemon, 1);
   }
   fleet.runFor(std::chrono::minutes(2));
   Callers callers(fleet);
-  std::size_t smaller = 0;
-  std::size_t larger = 0;
+  std::size_t minorityRuns = 0;
+  std::size_t majorityRuns = 0;
   for (int number = 0; number < 20; ++number) {
     callers.send(0, "small-" + std::to_string(number));
     callers.send(1, "large-" + std::to_string(number));
     fleet.runFor(std::chrono::seconds(1));
-    smaller += callers.runs("small-" + std::to_string(number));
-    larger += callers.runs("large-" + std::to_string(number));
+    minorityRuns += callers.runs("small-" + std::to_string(number));
+    majorityRuns += callers.runs("large-" + std::to_string(number));
   }
-  REQUIRE(smaller == 0);
-  REQUIRE(larger == 20);
+  REQUIRE(minorityRuns == 0);
+  REQUIRE(majorityRuns == 20);
 }
 
 }  // namespace oakpier
--- a/tests/coordination/request_promises_test.cpp
+++ b/tests/coordination/request_promises_test.cpp
@@ -1,4 +1,4 @@
-/// The promises of one query, under generated schedules of faults, judged by the checkers.
+/// Checks the guarantees of queries under random fault schedules with the history checkers.
 
 #include <sstream>
 
@@ -18,7 +18,7 @@
   return text.str();
 }
 
-double drawShare(int mostPercent) { return *rc::gen::inRange(0, mostPercent + 1) / 100.0; }
+double randomShare(int maxPercent) { return *rc::gen::inRange(0, maxPercent + 1) / 100.0; }
 
 std::size_t answersWith(const History& history, Outcome outcome) {
   std::size_t count = 0;
@@ -30,16 +30,16 @@
 
 }  // namespace
 
-TEST_CASE("every promise of a query holds under generated faults", "[coordination]") {
+TEST_CASE("the guarantees of queries hold under random faults", "[coordination]") {
   OAKPIER_PROPERTY("no checker finds a violation", [] {
     RequestSimulationOptions options;
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
-    options.frameLoss = drawShare(10);
-    options.exchangeBroken = drawShare(15);
-    options.exchangeRefused = drawShare(15);
-    options.crossedAnswers = drawShare(20);
-    options.slowExecutions = drawShare(20);
-    options.shedding = drawShare(20);
+    options.frameLoss = randomShare(10);
+    options.exchangeBroken = randomShare(15);
+    options.exchangeRefused = randomShare(15);
+    options.crossedAnswers = randomShare(20);
+    options.slowExecutions = randomShare(20);
+    options.shedding = randomShare(20);
     options.ownerFaults = *rc::gen::arbitrary<bool>();
     options.snapshotChanges = *rc::gen::arbitrary<bool>();
     const History history = simulateRequests(options);
@@ -49,7 +49,7 @@
   });
 }
 
-TEST_CASE("without faults every query is answered in full", "[coordination]") {
+TEST_CASE("without faults every query is answered completely", "[coordination]") {
   OAKPIER_PROPERTY("all complete", [] {
     RequestSimulationOptions options;
     options.seed = *rc::gen::arbitrary<std::uint64_t>();
@@ -57,7 +57,7 @@
   });
 }
 
-TEST_CASE("an owner that did not check answers would break the promise of the own answer", "[coordination]") {
+TEST_CASE("the checkers detect an owner that does not verify that answers match requests", "[coordination]") {
   RequestSimulationOptions options;
   options.crossedAnswers = 0.3;
   REQUIRE(checkOwnAnswer(simulateRequests(options)).empty());
@@ -65,7 +65,7 @@
   REQUIRE_FALSE(checkOwnAnswer(simulateRequests(options)).empty());
 }
 
-TEST_CASE("when snapshots move on, whole requests are planned anew and still answered", "[coordination]") {
+TEST_CASE("requests are replanned and answered when their snapshot is retired", "[coordination]") {
   RequestSimulationOptions options;
   options.snapshotChanges = true;
   options.queries = 60;
--- a/tests/platform_model/platform_day.h
+++ b/tests/platform_model/platform_day.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A day of one deployment on loopback: real gateway processes between the model's clients, leafs and store.
+/// Simulates a deployment on loopback: real gateway processes between simulated clients, leafs and store.
 
 #include <memory>
 #include <ostream>
@@ -20,27 +20,27 @@
 
 struct DaySettings {
   std::string gatewayProgram;
-  /// For settings files and logs.
+  /// Directory for settings files and logs.
   std::string folder;
   Duration length = std::chrono::seconds(6);
   std::uint64_t seed = 1;
-  /// With a leaf that leaves, one that falls silent, a store that is down for a while and forgets its
-  /// history, a new configuration, and a gateway that is stopped and started again.
-  bool troubles = true;
-  /// Nobody reads the gateways' output, and its pipe is full from the start.
+  /// A fixed sequence of disturbances: a leaf drains, another stops answering, the store is down and compacts
+  /// its history, the configuration changes, one gateway receives invalid settings, another is restarted.
+  bool disturbances = true;
+  /// The gateways' standard output is a full pipe without a reader.
   bool stalledOutput = false;
-  /// Now and then come requests that end each leaf that runs them, again and again, at any gateway.
-  bool endingRequests = false;
-  /// Random faults, of gateways, leafs, the store and requests, in series that overlap.
+  /// Clients repeatedly send requests that crash each leaf that runs them, to random gateways.
+  bool crashingRequests = false;
+  /// Random faults as drawn from `seed`, see fault_schedule.h.
   bool faults = false;
-  /// The store goes away and comes back from older copies of its records; goes with `faults`.
+  /// The store is restored from backups; requires `faults`.
   bool restorations = false;
-  /// The shards' connections do not suffice for all gateways, so that shards must be left to owners.
-  bool expectOwners = false;
+  /// The leafs' connection limits are too low for all gateways, so that shards must be delegated to owners.
+  bool expectDelegation = false;
 };
 
 struct ClassResult {
-  std::size_t asked = 0;
+  std::size_t sent = 0;
   std::size_t answered = 0;
   std::size_t partial = 0;
   std::size_t refused = 0;
@@ -53,17 +53,17 @@
   PlatformDay(Deployment deployment, DaySettings settings);
   ~PlatformDay();
 
-  /// Starts everything and waits until every gateway is ready; a text when that does not come about.
+  /// Starts all processes and waits until every gateway is ready. Returns an error, or an empty string.
   std::string start();
-  /// Plays the traffic and the troubles.
-  void play();
+  /// Runs the traffic with its disturbances and faults, then stops the gateways and makes the final checks.
+  void run();
   void report(std::ostream& out) const;
-  /// No promise was broken and every class of request was served.
+  /// No violation was observed, every request class was answered, and service recovered after the last fault.
   bool passed() const;
-  /// Addresses for a person to try.
+  /// Prints the gateways' addresses and an example request.
   void printAddresses(std::ostream& out) const;
-  /// Serves on without traffic of its own until the process is stopped.
-  void hold() { context_.run(); }
+  /// Serves without generated traffic until the process is terminated.
+  void serveForever() { context_.run(); }
 
  private:
   struct Gateway;
@@ -72,35 +72,35 @@
   void addLeaf(const std::string& service, const std::string& zone);
   void publish(const LeafStandin& leaf);
   void startGateway(Gateway& gateway);
-  /// A full pipe that nobody reads; returns its path.
+  /// Creates a full pipe without a reader and returns its path.
   std::string stalledPipe(const Gateway& gateway);
   void fetchMetrics();
   bool allReady();
   void runFor(Duration duration);
   void scheduleRequests(std::size_t classNumber);
-  void ask(std::size_t classNumber);
-  void onReply(std::size_t classNumber, const std::string& id, Moment askedAt,
+  void sendRequest(std::size_t classNumber);
+  void onReply(std::size_t classNumber, const std::string& id, Moment sentAt,
                const std::optional<HttpReply>& reply);
   void check(const RequestClass& requestClass, const std::string& id, const HttpReply& reply);
   std::shared_ptr<Client> clientOf(Gateway& gateway);
   void after(Duration delay, std::function<void()> action);
-  void planTroubles();
-  /// Asks for the same again and again, under new ids.
-  void askEndingAgain(const std::string& target);
-  void askEnding(const std::string& target, Gateway& gateway);
-  void planFaults();
-  void planRestorations();
-  /// Every gateway uses the operator's newest configuration.
+  void scheduleDisturbances();
+  /// Sends the request periodically, each time under a new id.
+  void repeatCrashingRequest(const std::string& target);
+  void sendCrashingRequest(const std::string& target, Gateway& gateway);
+  void scheduleFaults();
+  void scheduleRestorations();
+  /// Checks that every gateway that had time to recover uses the newest configuration.
   void checkConfigurations();
   void apply(const Fault& fault);
   void stopGateway(Gateway& gateway);
   void killGateway(Gateway& gateway, Duration downFor);
   void pauseGateway(Gateway& gateway, Duration duration);
-  /// Starts a gateway that has ended as it was told to.
-  void startWhenEnded(Gateway& gateway);
+  /// Polls until the gateway has exited, then restarts it.
+  void restartAfterExit(Gateway& gateway);
   void checkGateways();
-  /// Its process ran undisturbed for long enough to know what the others know.
-  bool inTouch(const Gateway& gateway) const;
+  /// No fault has hit it for long enough that it has the state of its peers.
+  bool isUpToDate(const Gateway& gateway) const;
 
   Deployment deployment_;
   DaySettings settings_;
@@ -113,21 +113,21 @@
   std::vector<std::unique_ptr<Gateway>> gateways_;
   std::vector<std::unique_ptr<boost::asio::steady_timer>> timers_;
   std::vector<ClassResult> results_;
-  std::set<std::string> onceIds_;
+  std::set<std::string> nonIdempotentIds_;
   std::set<std::string> shards_;
   std::uint64_t nextRequest_ = 1;
-  std::size_t waiting_ = 0;
+  std::size_t pendingRequests_ = 0;
   std::size_t metricsFetched_ = 0;
-  /// The front gateway has left shards to their owners.
-  bool ownersUsed_ = false;
+  /// The first gateway has delegated shards to their owners.
+  bool delegationObserved_ = false;
   std::vector<int> pipes_;
-  bool playing_ = false;
+  bool trafficActive_ = false;
   std::uint64_t configurationVersion_ = 1;
   unsigned storeOutages_ = 0;
-  /// Asked and answered in the calm part at the end.
-  std::size_t askedInCalm_ = 0;
-  std::size_t answeredInCalm_ = 0;
-  Moment calmFrom_ = kNever;
+  /// Requests sent, and those of them answered, in the time at the end in which recovery is checked.
+  std::size_t sentAfterFaults_ = 0;
+  std::size_t answeredAfterFaults_ = 0;
+  Moment faultFreeFrom_ = kNever;
 };
 
 }  // namespace oakpier::serving::model
--- a/tests/platform_model/store_standin.h
+++ b/tests/platform_model/store_standin.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Stand-in for the platform's metadata store: the published calls over HTTP, kept in memory.
+/// Stand-in for the platform's metadata store: its published HTTP calls on records in memory.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -22,13 +22,14 @@
   std::string listen(const Endpoint& address) { return service_.listen(address); }
   void put(const std::string& key, const std::string& value);
   void remove(const std::string& key);
-  /// While it is down every call gets 503.
+  /// While the store is down, every call is answered with 503.
   void setDown(bool down) { down_ = down; }
-  /// Forgets the changes so far; watches that need them get 410.
-  void forgetHistory();
-  /// Goes on from a copy of its records that is that old, in a new epoch: revisions go back, and watches of
-  /// later ones get 410. Writers write what it has lost again, each at a moment of its own within the time.
-  void restore(Duration age, Duration writtenAgainWithin);
+  /// Discards the changes up to now; watches from an earlier revision are answered with 410.
+  void compactHistory();
+  /// Restores a backup of this age and begins a new epoch: revisions go back, and watches from later
+  /// revisions are answered with 410. Each writer rewrites its lost record after a random delay of at most
+  /// `rewriteWindow`.
+  void restore(Duration backupAge, Duration rewriteWindow);
   std::size_t calls() const { return calls_; }
 
   std::function<void()> onRequest(HttpRequest request, ResponseWriter writer) override;
@@ -38,7 +39,7 @@
     std::string key;
     std::string value;
     std::uint64_t revision = 0;
-    bool gone = false;
+    bool deleted = false;
     Moment madeAt{};
   };
   struct Watch {
@@ -51,14 +52,14 @@
   };
 
   void apply(Change change);
-  /// The record's writer sees to it that the store holds what it wrote last.
-  void writeAgain(const std::string& key);
-  /// Every answer tells the epoch, refusals too.
-  HttpReply told(HttpReply reply) const;
+  /// Writes the record's last written value again unless the store has it.
+  void rewrite(const std::string& key);
+  /// Adds the epoch header, which every answer has, also errors.
+  HttpReply withEpoch(HttpReply reply) const;
   HttpReply range(const std::map<std::string, std::string>& query) const;
   void watch(const std::map<std::string, std::string>& query, ResponseWriter writer);
-  /// Answers the watch if there is something to tell or `must` is set.
-  bool answer(Watch& watch, bool must) const;
+  /// Answers the watch and returns true if it has changes or `evenIfEmpty` is set.
+  bool answer(Watch& watch, bool evenIfEmpty) const;
 
   boost::asio::io_context& context_;
   HttpService service_;
@@ -66,10 +67,10 @@
   std::vector<Change> history_;
   static constexpr std::uint64_t kFirstRevision = 1;
   std::uint64_t revision_ = kFirstRevision;
-  std::uint64_t forgottenRevision_ = 0;
+  std::uint64_t compactedRevision_ = 0;
   std::uint64_t epoch_ = 1;
-  /// What each writer wrote last, by key, whatever the store has lost of it.
-  std::map<std::string, Change> written_;
+  /// The last write of each key, also those that a restored backup lacks.
+  std::map<std::string, Change> lastWrites_;
   RandomEngine random_;
   std::vector<std::unique_ptr<boost::asio::steady_timer>> timers_;
   std::list<Watch> watches_;
--- a/tests/serving/coordination/configuration_proof_test.cpp
+++ b/tests/serving/coordination/configuration_proof_test.cpp
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The operator's bound on the use of keys that were taken away.
+/// The operator's bound on the use of revoked keys.
 constexpr Duration kBound = seconds(5);
 constexpr Duration kProofBound = kBound - kProofMargin;
-/// Daemons are asked whether they would let a key pass this often.
+/// How often it is checked whether each daemon would accept a key.
 constexpr Duration kCheckPeriod = milliseconds(20);
-constexpr Duration kSettling = seconds(12);
+constexpr Duration kStabilizationTime = seconds(12);
 
 SourceFleetSettings fleetOf(std::size_t daemons, std::uint64_t random = 1) {
   SourceFleetSettings settings;
@@ -27,16 +27,16 @@
   return settings;
 }
 
-/// What was seen while a fleet ran.
+/// Results of the checks during a run.
 struct Checks {
   std::size_t made = 0;
   std::size_t refused = 0;
-  /// A key would have passed longer than the bound after a newer configuration.
+  /// A key would have been accepted although a newer configuration was older than the bound.
   std::size_t unsafe = 0;
   Duration oldest{};
 };
 
-/// Runs the fleet and asks each living daemon that `counts` again and again.
+/// Runs the fleet and checks each running daemon that `counts` every `kCheckPeriod`.
 Checks runChecked(
     SourceFleet& fleet, Duration span,
     const std::function<bool(std::size_t)>& counts = [](std::size_t) { return true; }) {
@@ -59,39 +59,39 @@
 
 }  // namespace
 
-TEST_CASE("undisturbed daemons can prove their configuration at all times, at little cost", "[serving]") {
+TEST_CASE("without faults every daemon always has a proof, with few requests", "[serving]") {
   const auto daemons = GENERATE(1U, 3U, 74U, 300U);
   CAPTURE(daemons);
   SourceFleet fleet(fleetOf(daemons));
-  fleet.runFor(kSettling);
-  const std::size_t questions = fleet.proofQuestions();
+  fleet.runFor(kStabilizationTime);
+  const std::size_t requests = fleet.proofRequests();
   const Checks checks = runChecked(fleet, seconds(20));
   CAPTURE(checks.oldest.count());
   REQUIRE(checks.refused == 0);
   REQUIRE(checks.oldest <= milliseconds(2800));
   REQUIRE(fleet.unsoundProofs() == 0);
-  // Rounds begin every 1.25 s; for some seconds after a start several daemons may read side by side.
-  CAPTURE(fleet.proofQuestions() - questions);
-  REQUIRE(fleet.proofQuestions() - questions <= std::size_t{40} * daemons);
-  REQUIRE(fleet.proofReads() == 0);
+  // Rounds begin every 1.25 s; for some seconds after a start there may be several readers.
+  CAPTURE(fleet.proofRequests() - requests);
+  REQUIRE(fleet.proofRequests() - requests <= std::size_t{40} * daemons);
+  REQUIRE(fleet.proofReadRequests() == 0);
 }
 
-TEST_CASE("without tenants no questions are asked", "[serving]") {
+TEST_CASE("without tenants no proofs are requested", "[serving]") {
   SourceFleetSettings settings = fleetOf(74);
   settings.tenants = false;
   SourceFleet fleet(settings);
   fleet.runFor(seconds(30));
-  REQUIRE(fleet.proofQuestions() == 0);
+  REQUIRE(fleet.proofRequests() == 0);
 }
 
-TEST_CASE("lost frames, and frames that wait for processor time, leave daemons their proofs", "[serving]") {
+TEST_CASE("daemons keep their proofs while frames are lost or delayed", "[serving]") {
   const auto daemons = GENERATE(74U, 300U);
   SourceFleetSettings settings = fleetOf(daemons, 3);
   settings.frameLoss = 0.05;
-  // One period of a processor's quota.
-  settings.longestFrame = milliseconds(100);
+  // One CPU quota period.
+  settings.maxFrameDelay = milliseconds(100);
   SourceFleet fleet(settings);
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   const Checks checks = runChecked(fleet, seconds(20));
   CAPTURE(daemons, checks.oldest.count());
   REQUIRE(checks.refused == 0);
@@ -101,14 +101,14 @@
   REQUIRE(later.refused == 0);
 }
 
-TEST_CASE("the death of readers costs no daemon its proof", "[serving]") {
+TEST_CASE("no daemon loses its proof when readers crash", "[serving]") {
   const auto daemons = GENERATE(7U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U);
   CAPTURE(daemons, random);
   SourceFleet fleet(fleetOf(daemons, random));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t dead = 0; dead < 4; ++dead) {
-    // At any point of a round.
+    // At different points of a round.
     fleet.runFor(milliseconds(310) * static_cast<int>(dead));
     fleet.kill(dead);
     const Checks checks = runChecked(fleet, seconds(6));
@@ -117,15 +117,15 @@
   }
 }
 
-TEST_CASE("a third of the daemons that the source refuses prove by the others, also as keys are taken away",
+TEST_CASE("a third of the daemons that the source refuses get proofs from peers while keys are revoked",
           "[serving]") {
   const auto daemons = GENERATE(3U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U, 4U);
   CAPTURE(daemons, random);
   SourceFleet fleet(fleetOf(daemons, random));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t number = 0; number < daemons; ++number) {
-    // The first readers among them.
+    // Includes the first readers.
     fleet.setRefused(number, number < daemons / 6 || number % 6 == 5);
   }
   for (int change = 0; change < 3; ++change) {
@@ -137,26 +137,24 @@
   }
 }
 
-TEST_CASE("a daemon that is heard by nobody proves by its own reads while the source answers it",
-          "[serving]") {
+TEST_CASE("a daemon whose frames no peer receives renews its proof by its own reads", "[serving]") {
   SourceFleet fleet(fleetOf(74, 2));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t other = 0; other < fleet.size(); ++other) {
-    fleet.setCut(40, other, true);
+    fleet.setLinkDown(40, other, true);
   }
   const Checks checks = runChecked(fleet, seconds(20), [](std::size_t number) { return number == 40; });
   CAPTURE(checks.oldest.count());
   REQUIRE(checks.refused == 0);
-  // One for each 3.4 to 3.8 s, and only by that daemon.
-  REQUIRE(fleet.proofReads() <= 8);
+  // One every 3.4 to 3.8 s, by that daemon only.
+  REQUIRE(fleet.proofReadRequests() <= 8);
 }
 
-TEST_CASE("a daemon without any way to the source loses its proof, and has it again soon after",
-          "[serving]") {
+TEST_CASE("an isolated daemon loses its proof, and regains it after the network recovers", "[serving]") {
   SourceFleet fleet(fleetOf(74, 2));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t other = 0; other < fleet.size(); ++other) {
-    fleet.setCut(other, 40, true);
+    fleet.setLinkDown(other, 40, true);
   }
   fleet.setAnswersLost(40, true);
   fleet.runFor(kBound);
@@ -165,18 +163,18 @@
   const auto last = [](std::size_t number) { return number == 40; };
   REQUIRE(runChecked(fleet, seconds(9), last).unsafe == 0);
   REQUIRE_FALSE(fleet.covers(40, kProofBound));
-  fleet.mendCuts();
+  fleet.restoreLinks();
   fleet.runFor(milliseconds(2000));
   REQUIRE(fleet.covers(40, kProofBound));
 }
 
-TEST_CASE("proofs outlive the source by two seconds, end by the bound, and are back soon after it",
+TEST_CASE("during an outage of the source proofs last two seconds, expire by the bound and are renewed",
           "[serving]") {
   const auto daemons = GENERATE(3U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U);
   CAPTURE(daemons, random);
   SourceFleet fleet(fleetOf(daemons, random));
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   fleet.setSourceDown(true);
   REQUIRE(runChecked(fleet, seconds(2)).refused == 0);
   fleet.changeConfiguration();
@@ -191,15 +189,15 @@
 
 namespace {
 
-/// A fleet with generated faults, in which keys are taken away all the time.
-class TroubledFleet {
+/// A fleet with generated faults in which keys are revoked all the time.
+class FaultyFleet {
  public:
-  explicit TroubledFleet(const SourceFleetSettings& settings) : fleet_(settings) {}
+  explicit FaultyFleet(const SourceFleetSettings& settings) : fleet_(settings) {}
 
-  void play(int steps) {
+  void run(int steps) {
     fleet_.runFor(seconds(4));
     for (int step = 0; step < steps; ++step) {
-      disturb();
+      injectFault();
       fleet_.changeConfiguration();
       check(milliseconds(*rc::gen::inRange(50, 3000)));
       if (*rc::gen::inRange(0, 3) == 0) {
@@ -214,30 +212,30 @@
   }
 
  private:
-  std::size_t draw() const { return *rc::gen::inRange<std::size_t>(0, fleet_.size()); }
+  std::size_t drawDaemon() const { return *rc::gen::inRange<std::size_t>(0, fleet_.size()); }
 
   void check(Duration span) {
     RC_ASSERT(runChecked(fleet_, span).unsafe == 0U);
     RC_ASSERT(fleet_.unsoundProofs() == 0U);
   }
 
-  void disturb() {
+  void injectFault() {
     switch (*rc::gen::inRange(0, 9)) {
       case 0:
         fleet_.kill(*rc::gen::inRange<std::size_t>(0, std::min<std::size_t>(5, fleet_.size())));
         break;
       case 1:
-        fleet_.kill(draw());
-        fleet_.start(draw());
+        fleet_.kill(drawDaemon());
+        fleet_.start(drawDaemon());
         break;
       case 2:
-        cutOff(draw(), *rc::gen::inRange(0, 3));
+        isolate(drawDaemon(), *rc::gen::inRange(0, 3));
         break;
       case 3:
-        cutApart();
+        separateGroups();
         break;
       case 4:
-        fleet_.setAnswersLost(draw(), true);
+        fleet_.setAnswersLost(drawDaemon(), true);
         break;
       case 5:
         suspendSome();
@@ -249,32 +247,32 @@
         fleet_.forgetHistory();
         break;
       default:
-        refuseSome();
+        refuseReads();
         break;
     }
   }
 
-  /// `way` 0: nothing reaches it; 1: nothing leaves it; 2: both.
-  void cutOff(std::size_t number, int way) {
+  /// `way` 0: blocks frames to the daemon; 1: frames from it; 2: both.
+  void isolate(std::size_t number, int way) {
     for (std::size_t other = 0; other < fleet_.size(); ++other) {
       if (way != 1) {
-        fleet_.setCut(other, number, true);
+        fleet_.setLinkDown(other, number, true);
       }
       if (way != 0) {
-        fleet_.setCut(number, other, true);
+        fleet_.setLinkDown(number, other, true);
       }
     }
   }
 
-  /// Two groups; in half of the cases only one way.
-  void cutApart() {
-    const std::size_t first = draw();
+  /// Separates two groups, in half of the cases in one direction only.
+  void separateGroups() {
+    const std::size_t first = drawDaemon();
     const bool bothWays = *rc::gen::arbitrary<bool>();
     for (std::size_t from = 0; from < first; ++from) {
       for (std::size_t to = first; to < fleet_.size(); ++to) {
-        fleet_.setCut(from, to, true);
+        fleet_.setLinkDown(from, to, true);
         if (bothWays) {
-          fleet_.setCut(to, from, true);
+          fleet_.setLinkDown(to, from, true);
         }
       }
     }
@@ -289,7 +287,7 @@
     }
   }
 
-  void refuseSome() {
+  void refuseReads() {
     for (std::size_t number = 0; number < fleet_.size(); ++number) {
       fleet_.setRefused(number, *rc::gen::inRange(0, 3) == 0);
     }
@@ -297,7 +295,7 @@
 
   void recover() {
     fleet_.setSourceDown(false);
-    fleet_.mendCuts();
+    fleet_.restoreLinks();
     for (std::size_t number = 0; number < fleet_.size(); ++number) {
       fleet_.setRefused(number, false);
       fleet_.setAnswersLost(number, false);
@@ -324,24 +322,23 @@
 
 }  // namespace
 
-TEST_CASE("whatever is cut, lost, late, replayed, suspended or refused, no key passes beyond the bound",
-          "[serving]") {
+TEST_CASE("no revoked key is accepted beyond the bound under generated faults", "[serving]") {
   OAKPIER_PROPERTY("proofs", [] {
     SourceFleetSettings settings =
         fleetOf(*rc::gen::element<std::size_t>(3, 4, 7, 12, 30, 74), *rc::gen::arbitrary<std::uint64_t>());
     settings.frameLoss = *rc::gen::element(0.0, 0.02);
-    settings.lateFrames = *rc::gen::element(0.0, 0.05, 0.3);
-    settings.replayedFrames = *rc::gen::element(0.0, 0.05, 0.3);
-    TroubledFleet(settings).play(*rc::gen::inRange(1, 6));
+    settings.delayedFrames = *rc::gen::element(0.0, 0.05, 0.3);
+    settings.duplicatedFrames = *rc::gen::element(0.0, 0.05, 0.3);
+    FaultyFleet(settings).run(*rc::gen::inRange(1, 6));
   });
 }
 
-TEST_CASE("no key passes beyond the bound in a large fleet", "[serving]") {
+TEST_CASE("no revoked key is accepted beyond the bound in a large fleet", "[serving]") {
   SourceFleetSettings settings = fleetOf(300, 11);
-  settings.lateFrames = 0.1;
-  settings.replayedFrames = 0.1;
+  settings.delayedFrames = 0.1;
+  settings.duplicatedFrames = 0.1;
   SourceFleet fleet(settings);
-  fleet.runFor(kSettling);
+  fleet.runFor(kStabilizationTime);
   for (std::size_t number = 0; number < 300; number += 7) {
     fleet.suspend(number);
   }
@@ -349,7 +346,7 @@
     fleet.setRefused(number, true);
   }
   for (std::size_t to = 100; to < 300; ++to) {
-    fleet.setCut(to % 50, to, true);
+    fleet.setLinkDown(to % 50, to, true);
   }
   for (int change = 0; change < 6; ++change) {
     fleet.changeConfiguration();
--- a/tests/serving/coordination/daemon_order_test.cpp
+++ b/tests/serving/coordination/daemon_order_test.cpp
@@ -1,5 +1,3 @@
-/// The order in which daemons read the configuration source and pass its news on.
-
 #include "coordination/serving/daemon_order.h"
 
 #include <algorithm>
@@ -15,7 +13,7 @@
 
 namespace {
 
-/// 66 weak daemons with the lower addresses and eight strong ones.
+/// 66 daemons of low capacity, which have the lower addresses, and eight of high capacity.
 std::vector<ServingDaemon> mixedFleet() {
   std::vector<ServingDaemon> fleet;
   for (std::uint32_t number = 1; number <= 74; ++number) {
@@ -24,7 +22,7 @@
   return fleet;
 }
 
-std::vector<ServingDaemon> drawnFleet() {
+std::vector<ServingDaemon> randomFleet() {
   std::vector<ServingDaemon> fleet;
   const auto count = *rc::gen::inRange<std::uint32_t>(1, 200);
   for (std::uint32_t number = 1; number <= count; ++number) {
@@ -35,33 +33,33 @@
 
 }  // namespace
 
-TEST_CASE("the strong come first, equally strong ones by address", "[serving]") {
+TEST_CASE("daemons are ordered by descending capacity, then by address", "[serving]") {
   const DaemonOrder order(std::vector<ServingDaemon>{
       {Endpoint(1, 9), 12}, {Endpoint(4, 9), 50}, {Endpoint(2, 9), 0}, {Endpoint(3, 9), 50}});
   const std::vector<Endpoint> expected{Endpoint(3, 9), Endpoint(4, 9), Endpoint(2, 9), Endpoint(1, 9)};
   REQUIRE(addressesOf(order.daemons()) == expected);
-  REQUIRE(order.placeOf(Endpoint(4, 9)) == 1);
+  REQUIRE(order.rankOf(Endpoint(4, 9)) == 1);
   REQUIRE(order.before(Endpoint(4, 9), Endpoint(1, 9)));
   REQUIRE_FALSE(order.before(Endpoint(1, 9), Endpoint(4, 9)));
   REQUIRE_FALSE(order.before(Endpoint(1, 9), Endpoint(1, 9)));
-  // A daemon that is not known stands where one stands that told nothing.
+  // An unknown daemon is ordered as one of unknown capacity.
   REQUIRE(order.before(Endpoint(9, 9), Endpoint(1, 9)));
   REQUIRE(order.before(Endpoint(4, 9), Endpoint(9, 9)));
-  REQUIRE(order.placeOf(Endpoint(9, 9)) == 3);
+  REQUIRE(order.rankOf(Endpoint(9, 9)) == 3);
 }
 
-TEST_CASE("equal member tables give one order of all daemons", "[serving][property]") {
+TEST_CASE("equal member tables give the same total order", "[serving][property]") {
   OAKPIER_PROPERTY("order", [] {
-    const auto fleet = drawnFleet();
+    const auto fleet = randomFleet();
     auto shuffled = fleet;
     std::shuffle(shuffled.begin(), shuffled.end(), std::mt19937_64(*rc::gen::arbitrary<std::uint64_t>()));
     const DaemonOrder order(fleet);
     RC_ASSERT(order.daemons() == DaemonOrder(shuffled).daemons());
-    for (std::size_t place = 0; place < fleet.size(); ++place) {
-      const Endpoint address = order.daemons()[place].address;
-      RC_ASSERT(order.placeOf(address) == place);
-      if (place > 0) {
-        const Endpoint previous = order.daemons()[place - 1].address;
+    for (std::size_t rank = 0; rank < fleet.size(); ++rank) {
+      const Endpoint address = order.daemons()[rank].address;
+      RC_ASSERT(order.rankOf(address) == rank);
+      if (rank > 0) {
+        const Endpoint previous = order.daemons()[rank - 1].address;
         RC_ASSERT(order.before(previous, address));
         RC_ASSERT(!order.before(address, previous));
       }
@@ -69,7 +67,7 @@
   });
 }
 
-TEST_CASE("without capacities the order is that of the addresses, whatever is known", "[serving][property]") {
+TEST_CASE("without capacities the order is by address, whichever daemons are known", "[serving][property]") {
   OAKPIER_PROPERTY("addresses", [] {
     const auto known = *rc::gen::inRange<std::uint32_t>(0, 20);
     std::vector<Endpoint> addresses;
@@ -83,38 +81,39 @@
   });
 }
 
-TEST_CASE("news of a strong reader goes through the strong", "[serving]") {
+TEST_CASE("updates from a reader of high capacity are forwarded by daemons of high capacity", "[serving]") {
   const DaemonOrder order(mixedFleet());
   const Endpoint root = order.daemons().front().address;
-  std::size_t weakForwarders = 0;
+  std::size_t lowCapacityForwarders = 0;
   for (const ServingDaemon& daemon : order.daemons()) {
-    const bool forwards = !forwardTo(order, root, daemon.address).empty();
-    weakForwarders += forwards && daemon.capacity < 50 ? 1 : 0;
+    const bool forwards = !forwardingChildren(order, root, daemon.address).empty();
+    lowCapacityForwarders += forwards && daemon.capacity < 50 ? 1 : 0;
   }
-  // Ten forward in a tree of 74; eight of them can be strong.
-  REQUIRE(weakForwarders == 2);
+  // A forwarding tree of 74 has ten inner nodes, and there are eight daemons of high capacity.
+  REQUIRE(lowCapacityForwarders == 2);
 }
 
-TEST_CASE("every daemon is told once, however strong the members are", "[serving][property]") {
+TEST_CASE("the forwarding tree reaches every daemon once, whatever the capacities", "[serving][property]") {
   OAKPIER_PROPERTY("tree", [] {
-    const auto fleet = drawnFleet();
+    const auto fleet = randomFleet();
     const DaemonOrder order(fleet);
     const Endpoint root = fleet[*rc::gen::inRange<std::size_t>(0, fleet.size())].address;
-    std::map<Endpoint, int> told;
+    std::map<Endpoint, int> received;
     for (const ServingDaemon& daemon : fleet) {
-      for (const Endpoint& child : forwardTo(order, root, daemon.address)) {
-        ++told[child];
+      for (const Endpoint& child : forwardingChildren(order, root, daemon.address)) {
+        ++received[child];
       }
     }
-    RC_ASSERT(told.size() == fleet.size() - 1);
-    for (const auto& [address, times] : told) {
+    RC_ASSERT(received.size() == fleet.size() - 1);
+    for (const auto& [address, times] : received) {
       RC_ASSERT(times == 1);
       RC_ASSERT(address != root);
     }
   });
 }
 
-TEST_CASE("the strongest reads, and one that took over stops at the news of a stronger one", "[serving]") {
+TEST_CASE("the highest-ranked daemon reads, and a reader that took over yields to one of higher rank",
+          "[serving]") {
   const auto fleet = mixedFleet();
   const auto electionOf = [&](std::size_t number) {
     ReaderElection election(fleet[number].address, ReaderElectionSettings{});
@@ -122,14 +121,14 @@
     election.setMembers(fleet);
     return election;
   };
-  REQUIRE(electionOf(66).reads(at(1)));
-  REQUIRE_FALSE(electionOf(0).reads(at(1)));
-  ReaderElection strong = electionOf(70);
-  strong.takeOver();
-  strong.onNews(fleet[0].address);
-  REQUIRE(strong.reads(at(1)));
-  strong.onNews(fleet[66].address);
-  REQUIRE_FALSE(strong.reads(at(1)));
+  REQUIRE(electionOf(66).isReader(at(1)));
+  REQUIRE_FALSE(electionOf(0).isReader(at(1)));
+  ReaderElection reader = electionOf(70);
+  reader.becomeReader();
+  reader.onUpdate(fleet[0].address);
+  REQUIRE(reader.isReader(at(1)));
+  reader.onUpdate(fleet[66].address);
+  REQUIRE_FALSE(reader.isReader(at(1)));
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/coordination/shard_server_test.cpp
+++ b/tests/serving/coordination/shard_server_test.cpp
@@ -1,5 +1,5 @@
-/// The hop between daemons: a query that leaves its shards to owners, and the owners that serve them, with
-/// frames carried, lost and delayed by the test.
+/// Queries that delegate shards to owners, and the owners that execute them. The test delivers, loses and
+/// delays the frames in between.
 
 #include "coordination/serving/shard_server.h"
 
@@ -19,7 +19,7 @@
 
 using Kind = LeafOutcome::Kind;
 
-const Endpoint kAsker(1, 9);
+const Endpoint kRequester(1, 9);
 constexpr std::uint64_t kRun = 77;
 
 OwnerWork workOf(const std::vector<std::string>& services, unsigned attempts = 2) {
@@ -44,25 +44,26 @@
 std::string record(char letter) { return std::string(16, letter); }
 
 struct ServerWorld : QueryWorld {
-  explicit ServerWorld(std::size_t replicas = 2, double saved = 100)
-      : QueryWorld(viewOf({gatherRoute({"s", "t"}, 0.5)}, {"s", "t"}, replicas), saved), server(*context) {}
+  explicit ServerWorld(std::size_t replicas = 2, double retryBudget = 100)
+      : QueryWorld(viewOf({gatherRoute({"s", "t"}, 0.5)}, {"s", "t"}, replicas), retryBudget),
+        server(*context) {}
 
   ShardServer server;
 };
 
 }  // namespace
 
-TEST_CASE("an owner answers the process that asked with the greatest records", "[serving]") {
+TEST_CASE("an owner returns the greatest records to the requesting process", "[serving]") {
   ServerWorld world;
-  const auto started = world.server.onWork(kAsker, workOf({"s"}), at(0));
+  const auto started = world.server.onWork(kRequester, workOf({"s"}), at(0));
   REQUIRE(started.sends.size() == 1);
   REQUIRE(started.results.empty());
   const ExchangeId exchange = started.sends[0].action.exchange;
-  world.server.onWritten(exchange);
+  world.server.onWriteStarted(exchange);
   const auto done = world.server.onOutcome(
       exchange, outcomeOf(Kind::kAnswered, record('a') + record('c') + record('b')), at(20));
   REQUIRE(done.results.size() == 1);
-  REQUIRE(done.results[0].to == kAsker);
+  REQUIRE(done.results[0].to == kRequester);
   REQUIRE(done.results[0].results.receiver_run() == kRun);
   const OwnerResult& result = done.results[0].results.results(0);
   REQUIRE(result.exchange() == 100);
@@ -73,146 +74,146 @@
   REQUIRE(world.server.inProgress() == 0);
 }
 
-TEST_CASE("an owner asks leafs as the tenant, and with the rank, that it is told", "[serving]") {
+TEST_CASE("an owner passes the tenant and the rank on to the leafs", "[serving]") {
   ServerWorld world;
   OwnerWork work = workOf({"s"});
   work.set_tenant("amber");
   work.set_rank(5);
-  const auto started = world.server.onWork(kAsker, work, at(0));
-  REQUIRE(started.sends.at(0).work->request.tenant == "amber");
-  REQUIRE(started.sends.at(0).work->route.rank == 5);
+  const auto started = world.server.onWork(kRequester, work, at(0));
+  REQUIRE(started.sends.at(0).task->request.tenant == "amber");
+  REQUIRE(started.sends.at(0).task->route.rank == 5);
 }
 
-TEST_CASE("an owner hedges, and takes back the loser once one has answered", "[serving]") {
+TEST_CASE("an owner hedges, and cancels the other attempt after the first answer", "[serving]") {
   ServerWorld world;
-  const auto started = world.server.onWork(kAsker, workOf({"s"}), at(0));
+  const auto started = world.server.onWork(kRequester, workOf({"s"}), at(0));
   const ExchangeId first = started.sends[0].action.exchange;
-  world.server.onWritten(first);
+  world.server.onWriteStarted(first);
   const Moment due = world.server.nextDecisionAt();
   REQUIRE(due < at(180));
-  const auto hedged = world.server.onTime(due);
+  const auto hedged = world.server.onTimer(due);
   REQUIRE(hedged.sends.size() == 1);
   const ExchangeId second = hedged.sends[0].action.exchange;
-  world.server.onWritten(second);
+  world.server.onWriteStarted(second);
   const auto done = world.server.onOutcome(second, outcomeOf(Kind::kAnswered, record('a')),
                                            due + std::chrono::milliseconds(5));
-  REQUIRE(done.abandons == std::vector<ExchangeId>{first});
+  REQUIRE(done.cancellations == std::vector<ExchangeId>{first});
   REQUIRE(done.results.size() == 1);
-  // The loser's late answer is nobody's.
+  // A late answer to the cancelled attempt is ignored.
   REQUIRE(world.server.onOutcome(first, outcomeOf(Kind::kAnswered, record('b')), at(300)).results.empty());
 }
 
-TEST_CASE("an owner says not run only when no leaf can have run the request", "[serving]") {
+TEST_CASE("an owner reports a part as not run or not sent only if no leaf can have executed it",
+          "[serving]") {
   ServerWorld unknown;
-  const auto nowhere = unknown.server.onWork(kAsker, workOf({"nowhere"}), at(0));
+  const auto nowhere = unknown.server.onWork(kRequester, workOf({"nowhere"}), at(0));
   REQUIRE(nowhere.results[0].results.results(0).status() == OWNER_NOT_SENT);
 
   ServerWorld unreachable(1);
-  const auto tried = unreachable.server.onWork(kAsker, workOf({"s"}), at(0));
+  const auto tried = unreachable.server.onWork(kRequester, workOf({"s"}), at(0));
   const auto unsent =
       unreachable.server.onOutcome(tried.sends[0].action.exchange, outcomeOf(Kind::kNotSent), at(5));
   REQUIRE(unsent.results[0].results.results(0).status() == OWNER_NOT_SENT);
 
-  ServerWorld refused(1);
-  const auto started = refused.server.onWork(kAsker, workOf({"s"}), at(0));
-  refused.server.onWritten(started.sends[0].action.exchange);
-  const auto turnedAway =
-      refused.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kNotExecuted), at(5));
-  REQUIRE(turnedAway.results[0].results.results(0).status() == OWNER_NOT_RUN);
+  ServerWorld rejecting(1);
+  const auto started = rejecting.server.onWork(kRequester, workOf({"s"}), at(0));
+  rejecting.server.onWriteStarted(started.sends[0].action.exchange);
+  const auto rejected =
+      rejecting.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kNotExecuted), at(5));
+  REQUIRE(rejected.results[0].results.results(0).status() == OWNER_NOT_RUN);
 
   ServerWorld lost(1);
-  const auto begun = lost.server.onWork(kAsker, workOf({"s"}), at(0));
-  lost.server.onWritten(begun.sends[0].action.exchange);
+  const auto begun = lost.server.onWork(kRequester, workOf({"s"}), at(0));
+  lost.server.onWriteStarted(begun.sends[0].action.exchange);
   const auto broken =
       lost.server.onOutcome(begun.sends[0].action.exchange, outcomeOf(Kind::kNoAnswer), at(5));
   REQUIRE(broken.results[0].results.results(0).status() == OWNER_NO_ANSWER);
 }
 
-TEST_CASE("an owner sends nothing of a request under which leafs have ended, unless the asker knows of it",
-          "[serving]") {
+TEST_CASE("an owner refuses a quarantined request unless the requester sends it as a trial", "[serving]") {
   ServerWorld world;
   RequestQuarantine quarantine;
   world.context->quarantine = &quarantine;
   OwnerWork work = workOf({"s", "t"});
   const RequestFingerprint fingerprint = fingerprintOf(HttpRequest{"GET", "/all/", {}, ""});
-  quarantine.onLeafEnded(fingerprint, 1, at(0));
-  quarantine.onLeafEnded(fingerprint, 2, at(0));
-  SECTION("the asker does not know") {
-    const auto refused = world.server.onWork(kAsker, work, at(1000));
+  quarantine.onLeafCrashed(fingerprint, 1, at(0));
+  quarantine.onLeafCrashed(fingerprint, 2, at(0));
+  SECTION("the requester does not know of the quarantine") {
+    const auto refused = world.server.onWork(kRequester, work, at(1000));
     REQUIRE(refused.sends.empty());
     REQUIRE(refused.results[0].results.results_size() == 2);
     REQUIRE(refused.results[0].results.results(1).status() == OWNER_NOT_RUN);
-    REQUIRE(refused.unanswered[0].cause == LossCause::kEndsLeafs);
+    REQUIRE(refused.unanswered[0].cause == LossCause::kCrashesLeafs);
     REQUIRE(world.server.inProgress() == 0);
   }
-  SECTION("the asker knows") {
+  SECTION("the requester sends it as a trial") {
     work.set_vetted(true);
-    REQUIRE(world.server.onWork(kAsker, work, at(1000)).sends.size() == 2);
+    REQUIRE(world.server.onWork(kRequester, work, at(1000)).sends.size() == 2);
   }
 }
 
-TEST_CASE("an owner holds a request back once two leafs have ended under it", "[serving]") {
+TEST_CASE("an owner suspends a request after two leafs have crashed on it", "[serving]") {
   ServerWorld world(3);
-  const auto started = world.server.onWork(kAsker, workOf({"s", "t"}, 3), at(0));
-  for (const ServedSend& send : started.sends) {
-    world.server.onWritten(send.action.exchange);
+  const auto started = world.server.onWork(kRequester, workOf({"s", "t"}, 3), at(0));
+  for (const OwnerSend& send : started.sends) {
+    world.server.onWriteStarted(send.action.exchange);
   }
   const auto retried =
-      world.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kLeafEnded), at(5));
+      world.server.onOutcome(started.sends[0].action.exchange, outcomeOf(Kind::kLeafCrashed), at(5));
   REQUIRE(retried.sends.size() == 1);
-  world.server.onWritten(retried.sends[0].action.exchange);
+  world.server.onWriteStarted(retried.sends[0].action.exchange);
   const auto held =
-      world.server.onOutcome(started.sends[1].action.exchange, outcomeOf(Kind::kLeafEnded), at(6));
+      world.server.onOutcome(started.sends[1].action.exchange, outcomeOf(Kind::kLeafCrashed), at(6));
   REQUIRE(held.sends.empty());
   REQUIRE(held.results.empty());
   const ExchangeId last = retried.sends[0].action.exchange;
-  SECTION("and ends it when the last leaf ends, too") {
-    const auto ended = world.server.onOutcome(last, outcomeOf(Kind::kLeafEnded), at(7));
+  SECTION("and finishes it without an answer if the last leaf crashes too") {
+    const auto ended = world.server.onOutcome(last, outcomeOf(Kind::kLeafCrashed), at(7));
     REQUIRE(ended.sends.empty());
     REQUIRE(ended.results[0].results.results_size() == 2);
     REQUIRE(ended.results[0].results.results(0).status() == OWNER_NO_ANSWER);
     REQUIRE(world.server.inProgress() == 0);
   }
-  SECTION("and goes on when a leaf answers") {
+  SECTION("and resumes it if a leaf answers") {
     const auto released = world.server.onOutcome(last, outcomeOf(Kind::kAnswered, record('a')), at(7));
     REQUIRE(released.sends.size() == 1);
     REQUIRE(released.sends[0].action.leaf->entry().service == "t");
   }
 }
 
-TEST_CASE("cancelled or expired work is taken back from leafs without a result", "[serving]") {
+TEST_CASE("sends of cancelled and expired work are cancelled at the leafs, without a result", "[serving]") {
   ServerWorld world;
-  const auto started = world.server.onWork(kAsker, workOf({"s", "t"}), at(0));
+  const auto started = world.server.onWork(kRequester, workOf({"s", "t"}), at(0));
   REQUIRE(started.sends.size() == 2);
   OwnerCancel cancel;
   cancel.add_exchanges(100);
   cancel.set_sender_run(kRun + 1);
-  REQUIRE(world.server.onCancel(kAsker, cancel).abandons.empty());
+  REQUIRE(world.server.onCancel(kRequester, cancel).cancellations.empty());
   cancel.set_sender_run(kRun);
-  const auto cancelled = world.server.onCancel(kAsker, cancel);
-  REQUIRE(cancelled.abandons == std::vector<ExchangeId>{started.sends[0].action.exchange});
+  const auto cancelled = world.server.onCancel(kRequester, cancel);
+  REQUIRE(cancelled.cancellations == std::vector<ExchangeId>{started.sends[0].action.exchange});
   REQUIRE(cancelled.results.empty());
   REQUIRE(cancelled.unanswered.size() == 1);
-  REQUIRE(cancelled.unanswered[0].reason == UnansweredPart::Reason::kWithdrawn);
+  REQUIRE(cancelled.unanswered[0].reason == UnansweredPart::Reason::kCancelled);
   REQUIRE(cancelled.unanswered[0].service == "s");
   REQUIRE(world.server.inProgress() == 1);
-  const auto expired = world.server.onTime(at(600));
-  REQUIRE(std::count(expired.abandons.begin(), expired.abandons.end(), started.sends[1].action.exchange) ==
-          1);
+  const auto expired = world.server.onTimer(at(600));
+  REQUIRE(std::count(expired.cancellations.begin(), expired.cancellations.end(),
+                     started.sends[1].action.exchange) == 1);
   REQUIRE(expired.results.empty());
-  REQUIRE(expired.unanswered[0].reason == UnansweredPart::Reason::kTimePassed);
+  REQUIRE(expired.unanswered[0].reason == UnansweredPart::Reason::kExpired);
   REQUIRE(world.server.inProgress() == 0);
   REQUIRE(world.server.nextDecisionAt() == kNever);
 }
 
 namespace {
 
-/// A query over owned shards at a daemon that is no owner.
-struct AskerWorld : QueryWorld {
-  explicit AskerWorld(const std::vector<std::string>& shards, double share)
+/// A query over owned shards at a daemon that owns none of them.
+struct RequesterWorld : QueryWorld {
+  explicit RequesterWorld(const std::vector<std::string>& shards, double share)
       : QueryWorld(viewOf({gatherRoute(shards, share)}, shards, 2)),
         view(viewOf({gatherRoute(shards, share)}, shards, 2)),
-        owners(kAsker) {
+        owners(kRequester) {
     owners.setDaemons({Endpoint(2, 9), Endpoint(3, 9), Endpoint(4, 9)});
     owners.setServices({shards.begin(), shards.end()});
     context->owners = &owners;
@@ -226,56 +227,58 @@
 
 }  // namespace
 
-TEST_CASE("a second owner is asked only when the first has surely sent nothing", "[serving]") {
+TEST_CASE("a second owner is asked only if the first is known to have sent nothing", "[serving]") {
   for (const Kind kind : {Kind::kNotSent, Kind::kNotExecuted, Kind::kNoAnswer}) {
-    AskerWorld world({"s"}, 1.0);
+    RequesterWorld world({"s"}, 1.0);
     const auto started = world.query->start(at(0));
     REQUIRE(started.sends.empty());
-    REQUIRE(started.relays.size() == 1);
-    const auto next = world.query->onOutcome(started.relays[0].exchange, outcomeOf(kind), at(30));
+    REQUIRE(started.delegations.size() == 1);
+    const auto next = world.query->onOutcome(started.delegations[0].exchange, outcomeOf(kind), at(30));
     if (kind == Kind::kNoAnswer) {
-      REQUIRE(next.relays.empty());
+      REQUIRE(next.delegations.empty());
       REQUIRE(std::holds_alternative<Failure>(*next.answer));
       continue;
     }
     if (kind == Kind::kNotExecuted) {
-      // A leaf turned it away: what a second owner sends would be an extra send that nobody paid for.
-      REQUIRE(next.relays.empty());
+      // A leaf rejected the request, so a send by a second owner would be an extra attempt that is not
+      // charged to the retry budget.
+      REQUIRE(next.delegations.empty());
       REQUIRE(std::holds_alternative<Refusal>(*next.answer));
       continue;
     }
-    REQUIRE(next.relays.size() == 1);
-    REQUIRE_FALSE(next.relays[0].owner == started.relays[0].owner);
+    REQUIRE(next.delegations.size() == 1);
+    REQUIRE_FALSE(next.delegations[0].owner == started.delegations[0].owner);
     const auto& events = world.query->trace().events();
     REQUIRE(events.size() == 3);
     REQUIRE(events[0].decision == Decision::kDelegate);
-    REQUIRE(*events[0].owner == started.relays[0].owner);
+    REQUIRE(*events[0].owner == started.delegations[0].owner);
     REQUIRE(*events[1].outcome == kind);
-    REQUIRE(*events[2].owner == next.relays[0].owner);
-    const auto last = world.query->onOutcome(next.relays[0].exchange, outcomeOf(kind), at(60));
+    REQUIRE(*events[2].owner == next.delegations[0].owner);
+    const auto last = world.query->onOutcome(next.delegations[0].exchange, outcomeOf(kind), at(60));
     REQUIRE(std::holds_alternative<Refusal>(*last.answer));
   }
 }
 
-TEST_CASE("when the caller leaves, owners are told to withdraw", "[serving]") {
-  AskerWorld world({"s", "t"}, 1.0);
+TEST_CASE("a caller's disconnect cancels the parts at the owners", "[serving]") {
+  RequesterWorld world({"s", "t"}, 1.0);
   const auto started = world.query->start(at(0));
-  world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
-  REQUIRE(world.query->onCallerGone().abandons == std::vector<ExchangeId>{started.relays[1].exchange});
+  world.query->onOutcome(started.delegations[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
+  REQUIRE(world.query->onCallerDisconnected().cancellations ==
+          std::vector<ExchangeId>{started.delegations[1].exchange});
 }
 
-TEST_CASE("a query does not wait for an owner that has fallen silent", "[serving]") {
+TEST_CASE("a query does not wait for an unresponsive owner", "[serving]") {
   for (const double share : {0.5, 1.0}) {
-    AskerWorld world({"s", "t"}, share);
+    RequesterWorld world({"s", "t"}, share);
     const auto started = world.query->start(at(0));
-    const Endpoint silent = started.relays[1].owner;
-    world.owners.onSent(silent, at(0));
-    world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
+    const Endpoint unresponsive = started.delegations[1].owner;
+    world.owners.onSent(unresponsive, at(0));
+    world.query->onOutcome(started.delegations[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
     QueryActions actions;
     Moment now = at(10);
     while (!world.query->finished()) {
       now = world.query->nextDecisionAt();
-      actions = world.query->onTime(now);
+      actions = world.query->onTimer(now);
     }
     REQUIRE(now < at(180));
     if (share < 1.0) {
@@ -283,62 +286,62 @@
     } else {
       REQUIRE_FALSE(std::get<Failure>(*actions.answer).timedOut);
     }
-    // It may still be at work.
-    REQUIRE(actions.abandons == std::vector<ExchangeId>{started.relays[1].exchange});
+    // The owner may still be executing the part.
+    REQUIRE(actions.cancellations == std::vector<ExchangeId>{started.delegations[1].exchange});
   }
 }
 
-TEST_CASE("a query waits for an owner that says that it lives", "[serving]") {
-  AskerWorld world({"s"}, 1.0);
+TEST_CASE("a query waits for a responsive owner", "[serving]") {
+  RequesterWorld world({"s"}, 1.0);
   const auto started = world.query->start(at(0));
-  world.owners.onSent(started.relays[0].owner, at(0));
-  world.owners.onHeard(started.relays[0].owner, at(0));
+  world.owners.onSent(started.delegations[0].owner, at(0));
+  world.owners.onReceived(started.delegations[0].owner, at(0));
   for (int milliseconds = 50; milliseconds < 950; milliseconds += 50) {
-    REQUIRE_FALSE(world.query->onTime(at(milliseconds)).answer);
+    REQUIRE_FALSE(world.query->onTimer(at(milliseconds)).answer);
   }
 }
 
-TEST_CASE("a query merges what owners answered and says what is missing", "[serving]") {
-  AskerWorld world({"s", "t", "u"}, 0.6);
+TEST_CASE("a query merges the owners' answers and reports the number of missing shards", "[serving]") {
+  RequesterWorld world({"s", "t", "u"}, 0.6);
   const auto started = world.query->start(at(0));
-  REQUIRE(started.relays.size() == 3);
-  world.query->onOutcome(started.relays[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
-  world.query->onOutcome(started.relays[2].exchange, outcomeOf(Kind::kAnswered, record('b')), at(12));
-  const auto due = world.query->onTime(world.query->answerBy());
+  REQUIRE(started.delegations.size() == 3);
+  world.query->onOutcome(started.delegations[0].exchange, outcomeOf(Kind::kAnswered, record('a')), at(10));
+  world.query->onOutcome(started.delegations[2].exchange, outcomeOf(Kind::kAnswered, record('b')), at(12));
+  const auto due = world.query->onTimer(world.query->answerBy());
   const auto& merged = std::get<MergedAnswer>(*due.answer);
   REQUIRE(merged.missingShards == 1);
   REQUIRE(merged.records == record('b') + record('a'));
-  // What is still out at an owner is withdrawn.
-  REQUIRE(due.abandons == std::vector<ExchangeId>{started.relays[1].exchange});
+  // The part that is still open is cancelled at its owner.
+  REQUIRE(due.cancellations == std::vector<ExchangeId>{started.delegations[1].exchange});
 }
 
 namespace {
 
-/// One query, three owners and the frames between them; frames and leafs fail as the generator says.
-class HopSimulation {
+/// One query, three owners and the frames in between. The generator decides which frames and leafs fail.
+class DelegationSimulation {
  public:
-  HopSimulation() : asker_(shards_, 0.5) {
+  DelegationSimulation() : requester_(shards_, 0.5) {
     for (const Endpoint& daemon : {Endpoint(2, 9), Endpoint(3, 9), Endpoint(4, 9)}) {
       owners_[daemon] = std::make_unique<ServerWorld>(3);
       owners_[daemon]->registry.reconcile(leafsOf(shards_, 3), at(0));
     }
-    carry(asker_.query->start(at(0)));
+    handle(requester_.query->start(at(0)));
   }
 
   void deliverFrame(Moment now) {
     if (frames_.empty()) {
       return;
     }
-    const RelayAction relay = frames_.front();
+    const DelegateAction relay = frames_.front();
     frames_.pop_front();
-    const int fate = *rc::gen::inRange(0, 4);
-    if (fate == 0) {
-      // It never left: the transport says so.
-      carry(asker_.query->onOutcome(relay.exchange, outcomeOf(Kind::kNotSent), now));
-    } else if (fate != 1) {
+    const int delivery = *rc::gen::inRange(0, 4);
+    if (delivery == 0) {
+      // The transport reports that the frame was not sent.
+      handle(requester_.query->onOutcome(relay.exchange, outcomeOf(Kind::kNotSent), now));
+    } else if (delivery != 1) {
       OwnerWork work = workOf({relay.service}, relay.attempts);
       work.mutable_parts(0)->set_exchange(relay.exchange);
-      carry(relay.owner, owners_[relay.owner]->server.onWork(kAsker, work, now), now);
+      handle(relay.owner, owners_[relay.owner]->server.onWork(kRequester, work, now), now);
     }
   }
 
@@ -352,38 +355,38 @@
     const Kind kind = *rc::gen::element(Kind::kAnswered, Kind::kNoAnswer, Kind::kNotExecuted, Kind::kNotSent);
     ShardServer& server = owners_[ended.owner]->server;
     if (kind != Kind::kNotSent) {
-      server.onWritten(ended.action.exchange);
+      server.onWriteStarted(ended.action.exchange);
       arrivedFrom_[ended.action.leaf->entry().service].insert(ended.owner);
     }
     if (kind == Kind::kNotExecuted || kind == Kind::kNotSent) {
       const LeafEntry& leaf = ended.action.leaf->entry();
       ranAt_[leaf.service].erase(leaf.id);
     }
-    carry(ended.owner, server.onOutcome(ended.action.exchange, outcomeOf(kind), now), now);
+    handle(ended.owner, server.onOutcome(ended.action.exchange, outcomeOf(kind), now), now);
   }
 
   void passTime(Moment now) {
     for (auto& [owner, world] : owners_) {
-      carry(owner, world->server.onTime(now), now);
+      handle(owner, world->server.onTimer(now), now);
     }
   }
 
-  /// The most owners whose sends of one shard's request arrived at leafs.
-  std::size_t mostOwners() const {
-    std::size_t most = 0;
+  /// The maximum, over all shards, of the number of owners from which leafs have received the request.
+  std::size_t maxOwners() const {
+    std::size_t highest = 0;
     for (const auto& [shard, owners] : arrivedFrom_) {
-      most = std::max(most, owners.size());
+      highest = std::max(highest, owners.size());
     }
-    return most;
+    return highest;
   }
 
-  /// The most leafs that may have run one shard's request.
-  std::size_t mostLeafs() const {
-    std::size_t most = 0;
+  /// The maximum, over all shards, of the number of leafs that may have executed the request.
+  std::size_t maxLeafs() const {
+    std::size_t highest = 0;
     for (const auto& [shard, leafs] : ranAt_) {
-      most = std::max(most, leafs.size());
+      highest = std::max(highest, leafs.size());
     }
-    return most;
+    return highest;
   }
 
  private:
@@ -392,21 +395,21 @@
     SendAction action;
   };
 
-  void carry(const QueryActions& actions) {
-    frames_.insert(frames_.end(), actions.relays.begin(), actions.relays.end());
+  void handle(const QueryActions& actions) {
+    frames_.insert(frames_.end(), actions.delegations.begin(), actions.delegations.end());
   }
 
-  void carry(const Endpoint& owner, const ShardServerActions& actions, Moment now) {
-    for (const ServedSend& send : actions.sends) {
+  void handle(const Endpoint& owner, const ShardServerActions& actions, Moment now) {
+    for (const OwnerSend& send : actions.sends) {
       const LeafEntry& leaf = send.action.leaf->entry();
       ranAt_[leaf.service].insert(leaf.id);
       running_.push_back({owner, send.action});
     }
-    for (const OutgoingResults& outgoing : actions.results) {
+    for (const OutgoingOwnerResults& outgoing : actions.results) {
       for (const OwnerResult& result : outgoing.results.results()) {
         const bool lost = *rc::gen::inRange(0, 5) == 0;
         if (!lost) {
-          carry(asker_.query->onOutcome(result.exchange(), outcomeOf(kindOf(result)), now));
+          handle(requester_.query->onOutcome(result.exchange(), outcomeOf(kindOf(result)), now));
         }
       }
     }
@@ -423,21 +426,21 @@
   }
 
   const std::vector<std::string> shards_{"s", "t", "u", "v"};
-  AskerWorld asker_;
+  RequesterWorld requester_;
   std::map<Endpoint, std::unique_ptr<ServerWorld>> owners_;
-  std::deque<RelayAction> frames_;
+  std::deque<DelegateAction> frames_;
   std::vector<Running> running_;
-  /// By shard: leafs that may have run the request.
+  /// By shard: leafs that may have executed the request.
   std::map<std::string, std::set<std::string>> ranAt_;
-  /// By shard: owners that a leaf has seen the request from.
+  /// By shard: owners from which a leaf has received the request.
   std::map<std::string, std::set<Endpoint>> arrivedFrom_;
 };
 
 }  // namespace
 
-TEST_CASE("owners together never let more leafs run a shard than the route allows", "[serving]") {
+TEST_CASE("the owners of a shard together stay within the route's attempts", "[serving]") {
   OAKPIER_PROPERTY("attempts", [] {
-    HopSimulation simulation;
+    DelegationSimulation simulation;
     for (int step = 1; step < 60; ++step) {
       const Moment now = at(step * 7);
       switch (*rc::gen::inRange(0, 3)) {
@@ -451,8 +454,8 @@
           simulation.passTime(now);
           break;
       }
-      RC_ASSERT(simulation.mostLeafs() <= 2U);
-      RC_ASSERT(simulation.mostOwners() <= 1U);
+      RC_ASSERT(simulation.maxLeafs() <= 2U);
+      RC_ASSERT(simulation.maxOwners() <= 1U);
     }
   });
 }
--- a/tests/serving/coordination/weighted_rendezvous_test.cpp
+++ b/tests/serving/coordination/weighted_rendezvous_test.cpp
@@ -1,5 +1,3 @@
-/// Which daemons come first for a key, by what they can carry.
-
 #include "coordination/serving/weighted_rendezvous.h"
 
 #include <algorithm>
@@ -28,7 +26,7 @@
   return fleet;
 }
 
-Fleet drawnFleet() {
+Fleet randomFleet() {
   Fleet fleet;
   const int count = *rc::gen::inRange(2, 40);
   for (int number = 0; number < count; ++number) {
@@ -40,10 +38,10 @@
 
 std::uint64_t keyHash(int number) { return hashText("key-" + std::to_string(number)); }
 
-std::map<Endpoint, int> firstPlaces(const Fleet& fleet, int keys) {
+std::map<Endpoint, int> firstRankCounts(const Fleet& fleet, int keys) {
   std::map<Endpoint, int> counts;
   for (int key = 0; key < keys; ++key) {
-    ++counts[*firstDaemon(keyHash(key), fleet)];
+    ++counts[*highestRankedDaemon(keyHash(key), fleet)];
   }
   return counts;
 }
@@ -63,22 +61,22 @@
 
 }  // namespace
 
-TEST_CASE("each daemon comes first for keys in proportion to its capacity", "[serving]") {
+TEST_CASE("each daemon ranks first for a share of the keys in proportion to its capacity", "[serving]") {
   const std::vector<Fleet> fleets = {fleetOf({{8, 50}, {7, 30}, {13, 28}}), fleetOf({{8, 50}, {66, 12}}),
                                      fleetOf({{1, 400}, {5, 100}, {6, 25}, {4, 0}})};
   for (const Fleet& fleet : fleets) {
     constexpr int kKeys = 250'000;
-    const auto counts = firstPlaces(fleet, kKeys);
+    const auto counts = firstRankCounts(fleet, kKeys);
     for (const ServingDaemon& daemon : fleet) {
-      const double due = kKeys * placementWeight(daemon.capacity) / totalWeight(fleet);
-      REQUIRE(std::abs(counts.at(daemon.address) - due) < 0.1 * due);
+      const double expected = kKeys * placementWeight(daemon.capacity) / totalWeight(fleet);
+      REQUIRE(std::abs(counts.at(daemon.address) - expected) < 0.1 * expected);
     }
   }
 }
 
-TEST_CASE("the second place is drawn in proportion as well", "[serving]") {
-  // Of one strong and many weak daemons the strong one is second wherever it is not first about as often as
-  // its share of what is left.
+TEST_CASE("the second rank is in proportion to capacity too", "[serving]") {
+  // Where the daemon of capacity 50 does not rank first, it ranks second with a probability of 50/540: its
+  // share of the capacity without that of the first.
   const Fleet fleet = fleetOf({{1, 50}, {50, 10}});
   constexpr int kKeys = 50'000;
   int first = 0;
@@ -88,13 +86,14 @@
     first += ranked[0] == fleet.front().address ? 1 : 0;
     second += ranked[1] == fleet.front().address ? 1 : 0;
   }
-  const double due = (kKeys - first) * 50.0 / 540.0;
-  REQUIRE(std::abs(second - due) < 0.1 * due);
+  const double expected = (kKeys - first) * 50.0 / 540.0;
+  REQUIRE(std::abs(second - expected) < 0.1 * expected);
 }
 
-TEST_CASE("a daemon that joins, leaves or changes size moves its own place only", "[serving][property]") {
+TEST_CASE("a daemon that joins, leaves or changes its capacity keeps the relative order of the others",
+          "[serving][property]") {
   OAKPIER_PROPERTY("the others keep their order", [] {
-    const Fleet fleet = drawnFleet();
+    const Fleet fleet = randomFleet();
     Fleet changed = fleet;
     ServingDaemon& one = changed[*rc::gen::inRange<std::size_t>(0, fleet.size())];
     const Endpoint address = one.address;
@@ -110,14 +109,14 @@
   });
 }
 
-TEST_CASE("no more keys move than a daemon's change of share asks for", "[serving]") {
+TEST_CASE("a capacity change moves only as many keys as the daemon's share changes by", "[serving]") {
   const Fleet before = fleetOf({{8, 50}, {66, 12}});
   const double total = totalWeight(before);
   constexpr int kKeys = 100'000;
   const auto movedTo = [&](const Fleet& after) {
     int moved = 0;
     for (int key = 0; key < kKeys; ++key) {
-      moved += firstDaemon(keyHash(key), before) != firstDaemon(keyHash(key), after) ? 1 : 0;
+      moved += highestRankedDaemon(keyHash(key), before) != highestRankedDaemon(keyHash(key), after) ? 1 : 0;
     }
     return moved;
   };
@@ -127,52 +126,52 @@
   shrunk.front().capacity = 25;
   Fleet grown = before;
   grown.back().capacity = 50;
-  const double strongShare = kKeys * 50 / total;
-  REQUIRE(movedTo(without) == firstPlaces(before, kKeys).at(before.front().address));
-  REQUIRE(std::abs(movedTo(without) - strongShare) < 0.1 * strongShare);
-  const double shrunkLoss = strongShare - kKeys * 25 / (total - 25);
+  const double highCapacityShare = kKeys * 50 / total;
+  REQUIRE(movedTo(without) == firstRankCounts(before, kKeys).at(before.front().address));
+  REQUIRE(std::abs(movedTo(without) - highCapacityShare) < 0.1 * highCapacityShare);
+  const double shrunkLoss = highCapacityShare - kKeys * 25 / (total - 25);
   REQUIRE(std::abs(movedTo(shrunk) - shrunkLoss) < 0.1 * shrunkLoss);
   const double grownGain = kKeys * 50 / (total + 38) - kKeys * 12 / total;
   REQUIRE(std::abs(movedTo(grown) - grownGain) < 0.1 * grownGain);
 }
 
-TEST_CASE("the order in which daemons are known does not matter", "[serving][property]") {
+TEST_CASE("the ranking does not depend on the order of the input", "[serving][property]") {
   OAKPIER_PROPERTY("equal ranks", [] {
-    const Fleet fleet = drawnFleet();
+    const Fleet fleet = randomFleet();
     Fleet shuffled = fleet;
     std::shuffle(shuffled.begin(), shuffled.end(), std::mt19937_64(*rc::gen::arbitrary<std::uint64_t>()));
     const std::uint64_t key = *rc::gen::arbitrary<std::uint64_t>();
     const auto ranked = rankDaemons(key, fleet, fleet.size());
     RC_ASSERT(ranked.size() == fleet.size());
     RC_ASSERT(rankDaemons(key, shuffled, fleet.size()) == ranked);
-    RC_ASSERT(firstDaemon(key, shuffled) == ranked.front());
-    const std::size_t most = *rc::gen::inRange<std::size_t>(0, fleet.size() + 2);
-    const auto few = rankDaemons(key, shuffled, most);
-    RC_ASSERT(few.size() == std::min(most, fleet.size()));
+    RC_ASSERT(highestRankedDaemon(key, shuffled) == ranked.front());
+    const std::size_t maxCount = *rc::gen::inRange<std::size_t>(0, fleet.size() + 2);
+    const auto few = rankDaemons(key, shuffled, maxCount);
+    RC_ASSERT(few.size() == std::min(maxCount, fleet.size()));
     RC_ASSERT(std::equal(few.begin(), few.end(), ranked.begin()));
   });
 }
 
-TEST_CASE("daemons that did not tell their capacity count as usual ones", "[serving]") {
-  const Fleet untold = fleetOf({{20, 0}});
-  const Fleet usual = fleetOf({{20, kUsualCapacity}});
-  const Fleet strong = fleetOf({{20, 50}});
+TEST_CASE("daemons of unknown capacity have the default capacity", "[serving]") {
+  const Fleet unknown = fleetOf({{20, 0}});
+  const Fleet defaults = fleetOf({{20, kDefaultCapacity}});
+  const Fleet highCapacity = fleetOf({{20, 50}});
   for (int key = 0; key < 200; ++key) {
-    REQUIRE(rankDaemons(keyHash(key), untold, 6) == rankDaemons(keyHash(key), usual, 6));
-    // Nor does it matter how strong all are alike.
-    REQUIRE(rankDaemons(keyHash(key), untold, 6) == rankDaemons(keyHash(key), strong, 6));
+    REQUIRE(rankDaemons(keyHash(key), unknown, 6) == rankDaemons(keyHash(key), defaults, 6));
+    // With equal capacities the ranking does not depend on their value.
+    REQUIRE(rankDaemons(keyHash(key), unknown, 6) == rankDaemons(keyHash(key), highCapacity, 6));
   }
 }
 
-TEST_CASE("a figure beyond any machine draws no more than the largest machine", "[serving]") {
-  REQUIRE(placementWeight(4'000'000'000U) == kMostCapacity);
-  REQUIRE(placementWeight(0) == kUsualCapacity);
+TEST_CASE("the placement weight is limited to the maximum capacity", "[serving]") {
+  REQUIRE(placementWeight(4'000'000'000U) == kMaxCapacity);
+  REQUIRE(placementWeight(0) == kDefaultCapacity);
   REQUIRE(placementWeight(1) == 1);
 }
 
-TEST_CASE("without daemons there is no first one", "[serving]") {
+TEST_CASE("the ranking of no daemons is empty", "[serving]") {
   REQUIRE(rankDaemons(1, {}, 3).empty());
-  REQUIRE_FALSE(firstDaemon(1, {}).has_value());
+  REQUIRE_FALSE(highestRankedDaemon(1, {}).has_value());
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/platform/platform_test.cpp
+++ b/tests/serving/platform/platform_test.cpp
@@ -38,13 +38,13 @@
 
 }  // namespace
 
-TEST_CASE("settings are read, fields that are not known passed over", "[platform]") {
+TEST_CASE("settings are parsed and unknown fields ignored", "[platform]") {
   const auto settings = std::get<GatewaySettings>(parseSettings(kSettings));
   REQUIRE(settings.callerAddress.text() == "10.1.0.9:8104");
   REQUIRE(settings.peerAddress.text() == "10.1.0.9:7380");
   REQUIRE(settings.seeds[1].text() == "10.2.0.21:7380");
   REQUIRE(settings.stopGrace == std::chrono::seconds(6));
-  REQUIRE(settings.extraSends.slack == 56);
+  REQUIRE(settings.retryLimit.slack == 56);
   REQUIRE(settings.warmup.factor == 1.5);
   REQUIRE(settings.warmup.slack == 5);
   REQUIRE(settings.quota.window == std::chrono::seconds(4));
@@ -54,7 +54,7 @@
   REQUIRE_FALSE(settings.keyRevocationBound);
 }
 
-TEST_CASE("settings that cannot be used say why", "[platform]") {
+TEST_CASE("invalid settings are refused with a reason", "[platform]") {
   REQUIRE(std::get<SettingsError>(parseSettings("{")).text == "the settings are not a JSON object");
   REQUIRE(std::get<SettingsError>(readSettings("")).text.find("--settings") != std::string::npos);
   REQUIRE(std::get<SettingsError>(parseSettings(R"({"node_name": 5})")).text ==
@@ -79,7 +79,8 @@
   REQUIRE(std::get<SettingsError>(parseSettings(wrong)).text.find("store.example:1") != std::string::npos);
 }
 
-TEST_CASE("settings out of bounds are refused, and used ones are told with their units", "[platform]") {
+TEST_CASE("settings out of range are refused, and those in effect are printed with their units",
+          "[platform]") {
   std::string wrong = kSettings;
   wrong.replace(wrong.find("\"retry_budget_ratio\": 0.2"), 25, "\"retry_budget_ratio\": 7.0");
   REQUIRE(std::get<SettingsError>(parseSettings(wrong)).text ==
@@ -88,7 +89,7 @@
   negative.replace(negative.find("\"quota_tolerance\": 0.25"), 23, "\"quota_tolerance\": -0.5");
   REQUIRE(std::get<SettingsError>(parseSettings(negative)).text ==
           "the tolerance of tenants' limits is negative");
-  // Without them no excess is allowed.
+  // Without these settings no excess over the limit is allowed.
   std::string without = kSettings;
   for (const std::string name : {"quota_window_s", "quota_tolerance", "quota_burst"}) {
     without.replace(without.find(name), name.size(), std::string(name.size(), 'x'));
@@ -97,52 +98,52 @@
   REQUIRE(strict.quota.tolerance == 0);
   REQUIRE(strict.quota.slack == 0);
   REQUIRE(allowedInWindow(TenantLimit{2, 3}, strict.quota) == 13);
-  const std::string told = describe(std::get<GatewaySettings>(parseSettings(kSettings)));
-  REQUIRE(told.find("stop_grace_ms = 6000\n") != std::string::npos);
-  REQUIRE(told.find("quota_window_ms = 4000\nquota_tolerance = 0.25\nquota_slack = 20\n") !=
+  const std::string described = describe(std::get<GatewaySettings>(parseSettings(kSettings)));
+  REQUIRE(described.find("stop_grace_ms = 6000\n") != std::string::npos);
+  REQUIRE(described.find("quota_window_ms = 4000\nquota_tolerance = 0.25\nquota_slack = 20\n") !=
           std::string::npos);
 }
 
-TEST_CASE("what the machine allows is read where it is told", "[platform]") {
+TEST_CASE("machine limits are optional settings", "[platform]") {
   const auto withLimits = [](const std::string& limits) {
     std::string text = kSettings;
     return text.replace(text.find("\"unknown\": [1]"), 14, "\"limits\": " + limits);
   };
-  const auto told = std::get<GatewaySettings>(parseSettings(withLimits(
+  const auto limited = std::get<GatewaySettings>(parseSettings(withLimits(
       R"({"cpu_share": 0.25, "cpu_cores": 2, "memory_mb": 260, "max_open_files": 4100, "network_mbps": 24.0})")));
-  REQUIRE(told.machine.processorCores == 0.5);
-  REQUIRE(told.machine.memoryMegabytes == 260);
-  REQUIRE(told.machine.descriptors == 4100);
-  REQUIRE(told.machine.linkMegabits == 24);
-  const std::string described = describe(told);
+  REQUIRE(limited.machine.processorCores == 0.5);
+  REQUIRE(limited.machine.memoryMegabytes == 260);
+  REQUIRE(limited.machine.descriptors == 4100);
+  REQUIRE(limited.machine.linkMegabits == 24);
+  const std::string described = describe(limited);
   REQUIRE(described.find("machine_processor_cores = 0.5\n") != std::string::npos);
   REQUIRE(described.find("machine_link_mbit_per_s = 24\n") != std::string::npos);
   REQUIRE(described.find("capacity_core_hundredths = 24\n") != std::string::npos);
 
-  // Without them, or with some of them, the daemon starts all the same.
-  const auto untold = std::get<GatewaySettings>(parseSettings(kSettings));
-  REQUIRE(capacityOf(untold.machine) == 0);
-  REQUIRE(describe(untold).find("capacity_core_hundredths = not told\n") != std::string::npos);
-  const auto some = std::get<GatewaySettings>(
+  // Some or all of them may be missing.
+  const auto unlimited = std::get<GatewaySettings>(parseSettings(kSettings));
+  REQUIRE(capacityOf(unlimited.machine) == 0);
+  REQUIRE(describe(unlimited).find("capacity_core_hundredths = not told\n") != std::string::npos);
+  const auto partial = std::get<GatewaySettings>(
       parseSettings(withLimits(R"({"cpu_share": 0.12, "network_mbps": null, "memory_mb": 0})")));
-  REQUIRE(capacityOf(some.machine) == 12);
-  REQUIRE(describe(some).find("machine_memory_mb = not told\n") != std::string::npos);
+  REQUIRE(capacityOf(partial.machine) == 12);
+  REQUIRE(describe(partial).find("machine_memory_mb = not told\n") != std::string::npos);
   const auto none = parseSettings(withLimits("null"));
   REQUIRE(capacityOf(std::get<GatewaySettings>(none).machine) == 0);
 
-  const auto problemOf = [&](const std::string& limits) {
+  const auto errorOf = [&](const std::string& limits) {
     return std::get<SettingsError>(parseSettings(withLimits(limits))).text;
   };
-  REQUIRE(problemOf(R"({"cpu_share": -0.5})") ==
+  REQUIRE(errorOf(R"({"cpu_share": -0.5})") ==
           "the processor share of the machine is not within 0 and 256 cores");
-  REQUIRE(problemOf(R"({"cpu_share": 1, "cpu_cores": 1000})") ==
+  REQUIRE(errorOf(R"({"cpu_share": 1, "cpu_cores": 1000})") ==
           "the processor share of the machine is not within 0 and 256 cores");
-  REQUIRE(problemOf(R"({"network_mbps": 1e12})") ==
+  REQUIRE(errorOf(R"({"network_mbps": 1e12})") ==
           "the link of the machine is not within 0 and 10,000,000 Mbit/s");
-  REQUIRE(problemOf(R"({"cpu_share": "much"})") == "setting \"limits.cpu_share\" cannot be \"much\"");
+  REQUIRE(errorOf(R"({"cpu_share": "much"})") == "setting \"limits.cpu_share\" cannot be \"much\"");
 }
 
-TEST_CASE("the use of removed keys is bounded where the operator asks for it", "[platform]") {
+TEST_CASE("the use of removed keys is bounded only when the settings require it", "[platform]") {
   const auto with = [](const std::string& bounds) {
     std::string text = kSettings;
     text.insert(text.find("\"grace_s\""), bounds);
@@ -164,12 +165,12 @@
           "setting \"bounds.revoke_strict\" cannot be \"yes\"");
 }
 
-TEST_CASE("configurations and leaf entries are understood", "[platform]") {
+TEST_CASE("configurations, leaf entries and evacuations are parsed", "[platform]") {
   const StoreDialect dialect;
   const auto configuration =
       std::get<ServingConfiguration>(dialect.interpret({"op/config", kConfiguration, 1, false}));
   REQUIRE(configuration.version == 7);
-  REQUIRE(problemsOf(configuration).empty());
+  REQUIRE(validationErrors(configuration).empty());
   const auto& gather = std::get<GatherTarget>(configuration.routes[0].target);
   REQUIRE(gather.shards.size() == 2);
   REQUIRE(gather.topRecords == 5);
@@ -199,7 +200,7 @@
   REQUIRE(std::holds_alternative<UnusableLeaf>(dialect.interpret({"servers/i", "{}", 1, false})));
 }
 
-TEST_CASE("tenants and public routes of a configuration are understood", "[platform]") {
+TEST_CASE("tenants and public routes of a configuration are parsed", "[platform]") {
   const StoreDialect dialect;
   std::string text = kConfiguration;
   text.replace(text.find("\"service\": \"s\", \"attempts\""), 14, "\"public\": true, \"service\": \"s\"");
@@ -207,7 +208,7 @@
     {"name": "amber", "api_keys": ["key-1", "key-2"], "priority": 1, "rate_per_s": 8, "burst": 4.5},
     {"name": "birch", "api_keys": [], "priority": null}, {"name": "cedar"}], )");
   const auto configuration = std::get<ServingConfiguration>(dialect.interpret({"op/config", text, 1, false}));
-  REQUIRE(problemsOf(configuration).empty());
+  REQUIRE(validationErrors(configuration).empty());
   REQUIRE_FALSE(configuration.routes[0].isPublic);
   REQUIRE(configuration.routes[1].isPublic);
   REQUIRE(configuration.tenants.size() == 3);
@@ -224,14 +225,14 @@
   REQUIRE(configuration.tenants[2].name == "cedar");
 }
 
-TEST_CASE("a configuration that cannot be read is told without quoting it", "[platform]") {
+TEST_CASE("errors of an invalid configuration do not quote it", "[platform]") {
   const StoreDialect dialect;
-  const std::string whole = kConfiguration;
-  const std::string head = whole.substr(0, whole.find("\"services\""));
-  const std::string rest = whole.substr(whole.find("\"services\""));
-  const auto problemWith = [&](const std::string& tenants) {
+  const std::string text = kConfiguration;
+  const std::string head = text.substr(0, text.find("\"services\""));
+  const std::string rest = text.substr(text.find("\"services\""));
+  const auto errorWith = [&](const std::string& tenants) {
     const SourceRecord record{"op/config", head + "\"tenants\": " + tenants + ", " + rest, 1, false};
-    return std::get<UnusableRecord>(dialect.interpret(record)).problem;
+    return std::get<UnusableRecord>(dialect.interpret(record)).error;
   };
   for (const char* tenants :
        {R"([{"name": "amber", "api_keys": ["secret-1" "secret-2"]}])",
@@ -242,18 +243,18 @@
         R"([{"name": "amber", "api_keys": ["secret-1"], "priority": -1}])",
         R"([{"name": "amber", "api_keys": ["secret-1"], "rate_per_s": "secret-1"}])"}) {
     CAPTURE(tenants);
-    const std::string problem = problemWith(tenants);
+    const std::string problem = errorWith(tenants);
     REQUIRE(problem.find("op/config: ") == 0);
     REQUIRE(problem.size() > 20);
     REQUIRE(problem.find("secret") == std::string::npos);
   }
-  // A number beyond all bounds in a key's place: the library's text would repeat it.
-  REQUIRE(problemWith(R"([{"name": "amber", "api_keys": [99123e9999]}])").find("99123") == std::string::npos);
-  REQUIRE(problemWith(R"([{"name": "amber", "api_keys": ["secret-1"], "priority": -1}])") ==
-          "op/config: tenant amber: the priority is not a whole number from 0 on");
+  // For a number out of range in place of a key, the library's message would quote the number.
+  REQUIRE(errorWith(R"([{"name": "amber", "api_keys": [99123e9999]}])").find("99123") == std::string::npos);
+  REQUIRE(errorWith(R"([{"name": "amber", "api_keys": ["secret-1"], "priority": -1}])") ==
+          "op/config: tenant amber: the priority is not an integer of at least 0");
 }
 
-TEST_CASE("calls and answers of the store are spelt as it publishes them", "[platform]") {
+TEST_CASE("calls and answers follow the store's published format", "[platform]") {
   const StoreDialect dialect;
   const SourceCall list{SourceCall::Kind::kList, "a b/c", 0, {}};
   const SourceCall changes{SourceCall::Kind::kChanges, "", 411, std::chrono::milliseconds(1500)};
@@ -273,13 +274,13 @@
   const auto events = std::get<SourcePage>(
       dialect.decode(changes, okReply(R"({"events":[{"tls_key":"k","revision":5,"gone":true}],"at":531})"))
           .content);
-  REQUIRE(events.records[0].gone);
+  REQUIRE(events.records[0].deleted);
   const auto failureOf = [&](unsigned status) {
     HttpReply reply;
     reply.status = status;
     return std::get<SourceFailure>(dialect.decode(changes, reply).content);
   };
-  REQUIRE(failureOf(410) == SourceFailure::kHistoryGone);
+  REQUIRE(failureOf(410) == SourceFailure::kHistoryUnavailable);
   REQUIRE(failureOf(429) == SourceFailure::kThrottled);
   REQUIRE(failureOf(503) == SourceFailure::kUnavailable);
   REQUIRE(failureOf(404) == SourceFailure::kNoAnswer);
@@ -287,10 +288,10 @@
           SourceFailure::kNoAnswer);
 }
 
-TEST_CASE("every answer of the store tells its epoch, refusals too", "[platform]") {
+TEST_CASE("the epoch is read from every answer of the store, also from errors", "[platform]") {
   const StoreDialect dialect;
   const SourceCall changes{SourceCall::Kind::kChanges, "", 411, std::chrono::milliseconds(1500)};
-  const auto told = [&](unsigned status, const HeaderList& headers) {
+  const auto epochOf = [&](unsigned status, const HeaderList& headers) {
     HttpReply reply;
     reply.status = status;
     reply.headers = headers;
@@ -299,19 +300,19 @@
   };
   for (const unsigned status : {200U, 404U, 410U, 429U, 503U}) {
     CAPTURE(status);
-    const ToldEpoch epoch = told(status, {{"store-era", "7"}});
-    REQUIRE(epoch.kind == ToldEpoch::Kind::kTold);
+    const ReportedEpoch epoch = epochOf(status, {{"store-era", "7"}});
+    REQUIRE(epoch.kind == ReportedEpoch::Kind::kReported);
     REQUIRE(epoch.epoch == 7);
-    REQUIRE(told(status, {}).kind == ToldEpoch::Kind::kMissing);
+    REQUIRE(epochOf(status, {}).kind == ReportedEpoch::Kind::kMissing);
   }
-  REQUIRE(told(200, {{"Store-Era", "0"}}).kind == ToldEpoch::Kind::kTold);
-  REQUIRE(told(200, {{"Store-Era", "18446744073709551615"}}).epoch == 18446744073709551615U);
-  REQUIRE(told(200, {{"Store-Era", "7"}, {"Store-Era", "7"}}).epoch == 7);
+  REQUIRE(epochOf(200, {{"Store-Era", "0"}}).kind == ReportedEpoch::Kind::kReported);
+  REQUIRE(epochOf(200, {{"Store-Era", "18446744073709551615"}}).epoch == 18446744073709551615U);
+  REQUIRE(epochOf(200, {{"Store-Era", "7"}, {"Store-Era", "7"}}).epoch == 7);
   for (const char* malformed : {"", " ", "-1", "+7", "7.0", "7 8", "0x7", "seven", "18446744073709551616"}) {
     CAPTURE(malformed);
-    REQUIRE(told(200, {{"Store-Era", malformed}}).kind == ToldEpoch::Kind::kMalformed);
+    REQUIRE(epochOf(200, {{"Store-Era", malformed}}).kind == ReportedEpoch::Kind::kMalformed);
   }
-  REQUIRE(told(200, {{"Store-Era", "7"}, {"Store-Era", "8"}}).kind == ToldEpoch::Kind::kMalformed);
+  REQUIRE(epochOf(200, {{"Store-Era", "7"}, {"Store-Era", "8"}}).kind == ReportedEpoch::Kind::kMalformed);
 }
 
 }  // namespace oakpier::serving::platform
--- a/tests/serving/programs/causes_test.cpp
+++ b/tests/serving/programs/causes_test.cpp
@@ -1,4 +1,5 @@
-/// What the gateway writes of losses, and what `oakpierctl causes` makes of it, beside what callers lost.
+/// Compares the losses that `oakpierctl causes` reads from the gateway's log with the losses that callers
+/// see.
 
 #include "programs/control/causes.h"
 
@@ -6,7 +7,7 @@
 #include <sstream>
 
 #include "programs/control/explain.h"
-#include "programs/gateway/loss_ledger.h"
+#include "programs/gateway/loss_logger.h"
 #include "serving/support/captured_log.h"
 #include "serving/support/serving_fixtures.h"
 #include "support/property.h"
@@ -19,8 +20,8 @@
 
 const std::vector<std::string> kShards{"s0", "s1", "s2", "s3"};
 
-/// What a caller reckons that it lost, from the answer and its time alone.
-double lostByCaller(const FinalAnswer& answer, Duration taken, Duration target) {
+/// Loss as a caller computes it from the answer and its latency.
+double callerLoss(const FinalAnswer& answer, Duration taken, Duration target) {
   if (const auto* forwarded = std::get_if<ForwardedAnswer>(&answer)) {
     return forwarded->reply->status == 200 && taken <= target ? 0.0 : 1.0;
   }
@@ -33,8 +34,8 @@
   return 1.0 - share * share;
 }
 
-/// Queries of a day with generated outcomes; returns what their callers lost.
-double playDay(LossLedger& ledger, int queries) {
+/// Runs queries with generated outcomes; returns the sum of their callers' losses.
+double runQueries(LossLogger& ledger, int queries) {
   const bool gather = *rc::gen::arbitrary<bool>();
   const auto view = viewOf({gather ? gatherRoute(kShards, 0.5) : singleRoute("s0", true, 2)}, kShards, 2);
   const Route& route = view->configuration->routes[0];
@@ -50,17 +51,17 @@
       out.insert(out.end(), actions.sends.begin(), actions.sends.end());
       now += *rc::gen::inRange(1, 90);
       if (out.empty() || *rc::gen::inRange(0, 3) == 0) {
-        actions = query.onTime(at(now));
+        actions = query.onTimer(at(now));
         continue;
       }
       const SendAction send = out.back();
       out.pop_back();
-      query.onWritten(send.exchange);
+      query.onWriteStarted(send.exchange);
       const Kind kind = *rc::gen::element(Kind::kAnswered, Kind::kAnswered, Kind::kNoAnswer,
                                           Kind::kNotExecuted, Kind::kLeafFailed);
       actions = query.onOutcome(send.exchange, outcomeOf(kind, std::string(16, 'r')), at(now));
     }
-    lost += lostByCaller(*actions.answer, at(now) - receivedAt, route.targetLatency);
+    lost += callerLoss(*actions.answer, at(now) - receivedAt, route.targetLatency);
     ledger.add(route.name, query.lossOf(*actions.answer, at(now)), at(now));
   }
   return lost;
@@ -78,19 +79,19 @@
 
 }  // namespace
 
-TEST_CASE("the causes that logs tell sum to what callers lost", "[serving]") {
+TEST_CASE("logged causes sum up to the losses of callers", "[serving]") {
   OAKPIER_PROPERTY("losses", [] {
     const CapturedLog captured;
     double lost = 0;
     const int queries = *rc::gen::inRange(1, 20);
     {
-      LossLedger ledger;
-      lost = playDay(ledger, queries);
+      LossLogger ledger;
+      lost = runQueries(ledger, queries);
     }
     LossReport report;
     std::istringstream lines(captured.text());
-    addLosses(lines, report);
-    RC_ASSERT(report.unreadable == 0U);
+    readLosses(lines, report);
+    RC_ASSERT(report.malformedLines == 0U);
     RC_ASSERT(report.routes.size() == 1U);
     RC_ASSERT(report.routes.begin()->second.requests == static_cast<std::uint64_t>(queries));
     RC_ASSERT(std::abs(report.routes.begin()->second.lost - lost) < 1e-6);
@@ -98,10 +99,10 @@
   });
 }
 
-TEST_CASE("losses are few lines whatever the load", "[serving]") {
+TEST_CASE("the number of loss lines does not grow with the load", "[serving]") {
   const CapturedLog captured;
   {
-    LossLedger ledger;
+    LossLogger ledger;
     Loss loss;
     loss.add(LossCause::kOwnerLate, 0.25);
     for (int number = 0; number < 100'000; ++number) {
@@ -113,12 +114,12 @@
   REQUIRE(std::count(text.begin(), text.end(), '\n') <= 12);
   LossReport report;
   std::istringstream lines(text);
-  addLosses(lines, report);
+  readLosses(lines, report);
   REQUIRE(report.routes.at("page").causes.at("owner late") == Approx(25'000));
-  REQUIRE(report.routes.at("page").atOwners.at("every leaf asked slow") == Approx(100'000));
+  REQUIRE(report.routes.at("page").delegatedCauses.at("every leaf asked slow") == Approx(100'000));
 }
 
-TEST_CASE("losses are shown by route and cause, the largest first", "[serving]") {
+TEST_CASE("losses are printed by route and cause, largest first", "[serving]") {
   std::istringstream lines(
       "1.0 gateway-1 {\"time_us\":7000001,\"message\":\"requests ended\",\"route\":\"page\",\"requests\":10,"
       "\"lost\":4.0}\n"
@@ -129,8 +130,8 @@
       "not a log line\n"
       "1.0 gateway-1 {\"time_us\":7000003,\"message\":\"loss\",\"cause\":\"of no route\"}\n");
   LossReport report;
-  addLosses(lines, report);
-  REQUIRE(report.unreadable == 1);
+  readLosses(lines, report);
+  REQUIRE(report.malformedLines == 1);
   std::ostringstream out;
   printLosses(report, true, out);
   const std::string text = out.str();
@@ -139,13 +140,13 @@
   REQUIRE(text.find("lost by second from 7 on") != std::string::npos);
 }
 
-TEST_CASE("refusals for keys, proofs and limits are losses with causes of their own", "[serving]") {
+TEST_CASE("refusals for keys, proofs and limits have their own causes", "[serving]") {
   const CapturedLog captured;
   const std::vector<LossCause> causes = {LossCause::kKeyMissing,      LossCause::kKeyUnknown,
                                          LossCause::kKeyMaybeNew,     LossCause::kProofTooOld,
-                                         LossCause::kTenantOverLimit, LossCause::kTenantNotCounted};
+                                         LossCause::kTenantOverLimit, LossCause::kQuotaUnavailable};
   {
-    LossLedger ledger;
+    LossLogger ledger;
     for (const LossCause cause : causes) {
       Loss loss;
       loss.add(cause, 1.0);
@@ -154,13 +155,13 @@
   }
   LossReport report;
   std::istringstream lines(captured.text());
-  addLosses(lines, report);
+  readLosses(lines, report);
   std::ostringstream out;
   printLosses(report, false, out);
   CAPTURE(out.str());
-  REQUIRE(report.unreadable == 0);
+  REQUIRE(report.malformedLines == 0);
   REQUIRE(report.routes.at("page").causes.size() == causes.size());
-  // Every figure stands in one column, also that of the longest cause.
+  // The figures are aligned, also after the longest cause.
   const std::string share = "      1.00   16.67 %\n";
   for (const LossCause cause : causes) {
     std::string line = std::string("    ") + textOf(cause);
--- a/tests/serving/programs/gateway_log_test.cpp
+++ b/tests/serving/programs/gateway_log_test.cpp
@@ -6,24 +6,24 @@
 
 namespace oakpier::serving {
 
-TEST_CASE("log lines are bounded and those left out are counted", "[serving]") {
+TEST_CASE("the rate of log lines is limited and suppressed lines are counted", "[serving]") {
   RequestLog log(RequestLogSettings{1, 5});
   for (int number = 0; number < 20; ++number) {
     log.onRefused({"id", {}}, "page", LossCause::kLeafsTooBusy, 503, at(1000));
   }
-  REQUIRE(log.linesLeftOut() == 15);
+  REQUIRE(log.linesSuppressed() == 15);
   log.onRefused({"id", {}}, "page", LossCause::kLeafsTooBusy, 503, at(1400));
-  REQUIRE(log.linesLeftOut() == 15);
+  REQUIRE(log.linesSuppressed() == 15);
 }
 
-TEST_CASE("a query keeps the decisions that led to its end", "[serving]") {
+TEST_CASE("a query keeps a trace of its decisions", "[serving]") {
   const auto view = viewOf({gatherRoute({"s0"}, 1.0)}, {"s0"}, 2);
   QueryWorld world(view);
   Query query(view, view->configuration->routes[0], *world.context, at(0), at(2000));
   const auto started = query.start(at(0));
-  query.onWritten(started.sends[0].exchange);
-  const auto hedged = query.onTime(query.nextDecisionAt());
-  query.onWritten(hedged.sends[0].exchange);
+  query.onWriteStarted(started.sends[0].exchange);
+  const auto hedged = query.onTimer(query.nextDecisionAt());
+  query.onWriteStarted(hedged.sends[0].exchange);
   query.onOutcome(hedged.sends[0].exchange, outcomeOf(LeafOutcome::Kind::kNoAnswer), at(120));
   const auto& events = query.trace().events();
   REQUIRE(events.size() == 3);
@@ -34,33 +34,33 @@
   REQUIRE(query.missingServices() == std::vector<std::string>{"s0"});
 }
 
-TEST_CASE("metrics tell every figure with its help", "[serving]") {
+TEST_CASE("metrics contain the values of all counters", "[serving]") {
   RequestCounters requests;
   requests.received = 7;
   requests.rejectedKeys = 31;
-  requests.refusedUnproved = 32;
+  requests.refusedUnproven = 32;
   requests.refusedOverLimit = 33;
   requests.answerTimes["page"].record(std::chrono::milliseconds(3));
   requests.answerTimes["page"].record(std::chrono::minutes(5));
   LeafPoolCounters pool;
   OwnerClientCounters owners;
   owners.probes = 4;
-  MergeClientCounters mergers;
-  mergers.parts = 21;
-  mergers.incomplete = 3;
+  MergeClientCounters mergeServers;
+  mergeServers.parts = 21;
+  mergeServers.incomplete = 3;
   PeerTransportCounters peers;
   peers.bytesSentByKind.at(static_cast<std::size_t>(FrameKind::kWork)) = 77;
   FollowerCounters source;
-  source.proofs.asked = 31;
+  source.proofs.requests = 31;
   source.proofs.timedOut = 5;
-  QuotaFigures quota;
-  quota.holder.asks = 31;
-  quota.home.granted = 32;
+  QuotaMetrics quota;
+  quota.client.requests = 31;
+  quota.server.granted = 32;
   quota.buckets = 33;
   quota.waits.record(std::chrono::milliseconds(3));
   const std::string text =
-      metricsText(GatewayFigures{requests, pool, owners, 9, mergers, 22, peers, source, 12,  70,
-                                 8,        4,    true,   1, 2,       12, 1192,  34,     1.5, quota});
+      metricsText(GatewayMetrics{requests, pool, owners, 9, mergeServers, 22,   peers, source, 12,   70, 8,
+                                 4,        true, 1,      2, 12,           1192, 34,    1.5,    quota});
   for (const char* line : {"oakpier_gateway_requests_total 7",
                            "oakpier_gateway_configuration_version 12",
                            "oakpier_gateway_rejected_keys_total 31",
--- a/tests/serving/programs/owner_client_test.cpp
+++ b/tests/serving/programs/owner_client_test.cpp
@@ -1,4 +1,4 @@
-/// The asking side of the hop between daemons: which frames go out and which results are believed.
+/// The client of shard owners: which frames it sends and which results it accepts.
 
 #include "programs/gateway/owner_client.h"
 
@@ -23,18 +23,19 @@
         client(*context, owners, [this](const Endpoint& to, PeerEnvelope envelope) {
           frames.emplace_back(to, std::move(envelope));
         }) {
-    order.request = std::make_shared<const HttpRequest>(HttpRequest{"GET", "/all/", {{"X-Id", "7"}}, "body"});
-    order.route = std::make_shared<const Route>(gatherRoute({"s", "t", "u"}, 0.5));
-    order.leafDeadline = Moment::max();
-    order.usefulUntil = Moment::max();
-    order.listener =
-        std::make_shared<const OwnerClient::Listener>([this](const std::vector<ExchangeOutcome>& told) {
-          outcomes.insert(outcomes.end(), told.begin(), told.end());
+    parameters.request =
+        std::make_shared<const HttpRequest>(HttpRequest{"GET", "/all/", {{"X-Id", "7"}}, "body"});
+    parameters.route = std::make_shared<const Route>(gatherRoute({"s", "t", "u"}, 0.5));
+    parameters.leafDeadline = Moment::max();
+    parameters.answerBy = Moment::max();
+    parameters.listener =
+        std::make_shared<const OwnerClient::Listener>([this](const std::vector<ExchangeOutcome>& received) {
+          outcomes.insert(outcomes.end(), received.begin(), received.end());
         });
   }
 
   void sendThree() {
-    client.send({{1, kFirstOwner, "s", 2}, {2, kOtherOwner, "t", 2}, {3, kFirstOwner, "u", 2}}, order);
+    client.send({{1, kFirstOwner, "s", 2}, {2, kOtherOwner, "t", 2}, {3, kFirstOwner, "u", 2}}, parameters);
   }
 
   OwnerResults resultOf(ExchangeId exchange, std::uint64_t run) const {
@@ -52,12 +53,12 @@
   std::vector<std::pair<Endpoint, PeerEnvelope>> frames;
   std::vector<ExchangeOutcome> outcomes;
   OwnerClient client;
-  OwnerClient::Order order;
+  OwnerClient::RequestParameters parameters;
 };
 
 }  // namespace
 
-TEST_CASE("shards of one owner travel in one frame with the whole request", "[serving]") {
+TEST_CASE("shards of one owner are sent in one frame with the complete request", "[serving]") {
   ClientWorld world;
   world.sendThree();
   REQUIRE(world.frames.size() == 2);
@@ -74,7 +75,7 @@
   REQUIRE(world.frames[0].second.time_to_live_ms() > 0);
 }
 
-TEST_CASE("a result is believed once, and only by the process that asked", "[serving]") {
+TEST_CASE("a result is accepted once, and only by the process that sent the work", "[serving]") {
   ClientWorld world;
   world.sendThree();
   const std::uint64_t run = world.frames[0].second.owner_work().sender_run();
@@ -88,7 +89,7 @@
   REQUIRE(world.outcomes[0].outcome.reply->body == "records");
 }
 
-TEST_CASE("two processes do not take each other's results", "[serving]") {
+TEST_CASE("two processes at one address use different run ids", "[serving]") {
   ClientWorld first;
   ClientWorld second;
   second.random.seed(8);
@@ -96,12 +97,12 @@
     second.frames.emplace_back(to, std::move(envelope));
   });
   first.sendThree();
-  later.send({{1, kFirstOwner, "s", 2}}, second.order);
+  later.send({{1, kFirstOwner, "s", 2}}, second.parameters);
   REQUIRE(first.frames[0].second.owner_work().sender_run() !=
           second.frames[0].second.owner_work().sender_run());
 }
 
-TEST_CASE("withdrawn shards are told to their owners and answer nobody", "[serving]") {
+TEST_CASE("cancelled shards are cancelled at their owners and their results ignored", "[serving]") {
   ClientWorld world;
   world.sendThree();
   const std::uint64_t run = world.frames[0].second.owner_work().sender_run();
@@ -116,7 +117,7 @@
   REQUIRE(world.outcomes.empty());
 }
 
-TEST_CASE("work that never left is known not to have run", "[serving]") {
+TEST_CASE("undeliverable work is reported as not sent", "[serving]") {
   ClientWorld world;
   world.sendThree();
   const OwnerWork work = world.frames[0].second.owner_work();
@@ -126,41 +127,41 @@
   REQUIRE(world.client.counters().undeliverable == 1);
 }
 
-TEST_CASE("daemons of the zone are greeted when they come, also when they come back", "[serving]") {
+TEST_CASE("peers of the zone are probed when they join and when they return", "[serving]") {
   ClientWorld world;
-  world.client.greet({kFirstOwner, kOtherOwner});
+  world.client.probeNewPeers({kFirstOwner, kOtherOwner});
   REQUIRE(world.frames.size() == 2);
   REQUIRE(world.frames[0].second.owner_work().parts_size() == 0);
-  world.client.greet({kFirstOwner, kOtherOwner});
+  world.client.probeNewPeers({kFirstOwner, kOtherOwner});
   REQUIRE(world.frames.size() == 2);
-  world.client.greet({kFirstOwner});
-  world.client.greet({kFirstOwner, kOtherOwner});
+  world.client.probeNewPeers({kFirstOwner});
+  world.client.probeNewPeers({kFirstOwner, kOtherOwner});
   REQUIRE(world.frames.size() == 3);
   REQUIRE(world.frames[2].first == kOtherOwner);
 }
 
-TEST_CASE("the zone hears of daemons that have fallen silent, and is believed", "[serving]") {
+TEST_CASE("unresponsive peers are reported to the zone, and reports of others are applied", "[serving]") {
   ClientWorld world;
   const Endpoint bystander(4, 9);
   world.owners.setDaemons({Endpoint(1, 9), kFirstOwner, kOtherOwner, bystander});
-  world.client.greet({kFirstOwner, kOtherOwner, bystander});
+  world.client.probeNewPeers({kFirstOwner, kOtherOwner, bystander});
   world.owners.onSent(kFirstOwner, steadyNow() - std::chrono::seconds(1));
   world.frames.clear();
-  world.client.tellOfSilence();
+  world.client.reportUnresponsivePeers();
   REQUIRE(world.frames.size() == 2);
   for (const auto& [to, frame] : world.frames) {
     REQUIRE(to != kFirstOwner);
     REQUIRE(frame.silent_daemons().addresses(0) == kFirstOwner.text());
   }
-  world.client.tellOfSilence();
+  world.client.reportUnresponsivePeers();
   REQUIRE(world.frames.size() == 2);
 
-  ClientWorld told;
-  told.client.onSilentDaemons(world.frames[0].second.silent_daemons());
-  REQUIRE(told.owners.silent(kFirstOwner, steadyNow()));
+  ClientWorld notified;
+  notified.client.onUnresponsivePeers(world.frames[0].second.silent_daemons());
+  REQUIRE(notified.owners.isUnresponsive(kFirstOwner, steadyNow()));
   SilentDaemons unreadable;
   unreadable.add_addresses("nowhere");
-  told.client.onSilentDaemons(unreadable);
+  notified.client.onUnresponsivePeers(unreadable);
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/state/route_table_test.cpp
+++ b/tests/serving/state/route_table_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("the longest prefix of the host's routes decides", "[serving]") {
+TEST_CASE("the route with the longest matching prefix of the host is found", "[serving]") {
   ServingConfiguration configuration;
   configuration.routes = {routeAt("a.example", "/x/"), routeAt("a.example", "/x/y/"),
                           routeAt("b.example", "/")};
@@ -32,16 +32,16 @@
   REQUIRE(table.find("c.example", "/x/") == nullptr);
 }
 
-TEST_CASE("a configuration is checked whole and every problem is told", "[serving]") {
+TEST_CASE("validation reports every error of a configuration", "[serving]") {
   ServingConfiguration configuration;
   configuration.services = {{"s", 10}, {"none", 0}};
   configuration.routes = {routeAt("a.example", "/x/"), routeAt("a.example", "/x/"), routeAt("", "x")};
   configuration.routes.push_back(gatherRoute({"s", "s", "unknown"}, 1.5));
-  const auto problems = problemsOf(configuration);
+  const auto problems = validationErrors(configuration);
   REQUIRE(problems.size() == 7);
   configuration.routes = {routeAt("a.example", "/x/"), gatherRoute({"s"}, 0.5)};
   configuration.services.pop_back();
-  REQUIRE(problemsOf(configuration).empty());
+  REQUIRE(validationErrors(configuration).empty());
 }
 
 }  // namespace oakpier::serving
--- a/tests/serving/transport/leaf_pool_test.cpp
+++ b/tests/serving/transport/leaf_pool_test.cpp
@@ -19,16 +19,16 @@
   }
 
   void send(ExchangeId exchange, const std::string& requestId, const std::string& body = "",
-            Duration timeLeft = std::chrono::seconds(30), Duration leastTime = Duration(0)) {
+            Duration timeLeft = std::chrono::seconds(30), Duration minTimeLeft = Duration(0)) {
     HttpRequest request{"GET", "/x", {{"Host", "h"}, {names.requestId, requestId}}, body};
-    LeafPool::Order order;
-    order.exchange = exchange;
-    order.request = std::make_shared<const LeafRequestTemplate>(request, names);
-    order.deadline = steadyNow() + timeLeft;
-    order.leastTime = leastTime;
-    order.listener.onWritten = [this] { ++written; };
-    order.listener.onOutcome = [this](const LeafOutcome& outcome) { outcomes.push_back(outcome); };
-    pool.send(leaf, 1, std::move(order));
+    LeafPool::ExchangeRequest exchangeRequest;
+    exchangeRequest.exchange = exchange;
+    exchangeRequest.request = std::make_shared<const LeafRequestTemplate>(request, names);
+    exchangeRequest.deadline = steadyNow() + timeLeft;
+    exchangeRequest.minTimeLeft = minTimeLeft;
+    exchangeRequest.listener.onWriteStarted = [this] { ++written; };
+    exchangeRequest.listener.onOutcome = [this](const LeafOutcome& outcome) { outcomes.push_back(outcome); };
+    pool.send(leaf, 1, std::move(exchangeRequest));
   }
 
   std::string reply(const std::string& requestId, const std::string& body) const {
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("a connection is kept for the next request to the leaf", "[serving]") {
+TEST_CASE("a connection is reused for the next request to the leaf", "[serving]") {
   PoolWorld world;
   for (ExchangeId exchange = 1; exchange <= 3; ++exchange) {
     const std::string id = "id-" + std::to_string(exchange);
@@ -68,7 +68,7 @@
   REQUIRE(world.server.connections().size() == 1);
 }
 
-TEST_CASE("a late second answer is not taken for the answer to the next request", "[serving]") {
+TEST_CASE("a duplicate reply is not taken for the reply to the next request", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -81,7 +81,7 @@
   REQUIRE(world.outcomes[1].reply->body == "second");
 }
 
-TEST_CASE("bytes after a whole answer end the connection, not the answer", "[serving]") {
+TEST_CASE("bytes after a complete reply close the connection, and the reply stays valid", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -93,11 +93,12 @@
   REQUIRE(world.server.connections().size() == 2);
 }
 
-TEST_CASE("an answer without a length ends with its connection; a reset makes it incomplete", "[serving]") {
+TEST_CASE("a reply without a length is complete when the connection closes, but not when it is reset",
+          "[serving]") {
   PoolWorld world;
   const std::string head = "HTTP/1.1 200 OK\r\n" + world.names.requestId + ": one\r\n" +
                            world.names.signature + ": s\r\n\r\nwhole";
-  SECTION("ended in order") {
+  SECTION("closed") {
     world.send(1, "one");
     world.awaitRequests(1);
     world.connection(0).write(head);
@@ -115,12 +116,12 @@
   }
 }
 
-TEST_CASE("an answer cut short is no answer, and the request is never sent again", "[serving]") {
+TEST_CASE("a truncated reply counts as no answer, and the request is not resent", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
-  const std::string whole = world.reply("one", "0123456789");
-  world.connection(0).write(whole.substr(0, whole.size() - 4));
+  const std::string complete = world.reply("one", "0123456789");
+  world.connection(0).write(complete.substr(0, complete.size() - 4));
   world.connection(0).end();
   world.awaitOutcomes(1);
   REQUIRE(world.outcomes[0].kind == Kind::kNoAnswer);
@@ -128,7 +129,7 @@
   REQUIRE(world.written == 1);
 }
 
-TEST_CASE("a kept connection that breaks under a request does not make it go out twice", "[serving]") {
+TEST_CASE("a request is not resent when the reused connection under it is reset", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -142,7 +143,7 @@
   REQUIRE(world.server.requests() == 2);
 }
 
-TEST_CASE("bytes that are not an answer are no answer", "[serving]") {
+TEST_CASE("bytes that are not HTTP count as no answer", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -151,11 +152,11 @@
   REQUIRE(world.outcomes[0].kind == Kind::kNoAnswer);
 }
 
-TEST_CASE("a leaf that refuses connections leaves the request unsent", "[serving]") {
+TEST_CASE("a request to a leaf that refuses connections is not sent", "[serving]") {
   PoolWorld world;
   {
-    RawServer gone(world.context);
-    world.leaf.address = gone.address();
+    RawServer closedServer(world.context);
+    world.leaf.address = closedServer.address();
   }
   world.send(1, "one");
   world.awaitOutcomes(1);
@@ -163,7 +164,7 @@
   REQUIRE(world.written == 0);
 }
 
-TEST_CASE("a leaf that accepts a connection and resets it at once leaves the request unsent", "[serving]") {
+TEST_CASE("a request to a leaf that resets new connections immediately is not sent", "[serving]") {
   PoolWorld world;
   world.server.resetNewConnections();
   world.send(1, "one");
@@ -172,20 +173,20 @@
   REQUIRE(world.written == 0);
 }
 
-TEST_CASE("a waiting request that is abandoned is never sent", "[serving]") {
+TEST_CASE("a queued request that is cancelled is not sent", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.send(2, "two");
   world.awaitRequests(1);
-  world.pool.abandon(2);
+  world.pool.cancel(2);
   REQUIRE(world.outcomes.size() == 1);
-  REQUIRE(world.outcomes[0].kind == Kind::kWithdrawn);
+  REQUIRE(world.outcomes[0].kind == Kind::kCancelled);
   world.connection(0).write(world.reply("one", ""));
   world.awaitOutcomes(2);
   REQUIRE(world.server.requests() == 1);
 }
 
-TEST_CASE("a request that waited too long for a connection is never sent", "[serving]") {
+TEST_CASE("a queued request with too little time left is dropped", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
@@ -201,7 +202,7 @@
   REQUIRE(world.pool.counters().expiredUnsent == 1);
 }
 
-TEST_CASE("nothing is sent after its deadline", "[serving]") {
+TEST_CASE("a request is not sent after its deadline", "[serving]") {
   PoolWorld world;
   world.send(1, "one", "", Duration(-1));
   world.awaitOutcomes(1);
@@ -209,18 +210,18 @@
   REQUIRE(world.written == 0);
 }
 
-TEST_CASE("an abandoned request that stays at work is cut off", "[serving]") {
+TEST_CASE("a cancelled request in progress is aborted after the grace period", "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
-  world.pool.abandon(1);
+  world.pool.cancel(1);
   runUntil(world.context, [&] { return world.connection(0).ended; });
-  REQUIRE(world.outcomes[0].kind == Kind::kWithdrawn);
+  REQUIRE(world.outcomes[0].kind == Kind::kCancelled);
 }
 
-TEST_CASE("an early answer to a request that is still being written ends the connection", "[serving]") {
+TEST_CASE("a connection whose reply came before the request was fully written is not reused", "[serving]") {
   PoolWorld world;
-  // Larger than the buffers of the connection, and the server does not read it to its end at first.
+  // Larger than the socket buffers, so that the write does not complete before the server replies.
   world.send(1, "one", std::string(32U << 20U, 'x'));
   runUntil(world.context,
            [&] { return !world.server.connections().empty() && !world.connection(0).received.empty(); });
@@ -231,17 +232,17 @@
   runUntil(world.context, [&] { return world.server.connections().size() == 2; });
 }
 
-TEST_CASE("what waits for a leaf that takes no work any more ends unsent; what is at work there goes on",
+TEST_CASE("for a leaf that accepts no new requests, queued ones are not sent and those in progress complete",
           "[serving]") {
   PoolWorld world;
   world.send(1, "one");
   world.awaitRequests(1);
   world.send(2, "two");
-  const auto retainAs = [&](LeafPool::LeafUse use) {
-    world.pool.retain([use](const LeafLife&) { return use; });
+  const auto retainAs = [&](LeafPool::RetainMode mode) {
+    world.pool.retain([mode](const LeafIncarnation&) { return mode; });
   };
-  SECTION("the leaf takes no work") {
-    retainAs(LeafPool::LeafUse::kStop);
+  SECTION("the leaf accepts no new requests") {
+    retainAs(LeafPool::RetainMode::kFailQueued);
     world.awaitOutcomes(1);
     REQUIRE(world.outcomes[0].kind == Kind::kNotSent);
     world.connection(0).write(world.reply("one", "body"));
@@ -249,101 +250,103 @@
     REQUIRE(world.outcomes[1].kind == Kind::kAnswered);
     REQUIRE(world.written == 1);
   }
-  SECTION("another daemon uses the leaf from now on") {
-    retainAs(LeafPool::LeafUse::kFinish);
+  SECTION("the leaf is now assigned to another daemon") {
+    retainAs(LeafPool::RetainMode::kSendQueued);
     world.connection(0).write(world.reply("one", "body"));
     world.awaitRequests(2);
     REQUIRE(world.outcomes[0].kind == Kind::kAnswered);
   }
 }
 
-TEST_CASE("nothing goes to a leaf that started again on a connection to its earlier life",
+TEST_CASE("a connection to an earlier incarnation of a leaf carries no requests for the next one",
           "[serving][lives]") {
   PoolWorld world;
   LeafRegistry registry;
   const auto reconcile = [&] {
     registry.reconcile(LeafsByService{{"s", {world.leaf}}}, steadyNow());
-    world.pool.retain([&](const LeafLife& life) {
-      return world.leaf.isOf(life) ? LeafPool::LeafUse::kKeep : LeafPool::LeafUse::kStop;
+    world.pool.retain([&](const LeafIncarnation& incarnation) {
+      return world.leaf.isOf(incarnation) ? LeafPool::RetainMode::kKeep : LeafPool::RetainMode::kFailQueued;
     });
   };
-  world.leaf.bornAt = 1760000000000;
+  world.leaf.processStartedAt = 1760000000000;
   reconcile();
   world.send(1, "one");
   world.awaitRequests(1);
   world.connection(0).write(world.reply("one", "body"));
   world.awaitOutcomes(1);
-  RawServer moved(world.context);
-  const bool elsewhere = GENERATE(false, true);
-  RawServer& server = elsewhere ? moved : world.server;
-  SECTION("the earlier connection rests") {}
-  SECTION("a request is at work there and one waits for it") {
+  RawServer otherServer(world.context);
+  const bool newAddress = GENERATE(false, true);
+  RawServer& server = newAddress ? otherServer : world.server;
+  SECTION("the earlier connection is idle") {}
+  SECTION("one request is in progress there and one is queued") {
     world.send(2, "two");
     world.awaitRequests(2);
     world.send(3, "three");
   }
   const std::size_t sentBefore = world.written;
   const std::size_t connectionsBefore = server.connections().size();
-  world.leaf.bornAt = 1760000060000;
+  world.leaf.processStartedAt = 1760000060000;
   world.leaf.address = server.address();
   world.leaf.warmupLeft = std::chrono::seconds(3);
   reconcile();
   world.send(4, "four");
   runUntil(world.context, [&] { return server.connections().size() > connectionsBefore; });
-  RawServer::Connection& fresh = *server.connections().back();
-  runUntil(world.context, [&] { return !fresh.received.empty(); });
-  REQUIRE(fresh.received.find("four") != std::string::npos);
-  REQUIRE(fresh.received.find(world.names.expectedInstance + ": leaf-1\r\n") != std::string::npos);
+  RawServer::Connection& newest = *server.connections().back();
+  runUntil(world.context, [&] { return !newest.received.empty(); });
+  REQUIRE(newest.received.find("four") != std::string::npos);
+  REQUIRE(newest.received.find(world.names.expectedInstance + ": leaf-1\r\n") != std::string::npos);
   REQUIRE(world.connection(0).received.find("four") == std::string::npos);
-  // What waited for the earlier life was never written.
+  // The request queued for the earlier incarnation was never written.
   REQUIRE(world.written == sentBefore + 1);
   REQUIRE(registry.leafsOf("s").front()->warmingUp(steadyNow()));
   REQUIRE(registry.leafsOf("s").front()->inProgress() == 0);
 }
 
-TEST_CASE("a leaf that cannot be reached is tried anew until a connection stands", "[serving]") {
+TEST_CASE("an unreachable leaf is retried until it accepts a connection", "[serving]") {
   PoolWorld world;
-  std::vector<bool> told;
-  world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { told.push_back(reachable); });
+  std::vector<bool> reports;
+  world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { reports.push_back(reachable); });
   world.server.close();
   world.send(1, "one");
-  runUntil(world.context, [&] { return told.size() >= 2; });
-  REQUIRE(told == std::vector<bool>{false, false});
+  runUntil(world.context, [&] { return reports.size() >= 2; });
+  REQUIRE(reports == std::vector<bool>{false, false});
   REQUIRE(world.outcomes.size() == 1);
   REQUIRE(world.outcomes[0].kind == Kind::kNotSent);
   world.server.reopen();
-  runUntil(world.context, [&] { return told.back(); });
+  runUntil(world.context, [&] { return reports.back(); });
   REQUIRE(world.outcomes.size() == 1);
 }
 
-TEST_CASE("a leaf that accepts connections and resets them can be reached", "[serving]") {
+TEST_CASE("a leaf that accepts and resets connections counts as reachable", "[serving]") {
   PoolWorld world;
-  std::vector<bool> told;
-  world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { told.push_back(reachable); });
+  std::vector<bool> reports;
+  world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { reports.push_back(reachable); });
   world.server.resetNewConnections();
   world.send(1, "one");
   world.awaitOutcomes(1);
   REQUIRE(world.outcomes[0].kind == Kind::kNotSent);
-  REQUIRE(told.empty());
+  REQUIRE(reports.empty());
 }
 
-TEST_CASE("a leaf's process counts as ended only when nothing listens after requests were broken off",
+TEST_CASE("a leaf counts as crashed only if connections are refused after requests were interrupted",
           "[serving]") {
   PoolWorld world;
-  std::vector<std::shared_ptr<RequestRecord>> under;
-  world.pool.setLeafEndListener(
-      [&](const LeafEntry&, const std::vector<std::shared_ptr<RequestRecord>>& records) { under = records; });
+  std::vector<std::shared_ptr<RequestRecord>> interrupted;
+  world.pool.setLeafCrashListener(
+      [&](const LeafEntry&, const std::vector<std::shared_ptr<RequestRecord>>& records) {
+        interrupted = records;
+      });
   world.send(1, "one");
   world.awaitRequests(1);
-  SECTION("the process has ended") {
+  SECTION("the process has crashed") {
     world.server.close();
     world.connection(0).reset();
-    runUntil(world.context, [&] { return world.pool.counters().leafsEnded == 1; });
+    runUntil(world.context, [&] { return world.pool.counters().leafCrashes == 1; });
     const HttpRequest same{"GET", "/x", {{"Host", "h"}, {world.names.requestId, "another"}}, ""};
-    REQUIRE(under.size() == 1);
-    REQUIRE(under[0]->fingerprint == fingerprintOf(same));
+    REQUIRE(interrupted.size() == 1);
+    REQUIRE(interrupted[0]->fingerprint == fingerprintOf(same));
   }
-  SECTION("only the connection has ended") {
+  SECTION("only the connection was reset") {
     world.connection(0).reset();
     world.awaitOutcomes(1);
     runUntil(world.context, [&] { return world.server.connections().size() == 2; });
@@ -355,18 +358,18 @@
     runUntil(world.context, [&] { return world.pool.counters().closedIdleByLeaf == 1; });
     world.send(3, "three");
     world.awaitOutcomes(3);
-    REQUIRE(world.pool.counters().leafsEnded == 0);
+    REQUIRE(world.pool.counters().leafCrashes == 0);
   }
-  SECTION("the process resets its connections, a new one too, before it stops listening") {
+  SECTION("the process resets its connections, including a new one, before it stops listening") {
     world.server.resetNewConnections();
     world.connection(0).reset();
     runUntil(world.context, [&] { return world.server.resets() == 1; });
     world.server.close();
     world.awaitOutcomes(1);
-    REQUIRE(world.outcomes[0].kind == Kind::kLeafEnded);
-    REQUIRE(under.size() == 1);
+    REQUIRE(world.outcomes[0].kind == Kind::kLeafCrashed);
+    REQUIRE(interrupted.size() == 1);
   }
-  SECTION("the leaf lives and resets all new connections") {
+  SECTION("the leaf is running and resets all new connections") {
     world.server.resetNewConnections();
     world.connection(0).reset();
     world.awaitOutcomes(1);
@@ -375,16 +378,16 @@
     world.server.close();
     world.send(2, "two");
     world.awaitOutcomes(2);
-    REQUIRE(world.pool.counters().leafsEnded == 0);
+    REQUIRE(world.pool.counters().leafCrashes == 0);
   }
-  SECTION("an answer had begun") {
+  SECTION("part of a reply had arrived") {
     world.server.close();
     world.connection(0).write("HTTP/1.1 200 OK\r\n");
     world.connection(0).end();
     world.awaitOutcomes(1);
     world.send(2, "two");
     world.awaitOutcomes(2);
-    REQUIRE(world.pool.counters().leafsEnded == 0);
+    REQUIRE(world.pool.counters().leafCrashes == 0);
   }
 }
 
--- a/tests/support/silencing_proxy.h
+++ b/tests/support/stalling_proxy.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// A proxy on loopback whose open connections can fall silent: from then on it neither reads from them nor
-/// closes them, while new ones work. To the sender this looks like a path that swallows everything, as what
-/// it sends is not acknowledged once the proxy's buffers are full.
+/// A loopback proxy that can stall its open connections: it neither reads from them nor closes them, while
+/// new ones work. To the sender this looks like a path that drops all packets, since its data is not
+/// acknowledged once the proxy's buffers are full.
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -18,33 +18,33 @@
 
 namespace oakpier {
 
-class SilencingProxy {
+class StallingProxy {
  public:
-  /// Passes on to `target` what comes to `address()`.
-  explicit SilencingProxy(const Endpoint& target)
+  /// Forwards connections to `address()` to `target`.
+  explicit StallingProxy(const Endpoint& target)
       : target_(target), acceptor_(context_, {boost::asio::ip::address_v4::loopback(), 0}) {
     accept();
     thread_ = std::thread([this] { context_.run(); });
   }
-  SilencingProxy(const SilencingProxy&) = delete;
-  SilencingProxy& operator=(const SilencingProxy&) = delete;
-  ~SilencingProxy() {
+  StallingProxy(const StallingProxy&) = delete;
+  StallingProxy& operator=(const StallingProxy&) = delete;
+  ~StallingProxy() {
     context_.stop();
     thread_.join();
   }
 
   Endpoint address() const { return Endpoint(0x7f000001, acceptor_.local_endpoint().port()); }
 
-  /// All connections that are open now fall silent; they are when this returns.
-  void silence() {
-    std::promise<void> silenced;
+  /// Stalls all open connections; they are stalled when this returns.
+  void stallConnections() {
+    std::promise<void> done;
     boost::asio::post(context_, [&] {
       for (const auto& connection : connections_) {
-        connection->silent = true;
+        connection->stalled = true;
       }
-      silenced.set_value();
+      done.set_value();
     });
-    silenced.get_future().get();
+    done.get_future().get();
   }
 
  private:
@@ -54,7 +54,7 @@
     boost::asio::ip::tcp::socket far;
     std::array<char, 16384> fromNear{};
     std::array<char, 16384> fromFar{};
-    bool silent = false;
+    bool stalled = false;
   };
   using ConnectionPointer = std::shared_ptr<Connection>;
 
@@ -80,7 +80,7 @@
     from.async_read_some(
         boost::asio::buffer(chunk),
         [this, connection, &from, &to, &chunk](const boost::system::error_code& error, std::size_t count) {
-          if (connection->silent) {
+          if (connection->stalled) {
             return;
           }
           if (error) {
--- a/tests/transport/peer_transport_test.cpp
+++ b/tests/transport/peer_transport_test.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "support/free_endpoint.h"
-#include "support/silencing_proxy.h"
+#include "support/stalling_proxy.h"
 
 namespace oakpier {
 
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("a frame for a peer that is away is handed back and does not arrive later", "[transport]") {
+TEST_CASE("a frame to a disconnected peer is undeliverable and does not arrive later", "[transport]") {
   const Endpoint here = freeEndpoint();
   const Endpoint there = freeEndpoint();
   std::promise<std::string> undeliverable;
@@ -44,7 +44,7 @@
               [](const Endpoint&, const PeerEnvelope&) {}});
   REQUIRE(receiver.start().empty());
   auto first = arrived.get_future();
-  // The peer is up now, but its connection takes a moment; a frame that comes back too early is sent again.
+  // The peer is up, but connecting takes time: resend the frame if it is undeliverable until then.
   std::unique_ptr<PeerTransport> other;
   other = std::make_unique<PeerTransport>(
       freeEndpoint(), PeerTransport::Handlers{[](const PeerEnvelope&, bool) {},
@@ -56,16 +56,16 @@
   REQUIRE(first.get() == "late");
 }
 
-TEST_CASE("a peer that could not be reached is connected to anew when it is heard", "[transport]") {
+TEST_CASE("a frame from an unreachable peer replaces the connection to it", "[transport]") {
   const Endpoint here = freeEndpoint();
   const Endpoint there = freeEndpoint();
   std::promise<void> failed;
-  std::promise<void> heard;
+  std::promise<void> received;
   std::promise<void> answered;
   std::unique_ptr<PeerTransport> sender;
   bool first = true;
   sender = std::make_unique<PeerTransport>(
-      here, PeerTransport::Handlers{[&](const PeerEnvelope&, bool) { heard.set_value(); },
+      here, PeerTransport::Handlers{[&](const PeerEnvelope&, bool) { received.set_value(); },
                                     [&](const Endpoint& to, const PeerEnvelope& envelope) {
                                       if (std::exchange(first, false)) {
                                         failed.set_value();
@@ -83,13 +83,13 @@
               [&](const Endpoint& to, const PeerEnvelope& envelope) { receiver.send(to, envelope); }});
   REQUIRE(receiver.start().empty());
   receiver.send(here, workFrom(there, "started"));
-  heard.get_future().get();
+  received.get_future().get();
   REQUIRE(sender->counters().reconnections == 1);
   sender->send(there, workFrom(here, "answer"));
   answered.get_future().get();
 }
 
-TEST_CASE("an address in use is a text, not a crash", "[transport]") {
+TEST_CASE("start returns an error message if the address is in use", "[transport]") {
   const Endpoint here = freeEndpoint();
   const PeerTransport::Handlers none{[](const PeerEnvelope&, bool) {},
                                      [](const Endpoint&, const PeerEnvelope&) {}};
@@ -101,7 +101,7 @@
 
 namespace {
 
-/// Remembers the group of the frame that arrived last; frames begin with the letter of their group.
+/// Stores the group of the last received frame, which is the first letter of the frame.
 class ArrivedGroup {
  public:
   void onFrame(const PeerEnvelope& envelope) {
@@ -109,10 +109,10 @@
     group_ = envelope.work().work_id().front();
     changed_.notify_all();
   }
-  /// Returns early when the group has arrived.
-  bool await(char group, std::chrono::milliseconds longest) {
+  /// Returns when a frame of the group arrives or the time is up.
+  bool await(char group, std::chrono::milliseconds timeout) {
     std::unique_lock<std::mutex> guard(mutex_);
-    return changed_.wait_for(guard, longest, [&] { return group_ == group; });
+    return changed_.wait_for(guard, timeout, [&] { return group_ == group; });
   }
 
  private:
@@ -123,18 +123,18 @@
 
 }  // namespace
 
-TEST_CASE("a connection to a peer that falls silent without a reset is replaced", "[transport]") {
+TEST_CASE("a connection that is lost without a reset is replaced", "[transport]") {
   const Endpoint here = freeEndpoint();
   const Endpoint there = freeEndpoint();
   ArrivedGroup arrived;
   PeerTransport receiver(there, {[&](const PeerEnvelope& envelope, bool) { arrived.onFrame(envelope); },
                                  [](const Endpoint&, const PeerEnvelope&) {}});
   REQUIRE(receiver.start().empty());
-  SilencingProxy proxy(there);
+  StallingProxy proxy(there);
   PeerTransport sender(here, {[](const PeerEnvelope&, bool) {}, [](const Endpoint&, const PeerEnvelope&) {}});
   REQUIRE(sender.start().empty());
   const auto sendUntilArrived = [&](char group) {
-    // Large enough to fill the buffers on the way, so that the sender's bytes stay unacknowledged.
+    // Large enough to fill all buffers in between, so that the sender's data stays unacknowledged.
     PeerEnvelope frame = workFrom(here, std::string(std::size_t{512} * 1024, group));
     frame.set_time_to_live_ms(60'000);
     constexpr int kMostFrames = 1500;
@@ -147,7 +147,7 @@
     return false;
   };
   REQUIRE(sendUntilArrived('a'));
-  proxy.silence();
+  proxy.stallConnections();
   REQUIRE(sendUntilArrived('b'));
 }
 
