--- a/src/coordination/serving/caller_authorization.h
+++ b/src/coordination/serving/caller_authorization.h
@@ -5,7 +5,7 @@
 ///
 /// Invariants: without tenants in the configuration every caller may use every route; a non-public route
 /// never accepts a key that no tenant holds; a key is accepted, or refused for good, only while this daemon's
-/// configuration is proven recent enough.
+/// configuration is proven recent enough (see `AuthorizationSettings`).
 
 #include <optional>
 #include <string_view>
--- a/src/coordination/serving/configuration_proof.h
+++ b/src/coordination/serving/configuration_proof.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Proof that a daemon's configuration was current at some moment. A request with a key is admitted only
-/// under a proof younger than the operator's bound on the use of revoked keys.
+/// Proof that a daemon's configuration was current at some moment. A request with a key is admitted on
+/// behalf of its tenant only under a proof younger than the operator's bound, if any, on the use of revoked
+/// keys.
 
 #include <cstdint>
 
--- a/src/coordination/serving/fleet_visibility.h
+++ b/src/coordination/serving/fleet_visibility.h
@@ -15,7 +15,8 @@
 namespace oakpier::serving {
 
 /// How long the maximum is kept. Longer than the membership takes to declare a daemon dead (7 s with 75
-/// daemons, 13 s with 7,100), since until then it is as likely to return.
+/// daemons, 13 s with 7,100), since until then an unreachable daemon may
+/// well return.
 inline constexpr Duration kMaximumRetention = std::chrono::seconds(30);
 
 class FleetVisibility {
--- a/src/coordination/serving/quota_client.cpp
+++ b/src/coordination/serving/quota_client.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-/// Bounds of the time for which a refusal is cached. The lower one limits a tenant to 20 requests for tokens
-/// per second.
+/// Bounds of the time for which a refusal is cached. The lower one limits each daemon to 20
+/// requests for tokens per second for a tenant beyond its limit.
 constexpr Duration kMinRefusalCacheTime = std::chrono::milliseconds(50);
 /// The upper one exists because other daemons may return tokens earlier.
 constexpr Duration kMaxRefusalCacheTime = std::chrono::milliseconds(250);
-/// Retry time if no server answered; by then unresponsive ones are tried last. Such requests are refused,
-/// since the allowance has no room for one request per daemon that a network partition may isolate.
+/// Retry time if no server answered; by then unresponsive ones are tried last. The requests are refused
+/// rather than admitted, since the window limit has no room for one request on each daemon that a network
+/// partition may isolate.
 constexpr Duration kUnansweredRetryAfter = std::chrono::milliseconds(300);
 /// Jitter of retry times: up to this fraction is added.
 constexpr double kRetryJitter = 0.25;
@@ -177,7 +178,7 @@
   }
   dropExpired(state, now);
   serveWaiting(grant.tenant, state, now, decisions);
-  // A late reply of a server that was abandoned: the requests have got their tokens elsewhere.
+  // Left over if the reply arrived late and the requests were decided on another server's reply.
   while (state.tokens.size() > prefetchLimit_) {
     release(grant.tenant, state.tokens.back(), now);
     state.tokens.pop_back();
--- a/src/coordination/serving/quota_client.h
+++ b/src/coordination/serving/quota_client.h
@@ -5,8 +5,8 @@
 ///
 /// Invariants: each admitted request uses one token, at most `kTokenLifetime` after that was requested; each
 /// request gets one decision within `kMaxQuotaServersTried` x `kQuotaServerTimeout`, plus the delay of the
-/// caller's timer; at most one request for tokens per tenant is outstanding, and after a refusal there is
-/// none for `kMinRefusalCacheTime`.
+/// caller's timer; at most one request for tokens per tenant is outstanding, and after a refusal by a
+/// server there is none for `kMinRefusalCacheTime`.
 
 #include <cstdint>
 #include <deque>
@@ -45,7 +45,7 @@
 enum class RefusalCause {
   /// The tenant's quota server had none left.
   kNoTokens,
-  /// None of the servers that were tried answered.
+  /// The servers that were tried did not answer or don't know the tenant's limit.
   kUnanswered,
 };
 
@@ -88,7 +88,7 @@
   std::uint64_t refused = 0;
   /// Subset of `refused`: on a cached refusal, without asking a server.
   std::uint64_t refusedImmediately = 0;
-  /// Subset of `refused`: none of the servers that were tried answered.
+  /// Subset of `refused`: with cause `kUnanswered`.
   std::uint64_t refusedUnanswered = 0;
   /// Requests to servers that timed out or could not be delivered.
   std::uint64_t unanswered = 0;
@@ -148,7 +148,7 @@
     std::deque<Waiter> waiting;
     /// The outstanding request for tokens.
     std::optional<PendingRequest> pending;
-    /// Servers that did not answer for the waiting requests.
+    /// Servers tried for the waiting requests that did not answer or don't know the tenant's limit.
     std::vector<Endpoint> tried;
     bool prefetchDue = false;
     /// Requests are refused without asking until then.
--- a/src/coordination/serving/quota_plan.cpp
+++ b/src/coordination/serving/quota_plan.cpp
@@ -9,22 +9,24 @@
 /// The capacity covers the burst plus the refill of this many seconds, so that prefetched tokens that expire
 /// unused don't delay a tenant within its limit.
 constexpr double kCapacitySeconds = 0.5;
-/// Bounds of the capacity, as fractions of what the allowance leaves beyond the refill.
+/// Bounds of the capacity, as fractions of what the window limit leaves beyond the refill.
 constexpr double kMinCapacityShare = 0.4;
 constexpr double kMaxCapacityShare = 0.6;
 /// Quota servers that may take over within one window: the first successor, and the primary after its
 /// restart.
 constexpr double kTakeovers = 2.0;
-/// Fraction of their initial levels held in reserve for frames in flight and incomplete member tables.
+/// Fraction of what is left for initial levels that these two don't use: it covers later successors, frames
+/// in flight and incomplete member tables.
 constexpr double kReserveShare = 0.2;
-/// Sides of a network partition that are served by the second or a later successor.
+/// Number of sides of a network partition, served by the second or a later successor, that the plan provides
+/// for.
 constexpr double kLaterSides = 2.0;
 
 double secondsOf(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
 /// The smaller of two bounds: one for windows within a lasting network partition, one for the window in which
 /// it begins. In the latter the primary grants its full rate and the successors their fractions of it until
-/// the membership detects it, and then each side its part.
+/// the membership detects it, and then each side its scaled rate.
 double headroomOf(const QuotaPlan& plan, double allowed, Duration window) {
   if (plan.refillRate <= 0) {
     return 1;
--- a/src/coordination/serving/quota_plan.h
+++ b/src/coordination/serving/quota_plan.h
@@ -18,7 +18,8 @@
 namespace oakpier::serving {
 
 /// From the request for a token until it can no longer be used or returned. A token may be used this much
-/// later than it was granted, so a window may see the grants of a span longer by this.
+/// later than it was granted, so a window may see the grants of a span longer by this. Also bounds the unused
+/// tokens that clients hold, without any accounting of them.
 inline constexpr Duration kTokenLifetime = std::chrono::milliseconds(500);
 
 /// How long a successor allows for the membership to notice a network partition; until then it cannot tell a
@@ -28,9 +29,9 @@
 /// The membership waits this long for the answer to a probe, so it suspects no daemon sooner than this after
 /// a network partition.
 inline constexpr Duration kMinSuspicionDelay = std::chrono::milliseconds(300);
-/// Fractions of the refill rate that the first successor, and those after it, grant until then. The later
-/// ones grant less, as several predecessors that don't respond are more likely to be unreachable than
-/// terminated.
+/// Fractions of the refill rate that the first successor, and those after it, grant during
+/// `kNetworkPartitionDetectionTime`. The later ones grant less, as several predecessors that don't respond
+/// are more likely to be unreachable than terminated.
 inline constexpr double kFirstSuccessorRateShare = 0.75;
 inline constexpr double kLaterSuccessorRateShare = 0.0625;
 
@@ -44,7 +45,7 @@
   double slack = 0;
 };
 
-/// The most requests that may be admitted in any sliding window.
+/// The window limit: the most requests that may be admitted in any sliding window.
 double allowedInWindow(const TenantLimit& limit, const QuotaTolerance& tolerance);
 
 /// Bucket parameters, in tokens. One token admits one request.
@@ -56,7 +57,8 @@
   double initialLevel = 0;
   /// Initial level on every later successor.
   double laterInitialLevel = 0;
-  /// One side of a network partition may use its fraction of the daemons times this.
+  /// At least 1. A side of a network partition with a given fraction of the daemons grants at most that
+  /// fraction times this of the refill and capacity; see `partitionSideScale`.
   double headroom = 1;
 };
 
--- a/src/coordination/serving/quota_server.cpp
+++ b/src/coordination/serving/quota_server.cpp
@@ -20,8 +20,8 @@
 /// is one token at most, and a fraction of a token admits nothing. At most four sides are this large: those
 /// of the primary, of the first successor, and of the two later ones that the plan provides for.
 constexpr double kMinFullLevelFraction = 0.2;
-/// Limit of the initial level until the membership is stable: after a start of the whole fleet, several
-/// daemons rank themselves first for a tenant.
+/// Limit of the initial level, in tokens, until the membership is stable; scaled by the visible
+/// fraction: after a start of the whole fleet, several daemons rank themselves first for a tenant.
 constexpr double kMaxUnstableInitialLevel = 2.0;
 /// Lower bound of the rate, in requests per second, that retry times are computed with.
 constexpr double kMinRefillRate = 0.01;
@@ -53,8 +53,9 @@
 }
 
 bool QuotaServer::networkPartitionMayBeUndetected(const Bucket& bucket, Moment now) {
-  // The predecessors were suspected no sooner than `kMinSuspicionDelay` after a partition of the network. So
-  // a bucket created after its detection does not wait again.
+  // A network partition began at least `kMinSuspicionDelay` before the predecessors were suspected, so only
+  // the rest of `kNetworkPartitionDetectionTime` has to pass after that. A bucket created later does not
+  // wait.
   const Moment recentFrom = now - (kNetworkPartitionDetectionTime - kMinSuspicionDelay);
   const bool recentlyUnresponsive =
       now - bucket.predecessorsUnresponsiveSince < kNetworkPartitionDetectionTime;
--- a/src/coordination/serving/quota_server.h
+++ b/src/coordination/serving/quota_server.h
@@ -33,8 +33,8 @@
 struct TenantGrant {
   std::string tenant;
   std::uint32_t granted = 0;
-  /// Expected time until another token is available, if fewer were granted than requested. 0: this daemon
-  /// does not know the tenant's limit.
+  /// If fewer tokens were granted than wanted: expected time until another one is available, or 0 if this
+  /// daemon does not know the tenant's limit. Otherwise 0.
   Duration retryAfter{};
 };
 
@@ -53,9 +53,9 @@
  public:
   void setTolerance(const QuotaTolerance& tolerance);
   /// `visibleFraction`: the fraction of the fleet that this daemon sees; see `FleetVisibility`.
-  /// `membershipStable`: its member table is stable. Until then new buckets start with that fraction of their
-  /// initial level, since after a start of the whole fleet several daemons rank themselves first for a
-  /// tenant. They don't start empty, as that would refuse tenants below their limit, also those whose first
+  /// `membershipStable`: its member table is stable. Until then new buckets start with at most that fraction
+  /// of their initial level, since after a start of the whole fleet several daemons rank themselves first for
+  /// a tenant. They don't start empty, as that would refuse tenants below their limit, also those whose first
   /// servers are unreachable in a network partition.
   void setVisibleFraction(double visibleFraction, bool membershipStable) {
     visibleFraction_ = visibleFraction;
@@ -68,7 +68,8 @@
   /// Empty if the request only returns tokens.
   std::optional<TenantGrant> onRequest(const TenantTokenRequest& request, const TenantLimit& limit,
                                        const QuotaServerRank& serverRank, Moment now);
-  /// Tokens left at the last refill; empty if there is no bucket for the tenant.
+  /// Tokens left after the last request, without the refill since; empty if there is no bucket for the
+  /// tenant.
   std::optional<double> levelOf(const std::string& tenant) const;
   /// Removes buckets and senders without activity in the last minute.
   void dropIdle(Moment now);
@@ -83,11 +84,11 @@
     /// Refused tokens, less the refill since. Refused callers get retry times that grow with it.
     double backlog = 0;
     std::size_t rank = 0;
-    /// A predecessor has responded lately, or since the last refill.
+    /// At the last request: a frame of a predecessor had been received recently, or since the request before.
     bool predecessorResponds = false;
     /// Since when all predecessors are suspected; `kNever` while one is not.
     Moment predecessorsSuspectedSince = kNever;
-    /// Since when no predecessor has responded.
+    /// Since when no predecessor has responded; not before the bucket was created.
     Moment predecessorsUnresponsiveSince{};
     Moment refilledAt{};
   };
--- a/src/coordination/serving/quota_server_selector.h
+++ b/src/coordination/serving/quota_server_selector.h
@@ -20,13 +20,13 @@
 namespace oakpier::serving {
 
 /// Length of a ranking. On a side of a network partition with a quarter of the daemons, one tenant in a
-/// hundred has none of its candidates in reach.
+/// hundred can reach none of its candidates.
 inline constexpr std::size_t kMaxQuotaServerCandidates = 16;
 
 /// The primary, then the successors; at most `kMaxQuotaServerCandidates` daemons.
 std::vector<Endpoint> rankQuotaServers(const std::string& tenant, const std::vector<ServingDaemon>& daemons);
 
-/// A daemon's place in the ranking of a tenant.
+/// A daemon's rank for a tenant, and the state of the daemons that rank before it.
 struct QuotaServerRank {
   /// 0: the primary; 1: the first successor, and so on.
   std::size_t rank = 0;
--- a/src/protocol/serving/leaf_messages.cpp
+++ b/src/protocol/serving/leaf_messages.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned kMisdirected = 421;
 constexpr std::string_view kTimeoutParameter = "timeout=";
-/// Running, waiting, slots; the work time is optional.
+/// Running requests, queued requests and slots; the processing time is optional.
 constexpr std::size_t kMinLoadFields = 3;
 
 bool isSuccess(unsigned status) { return status >= 200 && status < 300; }
--- a/src/protocol/serving/leaf_messages.h
+++ b/src/protocol/serving/leaf_messages.h
@@ -15,6 +15,7 @@
 namespace oakpier::serving {
 
 /// A caller's request, serialized once except for the headers that differ between attempts.
+/// The `HeaderNames` must outlive it.
 class LeafRequestTemplate {
  public:
   LeafRequestTemplate(const HttpRequest& request, const HeaderNames& names);
@@ -25,7 +26,7 @@
   /// Shared by all attempts of the request; never null.
   const std::shared_ptr<RequestRecord>& record() const { return record_; }
   bool isHead() const { return isHead_; }
-  /// The serialized request to the leaf `instance`, with `remaining` as its deadline.
+  /// The serialized request to the leaf with the id `instance`, with `remaining` as its deadline.
   std::string bytesFor(const std::string& instance, Duration remaining) const;
 
  private:
@@ -38,8 +39,8 @@
   bool isHead_ = false;
 };
 
-/// Interprets a complete reply. An unsigned or encoded one counts as `kNoAnswer`, unless it says that the
-/// request did not run.
+/// Interprets a complete reply. An unsigned or encoded one counts as `kNoAnswer`, unless it is `kNotExecuted`
+/// or `kWrongInstance`, which need no signature.
 LeafOutcome classifyReply(std::shared_ptr<const HttpReply> reply, const HeaderNames& names);
 
 /// True if the reply echoes `requestId`.
--- a/src/protocol/serving/source_update_codec.cpp
+++ b/src/protocol/serving/source_update_codec.cpp
@@ -11,7 +11,8 @@
 
 /// Smaller updates are sent uncompressed.
 constexpr std::size_t kCompressionThreshold = 600;
-/// Larger updates are rejected, so that a faulty peer cannot exhaust the memory.
+/// Compressed updates that declare a larger original size are rejected, so that a faulty peer cannot exhaust
+/// the memory.
 constexpr std::size_t kMaxUpdateBytes = std::size_t{128} * 1024 * 1024;
 /// zlib level, from 1 (fastest) to 9 (smallest).
 constexpr int kCompressionLevel = 3;
--- a/src/protocol/serving/source_update_codec.h
+++ b/src/protocol/serving/source_update_codec.h
@@ -40,7 +40,7 @@
   std::uint64_t compressions_ = 0;
 };
 
-/// The update in the envelope; empty if there is none or if it is corrupted.
+/// The update in the envelope; empty if there is none, or if it is corrupted or declares a size over 128 MiB.
 std::optional<SourceNews> decodeUpdate(const PeerEnvelope& envelope);
 
 }  // namespace oakpier::serving
--- a/src/state/serving/leaf_directory.h
+++ b/src/state/serving/leaf_directory.h
@@ -22,7 +22,7 @@
 /// The state that a leaf has published about one of its incarnations.
 struct LeafEntry {
   std::string id;
-  /// Start time of its process, in milliseconds since the Unix epoch; 0: not reported.
+  /// Start time of its process, in milliseconds since the Unix epoch; 0: not reported. See `LeafIncarnation`.
   std::uint64_t processStartedAt = 0;
   std::string service;
   Endpoint address;
@@ -38,6 +38,7 @@
   /// Position of this entry in the source's history; default if it was not read from a source.
   SourcePosition position;
 
+  /// Compares all but the id, the warm-up time and the position.
   bool sameDescription(const LeafEntry& other) const {
     return processStartedAt == other.processStartedAt && service == other.service &&
            address == other.address && zone == other.zone && slots == other.slots &&
--- a/src/state/serving/leaf_incarnation.h
+++ b/src/state/serving/leaf_incarnation.h
@@ -18,8 +18,8 @@
 
 struct LeafIncarnation {
   std::string id;
-  /// Start time of the process in milliseconds since 1970, by the clock of its machine; 0 if not reported.
-  /// Start times distinguish incarnations but do not order them, since clocks may be set back.
+  /// Start time of the process in milliseconds since the Unix epoch, by the clock of its machine; 0 if not
+  /// reported. Start times distinguish incarnations but do not order them, since clocks may be set back.
   std::uint64_t processStartedAt = 0;
   /// A process keeps its address, so another address means another incarnation, even without a start time.
   Endpoint address;
--- a/src/state/serving/request_fingerprint.h
+++ b/src/state/serving/request_fingerprint.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Fingerprints of requests: a hash of the method, the host, the path with the query, the tenant (without
-/// one, the Authorization header) and the body.
+/// Fingerprints identify repetitions of a request: a hash of the method, the host, the path with the query,
+/// the tenant (without one, the Authorization header) and the body.
 
 #include <cstdint>
 #include <string>
@@ -24,8 +24,8 @@
   std::string text() const;
 };
 
-/// The result is the same on every daemon. All other headers are ignored, since some of them, such as the
-/// request id and the deadline, differ between repetitions of a request.
+/// The result is the same on every daemon. Headers other than Host and Authorization are ignored, since
+/// some of them, such as the request id and the deadline, differ between repetitions of a request.
 RequestFingerprint fingerprintOf(const HttpRequest& request);
 
 struct RequestFingerprintHash {
--- a/src/state/serving/serving_configuration.h
+++ b/src/state/serving/serving_configuration.h
@@ -28,7 +28,7 @@
 /// answer.
 struct GatherTarget {
   std::vector<std::string> shards;
-  /// The number of highest-ranked records that an answer contains.
+  /// The number of greatest records, in byte order, that an answer contains.
   std::size_t topRecords = 0;
   /// The minimum fraction of the shards (0 to 1) that a successful answer covers.
   double minimumShardShare = 1.0;
--- a/src/state/serving/tenant.h
+++ b/src/state/serving/tenant.h
@@ -12,7 +12,7 @@
 struct TenantLimit {
   /// Requests per second; 0: no limit.
   double perSecond = 0;
-  /// Requests that may exceed the rate at once.
+  /// Requests beyond the rate that may arrive at the same time.
   double burst = 0;
 
   bool limited() const { return perSecond > 0; }
@@ -22,7 +22,7 @@
   std::string name;
   /// Plain-text keys. Set only while a configuration is read from the source; empty in tables and views.
   std::vector<std::string> keys;
-  /// Priority that overrides the route's; empty: the route's applies. 0 is the most urgent.
+  /// Priority that overrides the route's; empty: the route's applies. 0 is the highest.
   std::optional<unsigned> rank;
   TenantLimit limit;
 };
--- a/tests/serving/coordination/caller_authorization_test.cpp
+++ b/tests/serving/coordination/caller_authorization_test.cpp
@@ -319,7 +319,7 @@
 
 }  // namespace
 
-TEST_CASE("in generated histories no caller is admitted whom no version in effect allows", "[serving]") {
+TEST_CASE("in generated histories a caller is admitted only if a version in effect allows it", "[serving]") {
   int served = 0;
   int refused = 0;
   for (int seed = 0; seed < kHistories; ++seed) {
--- a/tests/serving/coordination/configuration_proof_test.cpp
+++ b/tests/serving/coordination/configuration_proof_test.cpp
@@ -31,7 +31,8 @@
 struct Checks {
   std::size_t made = 0;
   std::size_t refused = 0;
-  /// A key would have been accepted although a newer configuration was older than the bound.
+  /// A key would have been accepted although the configuration in use had been superseded for longer than the
+  /// bound.
   std::size_t unsafe = 0;
   Duration oldest{};
 };
@@ -117,8 +118,9 @@
   }
 }
 
-TEST_CASE("a third of the daemons that the source refuses get proofs from peers while keys are revoked",
-          "[serving]") {
+TEST_CASE(
+    "daemons that the source refuses, a third of the fleet, get proofs from peers while keys are revoked",
+    "[serving]") {
   const auto daemons = GENERATE(3U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U, 4U);
   CAPTURE(daemons, random);
@@ -168,7 +170,7 @@
   REQUIRE(fleet.covers(40, kProofBound));
 }
 
-TEST_CASE("during an outage of the source proofs last two seconds, expire by the bound and are renewed",
+TEST_CASE("during an outage of the source proofs last two seconds, expire by the bound and are renewed later",
           "[serving]") {
   const auto daemons = GENERATE(3U, 74U, 300U);
   const auto random = GENERATE(1U, 2U, 3U);
--- a/tests/serving/coordination/configuration_prover_test.cpp
+++ b/tests/serving/coordination/configuration_prover_test.cpp
@@ -141,8 +141,9 @@
   REQUIRE(daemon.prover.proof().provenAt == at(2900));
 }
 
-TEST_CASE("a reply contains the age of the proof, and is deferred while an own request is outstanding",
-          "[serving]") {
+TEST_CASE(
+    "a reply contains the age of the proof, and is deferred while the daemon's own request is outstanding",
+    "[serving]") {
   ProvenDaemon daemon;
   SECTION("no own request: immediately") {
     daemon.prover.onRequest(kFirst, requestOf(9), at(3000), daemon.actions);
--- a/tests/serving/coordination/quota_fleet_test.cpp
+++ b/tests/serving/coordination/quota_fleet_test.cpp
@@ -84,7 +84,7 @@
       fleet.run(second(41));
       requireWindowHolds(fleet, "hot", kLarge, settings.tolerance);
       REQUIRE(fleet.wronglyRefused("other", kSmall) == 0);
-      // It still gets its full rate.
+      // The tenant beyond its limit still gets its full rate.
       const auto& requests = fleet.requestsOf("hot");
       const auto granted = std::count_if(requests.begin(), requests.end(),
                                          [](const QuotaFleet::Request& request) { return request.granted; });
@@ -104,7 +104,7 @@
   fleet.run(second(11));
   const QuotaClientCounters counters = fleet.clientCounters();
   REQUIRE(counters.refused > 4500);
-  // 20 a second, plus those that were granted.
+  // 20 refused ones per second, plus those that were granted.
   REQUIRE(counters.requests <= 20 * kSeconds + 40);
   REQUIRE(counters.refusedImmediately > counters.refused * 9 / 10);
   // Retry times are spread according to the number of refused requests.
@@ -282,7 +282,7 @@
 
 // Guards against clients that spend their attempts on unreachable servers already suspected by the
 // membership, and against later successors that begin with less than one token and grant a sixteenth of the
-// rate although the partition of the network has been noticed.
+// rate although the network partition has been detected.
 TEST_CASE("a tenant below its limit is served on both sides of a network partition", "[serving]") {
   // 18 of 74 daemons are separated from the rest.
   constexpr std::size_t kTenants = 40;
@@ -315,7 +315,7 @@
 }
 
 // Known to fail: where the primary and its first successor are both unreachable, later successors grant a
-// sixteenth of the rate until the network partition is noticed, which refuses most requests of the tenants
+// sixteenth of the rate until the network partition is detected, which refuses most requests of the tenants
 // concerned.
 TEST_CASE("tenants of any rate below their limit are served in single and repeated network partitions",
           "[open][limits]") {
@@ -362,7 +362,8 @@
 }
 
 TEST_CASE("the window limit holds for a busy tenant in network partitions with many sides", "[serving]") {
-  // Guards against successors that grant the full rate of their side before every daemon has noticed.
+  // Guards against successors that grant the full rate of their side before every daemon has detected the
+  // partition.
   const TenantLimit busy{30, 30};
   for (const std::size_t sideCount : {3, 6, 12}) {
     for (const std::size_t daemons : {12, 40}) {
--- a/tests/serving/coordination/quota_plan_test.cpp
+++ b/tests/serving/coordination/quota_plan_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("successive quota servers within a window stay within the allowance", "[serving]") {
+TEST_CASE("successive quota servers within a window stay within the window limit", "[serving]") {
   for (const QuotaTolerance& tolerance : {kTolerance, QuotaTolerance{std::chrono::seconds(5), 0, 0},
                                           QuotaTolerance{std::chrono::seconds(1), 0.1, 3}}) {
     for (const double rate : {0.1, 1.0, 8.0, 100.0, 5000.0}) {
--- a/tests/serving/support/quota_fleet.h
+++ b/tests/serving/support/quota_fleet.h
@@ -23,7 +23,7 @@
   std::size_t daemons = 20;
   QuotaTolerance tolerance{std::chrono::seconds(5), 0.25, 20};
   std::size_t prefetchLimit = kPrefetchedTokens;
-  /// Fractions of frames. Delayed ones take 0.05 to 0.4 s.
+  /// Fractions of the frames between daemons. Delayed ones take 0.05 to 0.4 s.
   double lost = 0;
   double duplicated = 0;
   double delayed = 0;
