--- a/src/coordination/serving/quota_client.cpp
+++ b/src/coordination/serving/quota_client.cpp
@@ -18,7 +18,8 @@
 constexpr Duration kUnansweredRetryAfter = std::chrono::milliseconds(300);
 /// Jitter of retry times: up to this fraction is added.
 constexpr double kRetryJitter = 0.25;
-/// Lower bound of the rate, in requests per second, that retry times are computed with.
+/// Lower bound of the rate, in requests per second, that retry times are computed with, so that they are
+/// finite.
 constexpr double kMinRate = 0.01;
 /// Greatest age of a token that is returned. Leaves the frame 100 ms to arrive before the token expires.
 constexpr Duration kMaxReleaseAge = kTokenLifetime - std::chrono::milliseconds(100);
--- a/src/coordination/serving/quota_client.h
+++ b/src/coordination/serving/quota_client.h
@@ -109,7 +109,8 @@
 
   /// Precondition: `limit.limited()`.
   TokenOutcome take(const std::string& tenant, const TenantLimit& limit, Moment now);
-  /// Only for a token whose request certainly ran on no leaf.
+  /// Returns a token to its server, unless it is about to expire. Only for a token whose request certainly
+  /// ran on no leaf.
   void release(const std::string& tenant, const Token& token, Moment now);
 
   /// Frames that are due to be sent.
--- a/src/coordination/serving/quota_server.cpp
+++ b/src/coordination/serving/quota_server.cpp
@@ -23,7 +23,8 @@
 /// Limit of the initial level, in tokens, until the membership is stable; scaled by the visible
 /// fraction: after a start of the whole fleet, several daemons rank themselves first for a tenant.
 constexpr double kMaxUnstableInitialLevel = 2.0;
-/// Lower bound of the rate, in requests per second, that retry times are computed with.
+/// Lower bound of the rate, in requests per second, that retry times are computed with, so that they are
+/// finite.
 constexpr double kMinRefillRate = 0.01;
 
 double secondsBetween(Moment earlier, Moment later) {
