--- a/src/coordination/control_plane.h
+++ b/src/coordination/control_plane.h
@@ -147,7 +147,8 @@
   PeerEnvelope newEnvelope() const;
   void send(const Endpoint& to, PeerEnvelope envelope);
   void apply(MembershipActions actions);
-  /// Handles messages addressed to this daemon itself and returns the others with the results.
+  /// Handles messages addressed to this daemon itself, except replies to reservations, and returns the others
+  /// with the results.
   ControlActions flush(Moment now);
 
   SelfMember self_;
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -100,7 +100,8 @@
   /// Notifies a few members of a planned stop. After that `onTimer` does nothing.
   MembershipActions leave(Moment now);
 
-  /// Whether a reply to the probe `sequence` is pending. Probes sent before a pause are not.
+  /// Whether a reply to the probe `sequence` is pending. Replies to probes sent before a pause are not
+  /// awaited.
   bool awaitsReply(std::uint64_t sequence) const { return pending_.count(sequence) != 0; }
 
   const MemberTable& members() const { return members_; }
--- a/src/coordination/serving/epoch_classifier.h
+++ b/src/coordination/serving/epoch_classifier.h
@@ -29,9 +29,11 @@
   std::uint64_t restorations = 0;
   /// Epochs that were never seen, because a later one was reported first.
   std::uint64_t skipped = 0;
-  /// Answers of an older epoch, without an epoch after one was reported, and with a malformed one.
+  /// Answers of an older epoch than the known one.
   std::uint64_t older = 0;
+  /// Answers without an epoch although one was reported before or is known from a peer.
   std::uint64_t missing = 0;
+  /// Answers with several epochs, or with one that is not an integer.
   std::uint64_t malformed = 0;
 };
 
--- a/src/coordination/serving/leaf_tombstones.h
+++ b/src/coordination/serving/leaf_tombstones.h
@@ -20,7 +20,7 @@
  public:
   /// The incarnation was removed at `now`.
   void add(const LeafIncarnation& incarnation, Moment now);
-  /// Whether the incarnation has a tombstone.
+  /// Whether the incarnation has a tombstone. Of each leaf id only the last removed incarnation has one.
   bool contains(const LeafIncarnation& incarnation) const;
   /// Drops expired tombstones.
   void onTimer(Moment now);
--- a/src/coordination/serving/reader_election.h
+++ b/src/coordination/serving/reader_election.h
@@ -54,7 +54,8 @@
   void becomeReader() { becameReader_ = true; }
   /// A call of this daemon succeeded.
   void onAnswer() { lastCallFailed_ = false; }
-  /// A call of this daemon failed: it is not the reader until one succeeds.
+  /// A call of this daemon failed: it cannot be the reader until one succeeds, and is no longer reader
+  /// because of an earlier takeover.
   void onFailure();
 
   /// This daemon is the reader, whether or not it receives updates of others.
--- a/src/coordination/serving/serving_state.h
+++ b/src/coordination/serving/serving_state.h
@@ -5,8 +5,8 @@
 ///
 /// Invariants: the configuration version never decreases within a process; an invalid configuration is never
 /// applied; leafs and evacuations change only with a later position of the source. Of two records of one leaf
-/// id that of the later position wins, whichever incarnation it is of: the source keeps one entry per id, and
-/// start times are taken from a clock that may be set back.
+/// id, that of the later position wins, whichever incarnation it is of: the source keeps one entry per id,
+/// and start times are taken from a clock that may be set back.
 ///
 /// A source that is restored from an older backup contradicts the known state: its listing may contain
 /// deleted records, lack new ones, and hold earlier versions. The known state has priority until its writers
--- a/src/coordination/serving/source_notices.h
+++ b/src/coordination/serving/source_notices.h
@@ -10,7 +10,7 @@
 
 namespace oakpier::serving {
 
-/// The source reported an unknown epoch, or none that can be used. Raised once per change.
+/// The source reported another epoch than the known one, or none that can be used. Raised once per change.
 struct EpochNotice {
   EpochVerdict verdict = EpochVerdict::kKnown;
   /// As reported; 0 if it is missing or malformed.
--- a/src/coordination/serving/source_reader.h
+++ b/src/coordination/serving/source_reader.h
@@ -62,7 +62,7 @@
   /// The next call is due no later than `moment`, also if `callNoEarlierThan` was called.
   void callNoLaterThan(Moment moment) { nextCallAt_ = std::min(nextCallAt_, moment); }
   /// Makes the next call due now, and answered without waiting for a change. A backoff after failed calls
-  /// still applies.
+  /// still applies. No effect while a call is in progress or before the first listing is complete.
   void expediteCall(Moment now);
   /// An update of a peer was applied: everything up to `position` is known.
   void onUpdate(const SourcePosition& position);
--- a/src/coordination/serving/source_records.h
+++ b/src/coordination/serving/source_records.h
@@ -107,7 +107,8 @@
   bool isConfiguration = false;
 };
 
-/// A leaf's record that was not written by a leaf. No leaf may be used because of it.
+/// An invalid record under the key of a leaf. Leafs write no such records themselves, so a known leaf of that
+/// id is removed.
 struct UnusableLeaf {
   std::string id;
   std::string error;
--- a/src/coordination/serving/source_relay.cpp
+++ b/src/coordination/serving/source_relay.cpp
@@ -10,8 +10,8 @@
 
 /// Minimum time between requests for missing records.
 constexpr Duration kUpdateRequestInterval = std::chrono::milliseconds(300);
-/// An update of a known revision is forwarded only if it was read later by more than this, because there may
-/// be several readers.
+/// An update at the position that was forwarded last, of a reader that does not rank before the last one's,
+/// is forwarded only if it was read later by more than this, because there may be several readers.
 constexpr Duration kMinConfirmationGap = std::chrono::milliseconds(100);
 /// Rate limit of complete states, which have some ten kilobytes each, compressed once: a start of many
 /// daemons must saturate neither a small link nor a tenth of a CPU. Daemons that received one reply to
--- a/src/coordination/serving/source_relay.h
+++ b/src/coordination/serving/source_relay.h
@@ -66,7 +66,8 @@
   /// the peer then retries with another daemon.
   std::optional<OutgoingUpdate> catchUpFor(const Endpoint& to, const SourcePosition& requesterPosition,
                                            const SourcePosition& known, Moment now);
-  /// Defers the reply to a request until something newer than the requester's position is known here.
+  /// Defers the reply to a request until something newer than the requester's position is known here. Ignores
+  /// the request if too many are deferred.
   void deferRequest(const Endpoint& requester);
   /// Replies to the deferred requests.
   std::vector<OutgoingUpdate> replyToDeferred(const SourcePosition& known, Moment now);
@@ -85,7 +86,7 @@
   void addAllRecords(SourceNews& update) const;
   /// Returns whether the rate of complete states permits one more now, and counts it.
   bool acquireCompleteStateSlot(Moment now);
-  /// Forwards an update unless an equal or newer one was forwarded.
+  /// Adds the messages that forward `update` if the invariant on forwarding permits it (see above).
   void forward(const SourceNews& update, Moment now, RelayActions& actions);
 
   Endpoint self_;
--- a/src/coordination/update_queue.h
+++ b/src/coordination/update_queue.h
@@ -24,7 +24,8 @@
  public:
   explicit UpdateQueue(const UpdateQueueSettings& settings) : settings_(settings) {}
 
-  /// Queues `subject` to be sent `transmissions` times, replacing what remained of an earlier call.
+  /// Queues `subject` to be sent `transmissions` times, replacing what remained of an earlier call. A subject
+  /// that is still queued keeps its position.
   void add(const Endpoint& subject, int transmissions);
   /// Returns the members to report in the next message and counts them as sent once.
   std::vector<Endpoint> take();
