--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -228,8 +228,8 @@
   }
 }
 
-/// Probes one seed and one dead member. Without this the sides of a healed network partition would not probe
-/// each other again.
+/// Probes one seed that is not a serving member and one dead member. Without this the sides of a healed
+/// network partition would not probe each other again.
 void Membership::reconnect(Moment now, MembershipActions& actions) {
   std::vector<Endpoint> candidates;
   if (!seeds_.empty()) {
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -36,8 +36,8 @@
   /// Each update is sent this many times max(1, log10(members + 1)).
   double updateTransmissions = 4.0;
   UpdateQueueSettings updates;
-  /// How often one dead member and one seed are probed, so that the sides of a healed network partition
-  /// merge. A daemon that has not joined does so every quarter of the probe period.
+  /// How often one dead member and one seed that is not serving are probed, so that the sides of a healed
+  /// network partition merge. A daemon that has not joined does so every quarter of the probe period.
   Duration reconnectPeriod = std::chrono::seconds(5);
   /// Minimum time between comparisons of the member table with that of a peer whose digest differs.
   Duration comparePeriod = std::chrono::seconds(5);
--- a/src/coordination/serving/serving_state.h
+++ b/src/coordination/serving/serving_state.h
@@ -75,7 +75,7 @@
   void onEvacuationListing(const std::set<std::string>& zones, const SourcePosition& position, Moment now);
   /// Applies changes whose delay is over.
   void onTimer(Moment now);
-  /// When `onTimer` next has something to do.
+  /// When `onTimer` next changes what is in effect; the expiry of tombstones does not count.
   Moment nextDueAt() const;
 
   /// The current view if it has changed since the last call; else null. `known`: the source's position to
@@ -137,7 +137,7 @@
   std::shared_ptr<const RouteTable> routes_;
   std::shared_ptr<const TenantTable> tenants_;
   std::map<std::string, KnownLeaf> leafs_;
-  /// All zones that were ever evacuated, by name.
+  /// All zones for which an evacuation or its end was received, by name.
   std::map<std::string, KnownZone> zones_;
   LeafTombstones tombstones_;
   /// By leaf id.
--- a/src/coordination/serving/source_follower.cpp
+++ b/src/coordination/serving/source_follower.cpp
@@ -141,7 +141,7 @@
 void SourceFollower::onSourceRestored(Moment now) {
   election_.onAnswer();
   listing_.clear();
-  // The first in order lists for all; the others only if they do not receive the result in time.
+  // The first-ranked daemon lists for all; the others only if they do not receive the result in time.
   reader_.relist(election_.stagger(now, random_), now);
 }
 
--- a/src/coordination/serving/source_follower.h
+++ b/src/coordination/serving/source_follower.h
@@ -76,15 +76,16 @@
   /// `seeds`: the peers to request the state from first; may contain this daemon. Without this call the
   /// source is listed immediately.
   void start(const std::vector<Endpoint>& seeds, Moment now);
-  /// A request was refused because no configuration is known. The source is then listed immediately: a reply
-  /// of a peer may take longer than callers wait.
+  /// A request was refused because no configuration is known. Unless this daemon has already called the
+  /// source, it lists it immediately: a reply of a peer may take longer than callers wait.
   void onConfigurationNeeded(Moment now);
   /// The call to make now, if one is due.
   std::optional<SourceCall> takeCall(Moment now);
   FollowerActions onAnswer(const SourceCall& call, const SourceAnswer& answer, Moment now);
   FollowerActions onUpdate(const Endpoint& sender, const SourceNews& update, Moment now);
-  /// The reply to a peer that requests the records it lacks; empty while none are known, while no newer ones
-  /// are known, and when too many complete states were sent just now.
+  /// The reply to a peer that requests the records it lacks. Empty while none are known here or the requester
+  /// knows a newer epoch: the reply is then deferred until that changes. Also empty when too many complete
+  /// states were sent just now.
   std::optional<OutgoingUpdate> onUpdateRequest(const Endpoint& sender, const SourceNewsRequest& request,
                                                 Moment now);
   FollowerActions onProofRequest(const Endpoint& sender, const ConfigurationProofRequest& request,
@@ -143,7 +144,7 @@
   };
   /// Adds what the record names to `listed`.
   void applyRecord(const SourceRecord& record, Moment now, FollowerActions& actions, ListedNames& listed);
-  /// The record may be forwarded: it is not an older configuration than the one in effect.
+  /// The record may be stored for replies to peers: it is not an older configuration than the one in effect.
   bool isNotSuperseded(const SourceStatement& statement) const;
   void applyUpdate(const SourceNews& update, Moment now, FollowerActions& actions);
   void applyUnusableLeaf(const UnusableLeaf& leaf, const SourcePosition& position, FollowerActions& actions);
--- a/src/coordination/serving/source_relay.h
+++ b/src/coordination/serving/source_relay.h
@@ -40,7 +40,8 @@
   std::vector<OutgoingUpdate> updates;
   /// The peer to request all records after the known position from.
   std::optional<Endpoint> requestFrom;
-  /// The update may be applied: it leaves no gap after the known position, or contains the complete state.
+  /// The update may be applied: it is not older than the known position, and leaves no gap after it or
+  /// contains the complete state.
   bool accepted = false;
 };
 
@@ -66,10 +67,10 @@
   /// the peer then retries with another daemon.
   std::optional<OutgoingUpdate> catchUpFor(const Endpoint& to, const SourcePosition& requesterPosition,
                                            const SourcePosition& known, Moment now);
-  /// Defers the reply to a request until something newer than the requester's position is known here. Ignores
-  /// the request if too many are deferred.
+  /// Defers the reply to a request while nothing, or only an older epoch than the requester's, is known here.
+  /// Ignores the request if too many are deferred.
   void deferRequest(const Endpoint& requester);
-  /// Replies to the deferred requests.
+  /// Replies to the deferred requests with the complete state, within its rate limit.
   std::vector<OutgoingUpdate> replyToDeferred(const SourcePosition& known, Moment now);
 
   /// Stores a record, or its deletion, for replies to peers.
--- a/src/coordination/voter.h
+++ b/src/coordination/voter.h
@@ -5,7 +5,8 @@
 /// Invariants:
 ///  - never accepts a ballot below the one it has promised;
 ///  - grants only for the revision after the one in its store, and only when the voter set in effect there
-///    (for revision 1, the voter set from the platform's list of daemons) contains this process;
+///    (for revision 1, the voter set from the platform's list of daemons, which must equal the proposer's)
+///    contains this process;
 ///  - its state is in memory only, so a restarted process, having a new incarnation, counts as a different
 ///    voter.
 
--- a/src/coordination/voter_lease.h
+++ b/src/coordination/voter_lease.h
@@ -30,8 +30,8 @@
     }
   }
 
-  /// Increments the own heartbeat count once per heartbeat period if this daemon is a voter, and drops old
-  /// entries. Call more often than the heartbeat period.
+  /// Increments this daemon's heartbeat count once per heartbeat period if this daemon is a voter, and drops
+  /// old entries. Call more often than the heartbeat period.
   void onTimer(const VoterSet& voters, Moment now);
 
   bool held(const VoterSet& voters, Moment now) const;
--- a/src/coordination/voter_selection.h
+++ b/src/coordination/voter_selection.h
@@ -19,14 +19,14 @@
   bool leaving = false;
 };
 
-/// Keeps the voters that are still serving with the same incarnation and adds members until there are
-/// `target` voters, each from the zone with the fewest voters. Returns fewer when there are not enough
-/// members.
+/// Keeps the voters that are still serving with the same incarnation and adds members that are not suspected,
+/// and this daemon unless it is leaving, until there are `target` voters, each from the zone with the fewest
+/// voters. Returns fewer when there are not enough members.
 VoterSet selectVoters(const VoterSet& current, const MemberTable& members, const SelfMember& self,
                       std::size_t target);
 
 /// Whether this daemon is the one that proposes changes of the voter set: the first voter of `current` that
-/// is still serving.
+/// is still serving. A leaving voter is not, but also proposes its replacement.
 bool maintainsVoterSet(const VoterSet& current, const MemberTable& members, const SelfMember& self);
 
 bool sameVoters(const VoterSet& left, const VoterSet& right);
--- a/tests/serving/coordination/source_epoch_test.cpp
+++ b/tests/serving/coordination/source_epoch_test.cpp
@@ -156,7 +156,7 @@
   update.set_reader(reader.kOther.text());
   reader.follower.onUpdate(reader.kOther, update, due);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
-  // The changes after revision 78 of the previous epoch lack revision 71 and others.
+  // The answer holds the changes after revision 78, so it lacks revisions 71 to 78 of the new epoch.
   reader.follower.onAnswer(call, page({version(31, 79)}, 79, kEpoch + 1), due);
   REQUIRE(reader.follower.known() == SourcePosition{kEpoch + 1, 70});
   REQUIRE(reader.follower.configurationVersion() == 28);
@@ -276,7 +276,7 @@
   REQUIRE(follower.proof().version == 28);
 }
 
-TEST_CASE("updates of one revision in two epochs are packed separately", "[serving][epoch]") {
+TEST_CASE("updates of one revision in two epochs are encoded separately", "[serving][epoch]") {
   UpdateEncoder encoder;
   SourceNews update;
   update.set_epoch(kEpoch);
--- a/tests/serving/coordination/source_fleet_test.cpp
+++ b/tests/serving/coordination/source_fleet_test.cpp
@@ -135,7 +135,7 @@
   REQUIRE(fleet.calls() - calls <= 30);
 }
 
-TEST_CASE("crashes of readers delay no version", "[serving]") {
+TEST_CASE("crashes of readers delay no version beyond the bound", "[serving]") {
   const auto daemons = GENERATE(7U, 60U, 295U);
   SourceFleet fleet(fleetOf(daemons, 5));
   fleet.runFor(seconds(12));
@@ -148,7 +148,9 @@
   }
 }
 
-TEST_CASE("a source that refuses some daemons, including the first-ranked, delays no version", "[serving]") {
+TEST_CASE(
+    "a source that refuses some daemons, including the first-ranked, delays no version beyond the bound",
+    "[serving]") {
   SourceFleet fleet(fleetOf(60, 9));
   fleet.runFor(seconds(12));
   for (std::size_t number = 0; number < 20; ++number) {
@@ -161,7 +163,7 @@
   }
 }
 
-TEST_CASE("crashes of high-capacity readers delay no version", "[serving]") {
+TEST_CASE("crashes of high-capacity readers delay no version beyond the bound", "[serving]") {
   // Daemons 3, 12, 21 and so on have a high capacity.
   const std::size_t firstOfHighCapacity = 3;
   const std::size_t period = 9;
--- a/tests/serving/coordination/source_follower_test.cpp
+++ b/tests/serving/coordination/source_follower_test.cpp
@@ -13,13 +13,14 @@
 
 namespace {
 
-/// The value of a leaf's record that no leaf has written.
+/// The value of an invalid leaf record.
 const char* const kInvalid = "invalid";
 
-/// Birth times by leaf id.
+/// Process start times by leaf id.
 using BirthTimes = std::map<std::string, std::uint64_t>;
 
-/// A source with leaf records only, that keeps its history. A record's value is the leaf's birth time.
+/// A source with leaf records only, that keeps its history. A record's value is the leaf's process start
+/// time.
 class SourceModel {
  public:
   void put(const std::string& id, std::uint64_t birthTime) {
@@ -160,7 +161,7 @@
         source_.invalidate(id);
         break;
       default:
-        // Clocks may be set back, so that a later entry may have an earlier birth time.
+        // Clocks may be set back, so that a later entry may have an earlier start time.
         source_.put(id, *rc::gen::inRange<std::uint64_t>(0, 4));
         break;
     }
--- a/tests/serving/coordination/source_test.cpp
+++ b/tests/serving/coordination/source_test.cpp
@@ -142,7 +142,7 @@
   }
 }
 
-TEST_CASE("an update from a peer postpones the own call until the next update is overdue", "[serving]") {
+TEST_CASE("an update from a peer postpones the next call until the next update is overdue", "[serving]") {
   SourceReader reader = readerOf();
   reader.takeCall(at(0));
   reader.onPage(pageOf(10), 0, at(0));
@@ -250,7 +250,7 @@
   }
 }
 
-TEST_CASE("leafs whose records are deleted for a moment stay in use", "[serving]") {
+TEST_CASE("leafs whose records are deleted briefly stay in use", "[serving]") {
   ServingStateSettings settings;
   settings.removalDelay = removalDelayFor(std::chrono::seconds(5));
   ServingState state(settings);
@@ -305,7 +305,7 @@
   REQUIRE_FALSE(relay.catchUpFor(requester, inFirstEpoch(103), inFirstEpoch(104), at(1000))->update.whole());
 }
 
-TEST_CASE("an update of one revision is forwarded once", "[serving]") {
+TEST_CASE("an update that arrives from two peers is forwarded once", "[serving]") {
   std::vector<Endpoint> members;
   for (std::uint32_t number = 1; number <= 30; ++number) {
     members.emplace_back(number, 1);
