--- a/src/programs/gateway/decision_timer.h
+++ b/src/programs/gateway/decision_timer.h
@@ -18,7 +18,8 @@
  public:
   explicit DecisionTimer(boost::asio::io_context& context) : timer_(context) {}
 
-  /// `onDue` must own what it uses. `kNever` disarms the timer.
+  /// `onDue` must keep alive what it uses, including this timer, unless that outlives the event loop.
+  /// `kNever` disarms the timer.
   void arm(Moment due, std::function<void()> onDue) {
     if (due == armedFor_) {
       return;
--- a/src/programs/gateway/gateway.cpp
+++ b/src/programs/gateway/gateway.cpp
@@ -26,16 +26,16 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 constexpr std::string_view kMetricsPath = "/metrics";
-/// After the stop signal, callers still connect until readiness checks have shown that this daemon is not
-/// ready.
+/// Connections are accepted for this long after the stop signal, because callers connect until readiness
+/// checks have shown that this daemon is not ready.
 constexpr Duration kAcceptAfterStop = std::chrono::milliseconds(2600);
 constexpr Duration kReloadPeriod = std::chrono::seconds(5);
 constexpr Duration kStopCheck = std::chrono::milliseconds(50);
 /// Time reserved before the process would be killed: this share of the grace period, up to this maximum.
 constexpr double kStopReserveShare = 0.15;
 constexpr Duration kMaxStopReserve = std::chrono::milliseconds(800);
-/// Assumed number of owners of a shard (one per zone), and how many more may replace them within a budget
-/// window.
+/// Minimum number of owners of a shard (one per zone) that is assumed, and how many more may replace them
+/// within a budget window.
 constexpr std::size_t kDefaultOwners = 4;
 constexpr std::size_t kMaxReplacedOwners = 2;
 /// Shares are planned for growth of the fleet by one daemon per this many, which may happen at any time.
@@ -225,7 +225,7 @@
                                : std::chrono::duration<double>(steadyNow() - proof->provenAt).count();
   }
 
-  /// On the control thread. Assumes a default fleet size until membership is stable.
+  /// On the control thread. Assumes at least the default fleet size until membership is stable.
   void onDaemons(const DaemonGroup& daemons) {
     lastDaemons_ = daemons;
     const Moment now = steadyNow();
--- a/src/programs/gateway/gateway_metrics.h
+++ b/src/programs/gateway/gateway_metrics.h
@@ -20,18 +20,20 @@
   std::uint64_t received = 0;
   std::uint64_t answered = 0;
   std::uint64_t partial = 0;
+  /// Answered with 503 because the request was not run. Includes `refusedBusy`, `refusedUnservable` and
+  /// `refusedUnproven`.
   std::uint64_t refused = 0;
   std::uint64_t refusedBusy = 0;
   std::uint64_t refusedUnservable = 0;
-  /// Rejected because they are quarantined for crashing leafs.
+  /// Answered with 500 because the request is quarantined for crashing leafs; not included in `refused`.
   std::uint64_t rejectedQuarantined = 0;
   /// Sent to a single leaf first because they have crashed leafs.
   std::uint64_t trials = 0;
-  /// Answered with 401.
+  /// Answered with 401; not included in `refused`.
   std::uint64_t rejectedKeys = 0;
   /// Refused because there was no sufficiently recent freshness proof of the configuration.
   std::uint64_t refusedUnproven = 0;
-  /// Answered with 429.
+  /// Answered with 429; not included in `refused`.
   std::uint64_t refusedOverLimit = 0;
   std::uint64_t failed = 0;
   std::uint64_t noRoute = 0;
@@ -44,7 +46,7 @@
   std::map<std::string, LatencyHistogram> answerTimes;
 };
 
-/// Values of all metrics at one point in time.
+/// Values of all metrics at one point in time. Refers to the counters of the gateway, which must outlive it.
 struct GatewayMetrics {
   const RequestCounters& requests;
   const LeafPoolCounters& pool;
--- a/src/programs/gateway/gateway_settings.h
+++ b/src/programs/gateway/gateway_settings.h
@@ -37,8 +37,8 @@
   Duration leafHeartbeat = kDefaultLeafHeartbeat;
   /// Time within which a new configuration takes effect at every reachable daemon.
   Duration configurationBound = std::chrono::seconds(5);
-  /// Time after which no daemon may accept a request with a removed key. If unset, key removals take effect
-  /// like any other configuration change.
+  /// No daemon, not even an unreachable one, may accept a request that is sent later than this after its key
+  /// was removed. If unset, key removals take effect like any other configuration change.
   std::optional<Duration> keyRevocationBound;
   /// Retry budget of a service, shared by all daemons.
   FleetRetryLimit retryLimit;
--- a/src/programs/gateway/loss_logger.h
+++ b/src/programs/gateway/loss_logger.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Sums the losses of requests by route and cause and logs them about once a second: one line per route with
-/// requests and one per cause of loss. The number of lines does not depend on the load, so none is
-/// suppressed. Sums that are not written yet when the process is killed are lost.
+/// Sums the losses of requests by route and cause and logs them at most once a second, when the next request
+/// is added: one line per route with requests and one per cause of its losses. The number of lines does not
+/// depend on the load, so none is suppressed. Sums that are not written yet when the process is killed are
+/// lost.
 
 #include <cstdint>
 #include <map>
@@ -23,7 +24,7 @@
 
   /// Adds a finished request; `loss` is empty for a complete answer in time.
   void add(const std::string& route, const Loss& loss, Moment now);
-  /// Adds a shard that was served for a peer and did not reach it in time with an answer.
+  /// Adds a shard that was served for a peer and ended without an answer in time.
   void addServed(const std::string& route, LossCause cause, Moment now);
   /// Logs the sums and resets them.
   void flush();
--- a/src/programs/gateway/merge_client.h
+++ b/src/programs/gateway/merge_client.h
@@ -62,7 +62,7 @@
   const MergeClientCounters& counters() const { return counters_; }
 
  private:
-  /// The part of one query that one merge server handles.
+  /// The requests of one `send` call that one merge server handles.
   struct MergeJob {
     Endpoint mergeServer;
     std::shared_ptr<const Route> route;
--- a/src/programs/gateway/owner_client.cpp
+++ b/src/programs/gateway/owner_client.cpp
@@ -15,7 +15,8 @@
 /// Limits the transit time of work, because the owner counts the leafs' remaining time from its receipt.
 constexpr std::uint32_t kWorkLifetimeMilliseconds = 250;
 constexpr std::uint32_t kCancelLifetimeMilliseconds = 2000;
-/// Maximum number of peers that are probed to open connections in advance.
+/// Maximum number of daemons that are probed to open connections in advance. Reports of unresponsive peers
+/// are sent only to these.
 constexpr std::size_t kMaxProbedPeers = 100;
 
 std::uint64_t microsecondsUntil(Moment moment, Moment now) {
--- a/src/programs/gateway/owner_client.h
+++ b/src/programs/gateway/owner_client.h
@@ -27,7 +27,7 @@
   std::uint64_t probes = 0;
   /// Reports of unresponsive peers to the zone.
   std::uint64_t unresponsiveReports = 0;
-  /// Work frames that could not be handed to the network.
+  /// Work frames, including probes, that could not be handed to the network.
   std::uint64_t undeliverable = 0;
 };
 
@@ -55,15 +55,15 @@
   OwnerClient(QueryContext& context, ShardOwners& owners, FrameSender sendFrame);
 
   void send(const std::vector<DelegateAction>& delegations, const RequestParameters& parameters);
-  /// `daemons`: all peers of the zone. Probes the new ones so that connections are established before work is
-  /// sent.
+  /// `daemons`: all serving daemons of this daemon's zone, including itself. Probes the new ones, up to a
+  /// maximum number, so that connections are established before work is sent.
   void probeNewPeers(const std::vector<Endpoint>& daemons);
   /// Cancels the exchanges that were delegated to owners and ignores others.
   void cancel(const std::vector<ExchangeId>& exchanges);
   void onResults(const Endpoint& owner, const OwnerResults& results);
   void onUndeliverable(const OwnerWork& work);
-  /// Reports newly unresponsive peers to the rest of the zone, so that not every daemon has to lose a query
-  /// to detect them.
+  /// Reports newly unresponsive peers to the responsive daemons of the last `probeNewPeers` call, so that not
+  /// every daemon has to lose a query to detect them.
   void reportUnresponsivePeers();
   void onUnresponsivePeers(const SilentDaemons& unresponsive);
   const OwnerClientCounters& counters() const { return counters_; }
--- a/src/programs/gateway/owner_service.cpp
+++ b/src/programs/gateway/owner_service.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Work without a result after this time is acknowledged, so that the requester sees that this daemon is
+/// Work without a result is acknowledged within this time, so that the requester sees that this daemon is
 /// alive.
 constexpr Duration kAcknowledgeAfter = std::chrono::milliseconds(30);
 
--- a/src/programs/gateway/peer_messenger.cpp
+++ b/src/programs/gateway/peer_messenger.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
-/// A tick that is late by this much indicates a pause of the process or its machine.
+/// A longer time between two ticks indicates a pause of the process or its machine.
 constexpr Duration kPauseThreshold = std::chrono::seconds(1);
 /// Frames that were in transit for longer are ignored.
 constexpr std::uint32_t kTimeToLiveMilliseconds = 1000;
--- a/src/programs/gateway/peer_messenger.h
+++ b/src/programs/gateway/peer_messenger.h
@@ -73,7 +73,7 @@
   void scheduleTick();
   void publishMembers();
   void publishSuspects();
-  /// Sends the known members to a daemon that has just started.
+  /// Sends the complete member table. Precedes a complete update, whose receiver has usually just started.
   void sendMembers(const Endpoint& to);
 
   boost::asio::io_context& context_;
--- a/src/programs/gateway/quarantine_gossip.cpp
+++ b/src/programs/gateway/quarantine_gossip.cpp
@@ -18,8 +18,9 @@
 constexpr std::size_t kFanOut = 8;
 /// Changes within this time are sent together: a request for 20 shards crashes 20 leafs within milliseconds.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(2);
-/// Anti-entropy period. A daemon receives two such frames per second on average, and none within four seconds
-/// with a probability of e^-8 (0.03%). A record takes about 80 bytes, so ten records cost 1.6 KB/s.
+/// Anti-entropy period. A daemon receives two such frames per second on average; the probability that it
+/// receives none within four seconds is e^-8 (0.03%). A record takes about 80 bytes, so ten
+/// records cost 1.6 KB/s.
 constexpr Duration kAntiEntropyPeriod = std::chrono::milliseconds(500);
 /// A late frame is useless because anti-entropy sends a newer one.
 constexpr std::uint32_t kLifetimeMilliseconds = 1000;
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -29,7 +29,8 @@
 
 namespace oakpier::serving {
 
-/// Fleet size that is assumed until peers have had time to be discovered.
+/// Minimum fleet size that is assumed until membership is stable. Also the minimum number
+/// of daemons among which the slack of the fleet's retry limit is divided, except for the budgets of owners.
 inline constexpr std::size_t kDefaultDaemons = 12;
 
 /// Assumption about the daemons that share leafs until peers are known.
--- a/src/programs/gateway/request_log.cpp
+++ b/src/programs/gateway/request_log.cpp
@@ -237,7 +237,7 @@
 }
 
 void RequestLog::writeDecisions(const LoggedRequest& request, const Query& query, Moment now) {
-  // If parts are missing, only the decisions for these explain the outcome.
+  // If shards are missing, only the decisions for these explain the outcome.
   const auto missing = query.missingServices();
   const std::set<std::string, std::less<>> explained(missing.begin(), missing.end());
   for (const TraceEvent& event : query.trace().events()) {
--- a/src/programs/gateway/request_log.h
+++ b/src/programs/gateway/request_log.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Structured request log: every request that failed, was refused, partial or late, with the decisions that
-/// led to it, and a sample of the others. The rate of lines is limited; suppressed lines are counted.
+/// Structured request log: every request that failed, was refused, was answered partially or late, or whose
+/// caller disconnected, with the decisions of its query, and a sample of the others. The rate of lines is
+/// limited; suppressed lines are counted.
 
 #include <cstdint>
 #include <memory>
@@ -27,7 +28,7 @@
 struct LoggedRequest {
   std::string id;
   RequestFingerprint fingerprint;
-  /// The tenant that the request is served for or whose key was refused; empty if none.
+  /// The tenant that holds the request's key, also if the request was refused; empty if none.
   std::string tenant = {};
 };
 
@@ -37,7 +38,7 @@
   explicit RequestLog(const RequestLogSettings& settings)
       : settings_(settings), logTokens_(settings.linesPerSecond) {}
 
-  /// A request that matched no route.
+  /// A request that matched no route or has no `Host` header.
   void onUnrouted(const LoggedRequest& request, unsigned status, Moment now);
   /// A request that was refused before its query started. `route` is empty if no configuration is known.
   void onRefused(const LoggedRequest& request, const std::string& route, LossCause cause, unsigned status,
--- a/tests/serving/programs/merge_test.cpp
+++ b/tests/serving/programs/merge_test.cpp
@@ -268,7 +268,7 @@
   query.onOutcome(hedged.sends[0].exchange, outcomeOf(Kind::kAnswered, record('x')), at(70));
   query.onOutcome(started.sends[2].exchange, outcomeOf(Kind::kAnswered, record('a')), at(70));
   query.onOutcome(started.sends[3].exchange, outcomeOf(Kind::kAnswered, record('a')), at(70));
-  // A merge server merged both answers: the records of the second part were below those of the first.
+  // A merge server merged both answers; the records of the second rank below those of the first.
   LeafOutcome first = outcomeOf(Kind::kAnswered, record('m'));
   LeafOutcome second = outcomeOf(Kind::kAnswered, "");
   first.merged = second.merged = true;
--- a/tests/serving/programs/quarantine_gossip_test.cpp
+++ b/tests/serving/programs/quarantine_gossip_test.cpp
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-TEST_CASE("all daemons learn of a request that crashes leafs, and of its answer", "[serving]") {
+TEST_CASE("all daemons learn that a request crashes leafs, and that it was answered", "[serving]") {
   constexpr std::uint32_t kDaemons = 300;
   Fleet fleet(kDaemons);
   quarantine(fleet, 1);
