--- a/src/programs/gateway/peer_messenger.h
+++ b/src/programs/gateway/peer_messenger.h
@@ -73,7 +73,8 @@
   void scheduleTick();
   void publishMembers();
   void publishSuspects();
-  /// Sends the complete member table. Precedes a complete update, whose receiver has usually just started.
+  /// Sends the complete member table. Called before each complete update, because its receiver may have just
+  /// started.
   void sendMembers(const Endpoint& to);
 
   boost::asio::io_context& context_;
--- a/src/programs/gateway/quarantine_gossip.cpp
+++ b/src/programs/gateway/quarantine_gossip.cpp
@@ -19,8 +19,8 @@
 /// Changes within this time are sent together: a request for 20 shards crashes 20 leafs within milliseconds.
 constexpr Duration kBatchDelay = std::chrono::milliseconds(2);
 /// Anti-entropy period. A daemon receives two such frames per second on average; the probability that it
-/// receives none within four seconds is e^-8 (0.03%). A record takes about 80 bytes, so ten
-/// records cost 1.6 KB/s.
+/// receives none within four seconds is e^-8 (0.03%). A record takes about 80 bytes, so ten records cost
+/// 1.6 KB/s.
 constexpr Duration kAntiEntropyPeriod = std::chrono::milliseconds(500);
 /// A late frame is useless because anti-entropy sends a newer one.
 constexpr std::uint32_t kLifetimeMilliseconds = 1000;
--- a/src/programs/gateway/request_gateway.cpp
+++ b/src/programs/gateway/request_gateway.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Maximum number of leafs to connect to in advance while it is not yet known how many daemons share them.
+/// If more leafs than this are assigned, none is connected to in advance until membership is stable, because
+/// it is not known how many daemons share them.
 constexpr std::size_t kMaxEarlyConnections = 150;
 
 }  // namespace
--- a/src/programs/gateway/request_gateway.h
+++ b/src/programs/gateway/request_gateway.h
@@ -29,8 +29,8 @@
 
 namespace oakpier::serving {
 
-/// Minimum fleet size that is assumed until membership is stable. Also the minimum number
-/// of daemons among which the slack of the fleet's retry limit is divided, except for the budgets of owners.
+/// Minimum fleet size that is assumed until membership is stable. Also the minimum number of daemons among
+/// which the slack of the fleet's retry limit is divided, except for the budgets of owners.
 inline constexpr std::size_t kDefaultDaemons = 12;
 
 /// Assumption about the daemons that share leafs until peers are known.
@@ -123,9 +123,11 @@
   void countDecisions(const RequestTrace& trace);
   void armTimer(const ActivePointer& active);
 
-  /// Records evidence against the requests that were in progress at a leaf that crashed.
+  /// Records evidence against the requests that were in progress at a leaf that crashed, except those that
+  /// another leaf has answered.
   void onLeafCrash(const LeafEntry& leaf, const std::vector<std::shared_ptr<RequestRecord>>& inProgress);
-  /// Finishes or closes connections to leafs that are no longer assigned to this daemon.
+  /// Closes connections to leafs that are no longer assigned to this daemon. Requests queued for leafs that
+  /// still accept requests are sent first.
   void retainConnections(const LeafAssignment& assignment);
   /// Opens connections to assigned leafs before requests need them.
   void preconnect(const LeafAssignment& assignment);
