--- a/src/programs/control/causes.h
+++ b/src/programs/control/causes.h
@@ -20,7 +20,7 @@
     std::map<std::string, double> causes;
     /// Losses that owners log for shards delegated to them, by cause; each shard counts 1.
     std::map<std::string, double> delegatedCauses;
-    /// By second since the epoch, on the clocks of the gateways.
+    /// By second since 1970 (Unix time), on the clocks of the gateways.
     std::map<std::int64_t, double> seconds;
   };
   std::map<std::string, Route> routes;
--- a/src/programs/control/explain.cpp
+++ b/src/programs/control/explain.cpp
@@ -16,7 +16,7 @@
 /// Lines on crashed leafs that are printed after a request.
 constexpr std::size_t kMaxCrashLines = 6;
 
-/// Messages that the gateway logs, before the request's own line, for a request without a token.
+/// Messages that the gateway logs, before the request's own line, for a request that got no token.
 constexpr const char* kOverLimitLine = "tenant beyond its limit";
 constexpr const char* kNotCountedLine = "no daemon counted for the tenant";
 constexpr const char* kOverLimitOutcome = "refused: tenant over its limit";
--- a/src/transport/serving/http_session.cpp
+++ b/src/transport/serving/http_session.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 4096;
-/// Maximum number of bytes buffered of requests that arrive while another is served.
+/// Reading stops while at least this many bytes of later requests are buffered; a disconnect is not detected
+/// then.
 constexpr std::size_t kMaxPipelinedBytes = std::size_t{64} * 1024;
 constexpr Duration kLingerTime = std::chrono::seconds(1);
 constexpr unsigned kBadRequest = 400;
--- a/src/transport/serving/http_session.h
+++ b/src/transport/serving/http_session.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The connection of one caller. Serves one request at a time; pipelined requests stay buffered until then.
+/// The connection of one caller. Serves one request at a time; pipelined requests stay buffered until the
+/// reply to the one before has been written.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -24,10 +25,11 @@
   ~HttpSession();
 
   void start();
-  /// Sends a reply, to the request being served or to one that was rejected while it was read.
+  /// Sends a reply to the request being served, or to one that is refused while it is read. Has no effect
+  /// while a reply is being written or after the connection has closed.
   void respond(const HttpReply& reply);
   void respondIfServing(const HttpReply& reply);
-  /// Closes the connection unless a request is being read or served.
+  /// Closes the connection unless a request is being read, served or replied to.
   void closeIfIdle();
   /// Called when the service is destroyed; closes the connection without a reply.
   void detach();
--- a/src/transport/serving/leaf_connection.cpp
+++ b/src/transport/serving/leaf_connection.cpp
@@ -35,7 +35,7 @@
     self->connectTimer_.cancel();
     if (error) {
       self->wasRefused_ = error == boost::asio::error::connection_refused;
-      // Without a listener the connection is refused; a reset means that it had been accepted.
+      // If no process listens, the connection is refused; a reset means that it had been accepted.
       self->wasAccepted_ = error == boost::asio::error::connection_reset;
       self->fail();
       return;
--- a/src/transport/serving/leaf_pool.h
+++ b/src/transport/serving/leaf_pool.h
@@ -31,8 +31,10 @@
 
   /// Idle for longer than their idle timeout.
   std::uint64_t expiredIdle = 0;
-  /// Idle connections in excess of the maximum.
+  /// Idle connections in excess of the maximum, or to a leaf that is not to be kept (see
+  /// `LeafPool::RetainMode`).
   std::uint64_t surplus = 0;
+  /// Idle, and closed by the leaf, or by this daemon as the leaf sent unsolicited bytes.
   std::uint64_t closedIdleByLeaf = 0;
   /// Not reusable after a reply.
   std::uint64_t closedWithReply = 0;
@@ -68,8 +70,8 @@
 
   /// Called when a leaf becomes unreachable (a connection attempt failed and none is open), after each
   /// further failed attempt, and when it is reachable again. The pool keeps trying to connect to an
-  /// unreachable leaf, even without requests. A leaf that accepts a connection and resets it has reached its
-  /// connection limit and counts as reachable.
+  /// unreachable leaf that is to be kept (see `RetainMode`), even without requests. A leaf that accepts a
+  /// connection and resets it has reached its connection limit and counts as reachable.
   using ReachabilityListener = std::function<void(const LeafEntry& leaf, bool reachable)>;
   void setReachabilityListener(ReachabilityListener listener) { onReachability_ = std::move(listener); }
 
@@ -112,8 +114,9 @@
   ChannelPointer channelOf(const LeafEntry& leaf, std::size_t maximum);
   void open(const ChannelPointer& channel);
   void dispatch(const ChannelPointer& channel);
-  /// Drops queued requests that have less than their minimum time left. Listeners are called asynchronously,
-  /// since a listener must not be called from within its own call of `send`.
+  /// Drops queued requests that have less than their minimum time left, or too little for a deadline in whole
+  /// milliseconds. Listeners are called asynchronously, since a listener must not be called from within its
+  /// own call of `send`.
   void dropExpired(Channel& channel, Moment now);
   /// Completes requests that were not sent. Listeners are called asynchronously.
   void completeUnsent(std::list<ExchangeRequest> requests, LeafOutcome::Kind kind);
@@ -125,9 +128,10 @@
   /// A connection closed without a reply to the request on it. A new connection shows whether the leaf has
   /// crashed; the next request needs one anyway.
   void onInterrupted(const ChannelPointer& channel, ExchangeRequest request);
-  /// True if a second connection is needed to find out whether the leaf has crashed. The system may reset a
-  /// crashing process's connections before it closes the listening socket. A connection opened in between is
-  /// accepted and reset, as by a running leaf that has reached its connection limit.
+  /// Returns true, at most once per crash check, if a second connection is needed to find out whether the
+  /// leaf has crashed, and records that. The system may reset a crashing process's connections before it
+  /// closes the listening socket. A connection opened in between is accepted and reset, as by a running leaf
+  /// that has reached its connection limit.
   static bool repeatsCrashCheck(Channel& channel, const LeafConnection& closed);
   /// Handles a refused connection: nothing listens at the leaf's address any more.
   void reportCrash(Channel& channel);
--- a/src/transport/serving/reply_reader.cpp
+++ b/src/transport/serving/reply_reader.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Larger replies are rejected, so that a faulty leaf or source cannot exhaust the memory.
+/// Larger replies are treated as broken, so that a faulty leaf or source cannot exhaust the memory.
 constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{16} * 1024 * 1024;
 constexpr std::uint32_t kMaxHeaderBytes = 64 * 1024;
 constexpr unsigned kFirstFinalStatus = 200;
--- a/src/transport/serving/reply_reader.h
+++ b/src/transport/serving/reply_reader.h
@@ -23,7 +23,7 @@
   /// Parses the buffered bytes.
   State advance();
   /// The other end has closed the connection in an orderly way (FIN), which completes a reply without a
-  /// length.
+  /// length. Any other unfinished reply is broken.
   State onEof();
   /// Returns the reply. Call only after kComplete.
   HttpReply take();
--- a/src/transport/serving/source_client.h
+++ b/src/transport/serving/source_client.h
@@ -18,7 +18,7 @@
 
 class SourceClient {
  public:
-  /// Empty if no complete reply arrived within the timeout.
+  /// `reply` is empty if the connection failed or no complete reply arrived within the timeout.
   using Callback = std::function<void(std::optional<HttpReply> reply)>;
 
   SourceClient(boost::asio::io_context& context, const Endpoint& address);
--- a/tests/platform_model/observations.cpp
+++ b/tests/platform_model/observations.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// A draining leaf receives no requests after this time.
+/// A leaf receives no requests later than this after it began draining.
 constexpr Duration kDrainBound = std::chrono::seconds(3);
 constexpr std::size_t kRecordBytes = 16;
-/// After this time all gateways know of a third crash.
+/// All gateways know of a third crash after this time.
 constexpr Duration kPropagationTime = std::chrono::seconds(1);
-/// Later sends that are allowed, as trials.
+/// Maximum number of later sends to leafs, which are trials.
 constexpr std::size_t kMaxLateSends = 3;
 constexpr std::size_t kCrashesBeforeQuarantine = 3;
 
--- a/tests/platform_model/observations.h
+++ b/tests/platform_model/observations.h
@@ -26,7 +26,8 @@
   void onCrashingSend(const std::string& target, const std::string& requestId, Moment now);
   /// The request goes to a gateway that a fault has hit recently and that may lack its peers' state.
   void onSentToRecoveringGateway(const std::string& requestId) { recoveringRequests_.insert(requestId); }
-  /// A request got no answer although no fault has hit its gateway.
+  /// A request got no answer although its gateway was neither killed nor paused since it was sent. A
+  /// violation if a leaf ran it.
   void checkAborted(const std::string& requestId);
   /// A leaf has crashed while it ran the request.
   void onLeafCrash(const std::string& target, Moment now);
--- a/tests/platform_model/platform_day.h
+++ b/tests/platform_model/platform_day.h
@@ -27,7 +27,7 @@
   /// A fixed sequence of disturbances: a leaf drains, another stops answering, the store is down and compacts
   /// its history, the configuration changes, one gateway receives invalid settings, another is restarted.
   bool disturbances = true;
-  /// The gateways' standard output is a full pipe without a reader.
+  /// The gateways' standard output is a full pipe that is never read.
   bool stalledOutput = false;
   /// Clients repeatedly send requests that crash each leaf that runs them, to random gateways.
   bool crashingRequests = false;
@@ -36,6 +36,7 @@
   /// The store is restored from backups; requires `faults`.
   bool restorations = false;
   /// The leafs' connection limits are too low for all gateways, so that shards must be delegated to owners.
+  /// Without this, none may be delegated. Not checked in runs with `faults`.
   bool expectDelegation = false;
 };
 
@@ -58,7 +59,8 @@
   /// Runs the traffic with its disturbances and faults, then stops the gateways and makes the final checks.
   void run();
   void report(std::ostream& out) const;
-  /// No violation was observed, every request class was answered, and service recovered after the last fault.
+  /// No violation was observed, at least one request of each class was answered, service recovered after the
+  /// last fault, and shards were delegated as `expectDelegation` requires.
   bool passed() const;
   /// Prints the gateways' addresses and an example request.
   void printAddresses(std::ostream& out) const;
@@ -72,7 +74,7 @@
   void addLeaf(const std::string& service, const std::string& zone);
   void publish(const LeafStandin& leaf);
   void startGateway(Gateway& gateway);
-  /// Creates a full pipe without a reader and returns its path.
+  /// Creates a full pipe that is never read, and returns its path.
   std::string stalledPipe(const Gateway& gateway);
   void fetchMetrics();
   bool allReady();
--- a/tests/platform_model/store_standin.h
+++ b/tests/platform_model/store_standin.h
@@ -24,11 +24,11 @@
   void remove(const std::string& key);
   /// While the store is down, every call is answered with 503.
   void setDown(bool down) { down_ = down; }
-  /// Discards the changes up to now; watches from an earlier revision are answered with 410.
+  /// Simulates a compaction of the history: watches from an earlier revision are answered with 410.
   void compactHistory();
-  /// Restores a backup of this age and begins a new epoch: revisions go back, and watches from later
-  /// revisions are answered with 410. Each writer rewrites its lost record after a random delay of at most
-  /// `rewriteWindow`.
+  /// Restores a backup of this age and begins a new epoch: revisions go back, pending watches are answered
+  /// with 503, and watches from later revisions with 410. Each writer rewrites its lost record after a random
+  /// delay of at most `rewriteWindow`.
   void restore(Duration backupAge, Duration rewriteWindow);
   std::size_t calls() const { return calls_; }
 
--- a/tests/serving/platform/leaf_entries_test.cpp
+++ b/tests/serving/platform/leaf_entries_test.cpp
@@ -1,4 +1,4 @@
-/// Invalid store entries, written by something else than a leaf, must not become leafs or affect valid
+/// Invalid store entries, written by something other than a leaf, must not become leafs or affect valid
 /// entries.
 
 #include <algorithm>
@@ -142,7 +142,7 @@
   return items;
 }
 
-/// Invalid for every field of an entry.
+/// Invalid for every field of an entry except those that accept any string (version, zone, service).
 json wrongValue() {
   return *rc::gen::element(json(nullptr), json(true), json::array(), json::array({1}), json::object(),
                            json(-1), json("\x7f"), json(-0.5), json(1e300));
@@ -343,7 +343,7 @@
   REQUIRE(std::holds_alternative<LeafEntry>(dialect.interpret(page.records[0])));
 }
 
-TEST_CASE("an answer without a valid revision, list or flag for further pages is a failure",
+TEST_CASE("an answer without a valid revision or list, or with invalid paging, is a failure",
           "[platform][lives]") {
   const StoreDialect dialect;
   const json good = itemOf("i-1", kEntry.dump(), 4);
--- a/tests/serving/platform/observations_test.cpp
+++ b/tests/serving/platform/observations_test.cpp
@@ -86,7 +86,7 @@
   REQUIRE(observations.violations().empty() == (lateSends == 3));
 }
 
-TEST_CASE("a request that ran must not be closed without an answer", "[platform]") {
+TEST_CASE("the connection of a request that ran must not close without an answer", "[platform]") {
   Observations observations;
   observations.checkAborted("one");
   REQUIRE(observations.violations().empty());
--- a/tests/serving/programs/explain_test.cpp
+++ b/tests/serving/programs/explain_test.cpp
@@ -62,7 +62,7 @@
 
 TEST_CASE("a refusal over a limit is explained with the tenant, its quota server and what to check",
           "[serving]") {
-  // More lines on the limit than state lines are printed: they must not displace the view.
+  // More lines on the limit than the maximum of state lines: they must not displace the line on the view.
   std::string lines = "1.0 gateway-1 {\"message\":\"view published\",\"configuration_version\":7}\n";
   for (int number = 0; number < 6; ++number) {
     lines +=
--- a/tests/serving/transport/leaf_pool_test.cpp
+++ b/tests/serving/transport/leaf_pool_test.cpp
@@ -232,7 +232,7 @@
   runUntil(world.context, [&] { return world.server.connections().size() == 2; });
 }
 
-TEST_CASE("for a leaf that accepts no new requests, queued ones are not sent and those in progress complete",
+TEST_CASE("requests queued for a leaf that is not kept fail or are sent by mode, those in progress complete",
           "[serving]") {
   PoolWorld world;
   world.send(1, "one");
@@ -302,7 +302,7 @@
   REQUIRE(registry.leafsOf("s").front()->inProgress() == 0);
 }
 
-TEST_CASE("an unreachable leaf is retried until it accepts a connection", "[serving]") {
+TEST_CASE("connections to an unreachable leaf are attempted until it accepts one", "[serving]") {
   PoolWorld world;
   std::vector<bool> reports;
   world.pool.setReachabilityListener([&](const LeafEntry&, bool reachable) { reports.push_back(reachable); });
--- a/tests/serving/transport/suspension_test.cpp
+++ b/tests/serving/transport/suspension_test.cpp
@@ -62,7 +62,7 @@
   runUntil(context, [&] { return due; });
 }
 
-TEST_CASE("a query whose deadline passed during a suspension times out without sending", "[serving]") {
+TEST_CASE("a query whose deadline passed during a suspension times out without further sends", "[serving]") {
   const std::vector<std::string> shards = {"s0", "s1"};
   const auto view = viewOf({gatherRoute(shards, 1.0)}, shards, 2);
   QueryWorld world(view);
