--- a/src/programs/control/commands.cpp
+++ b/src/programs/control/commands.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// An apply returns only after the voters have answered.
+/// Includes the time that an apply waits for the voters.
 constexpr Duration kCallTimeout = std::chrono::seconds(15);
 
 template <typename Request, typename Reply>
